--- a/src/decisions/cascade/confidenceCascade.ts
+++ b/src/decisions/cascade/confidenceCascade.ts
@@ -7,7 +7,7 @@
     /** Models that may answer, smallest first. */
     readonly models: readonly string[];
     /** Repeats left in the pool's budget: a second model costs one. */
-    readonly repeatsLeft: number;
+    readonly retriesLeft: number;
     /** Runners that the request may be sent to. */
     readonly attemptsLeft: number;
     /** Whether the caller has a part of an answer already, which only goes on with a model at least as good. */
@@ -26,22 +26,22 @@
 }
 
 /** Answers below this confidence go to the largest model: more of them would cost more than better answers bring. */
-const acceptedConfidence = 50;
+const minAcceptedConfidence = 50;
 /**
  * When a better answer would be late, it is worth a tenth to a third of one in time, so only an answer that is almost certainly
  * poor is given up for it. At the worst load this also keeps the work of second answers away from crowded runners.
  */
-const acceptedLateConfidence = 20;
+const minAcceptedLateConfidence = 20;
 /** Below this many repeats a cascade might end with a poor answer that nothing is left to better. */
-const leastRepeats = 2;
+const minRetries = 2;
 
 /**
  * Returns the model that answers first: the smallest, unless a second step would not be possible.
  * @param options - What the choice rests on.
  */
 export function chooseFirstModel(options: FirstModelOptions): string | undefined {
-    const { models, repeatsLeft, attemptsLeft, isContinued } = options;
-    if (isContinued || repeatsLeft < leastRepeats || attemptsLeft < 2) {
+    const { models, retriesLeft, attemptsLeft, isContinued } = options;
+    if (isContinued || retriesLeft < minRetries || attemptsLeft < 2) {
         return models.at(-1);
     }
     return models.at(0);
@@ -55,8 +55,8 @@
 export function chooseNextModel(options: AcceptanceOptions): string | undefined {
     const { models, model, confidence, isInTime } = options;
     const largest = models.at(-1);
-    if (confidence === undefined || confidence >= acceptedConfidence || model === largest) {
+    if (confidence === undefined || confidence >= minAcceptedConfidence || model === largest) {
         return undefined;
     }
-    return confidence < acceptedLateConfidence || isInTime() ? largest : undefined;
+    return confidence < minAcceptedLateConfidence || isInTime() ? largest : undefined;
 }
--- a/src/decisions/dispatch/usualLoad.ts
+++ b/src/decisions/dispatch/averageLoad.ts
@@ -6,17 +6,17 @@
 const reportWeight = 0.05;
 
 /** Learns the usual load of one pool from what its upstreams report. */
-export class UsualLoad {
+export class AverageLoad {
     /** In parts of an upstream's slots. */
     #load: number | undefined;
 
     /**
      * Notes a report.
-     * @param others - Requests of other nodes at the upstream.
+     * @param otherRequests - Requests of other nodes at the upstream.
      * @param slots - Its slots.
      */
-    add(others: number, slots: number): void {
-        const load = others / slots;
+    add(otherRequests: number, slots: number): void {
+        const load = otherRequests / slots;
         this.#load = this.#load === undefined ? load : this.#load + reportWeight * (load - this.#load);
     }
 
@@ -24,7 +24,7 @@
      * Returns the requests of other nodes that an upstream usually has; none before the first report.
      * @param slots - Its slots.
      */
-    getOthers(slots: number): number {
+    getOtherRequests(slots: number): number {
         return (this.#load ?? 0) * slots;
     }
 }
--- a/src/decisions/dispatch/pick.ts
+++ b/src/decisions/dispatch/pick.ts
@@ -4,7 +4,7 @@
 import type { RegisteredUpstream } from "../../fleet/index.js";
 
 /** What is known of a prompt, for the choice of its runner. */
-export interface PromptLoad {
+export interface PromptDescription {
     readonly model: string | undefined;
     readonly tokens: number;
     /** Bytes of the request. */
@@ -16,18 +16,18 @@
 }
 
 /** What an upstream is chosen for. */
-export interface PickOptions {
+export interface UpstreamPickOptions {
     readonly pool: string;
     /** The upstreams that may serve it. */
     readonly candidates: readonly RegisteredUpstream[];
     /** Identifiers that were tried in vain. */
     readonly excluded: ReadonlySet<string>;
     /** Undefined for plain services. */
-    readonly prompt: PromptLoad | undefined;
+    readonly prompt: PromptDescription | undefined;
 }
 
 /** An upstream that was picked. */
-export interface Pick {
+export interface UpstreamPick {
     readonly upstream: RegisteredUpstream;
     /** For logs. */
     readonly reason: "least-wait" | "least-loaded" | "ejected";
@@ -36,7 +36,7 @@
     /** Expected time to the head of the answer, in milliseconds. */
     readonly expectedMilliseconds: number;
     /** Expected time to read the prompt there, in milliseconds. */
-    readonly readingMilliseconds: number;
+    readonly prefillMilliseconds: number;
     /** Tokens that are likely to be read there: all but those that it holds. */
-    readonly unreadTokens: number;
+    readonly uncachedTokens: number;
 }
--- a/src/decisions/dispatch/promptHolders.ts
+++ b/src/decisions/dispatch/promptHolders.ts
@@ -5,7 +5,7 @@
 import type { RegisteredUpstream } from "../../fleet/index.js";
 
 /** Points of a runner; with fewer, some runners would hold several times as many prompts as others. */
-const pointsByRunner = 16;
+const pointsPerRunner = 16;
 const pointBytes = 4;
 
 /**
@@ -25,16 +25,16 @@
 
     /**
      * Returns the identifiers of the two runners that come first for a key; fewer where there are fewer runners.
-     * @param group - The runners.
+     * @param runners - The runners.
      * @param key - The key of the shared parts.
      */
-    findFirstTwo(group: readonly RegisteredUpstream[], key: string): readonly string[] {
+    findTwoHolders(runners: readonly RegisteredUpstream[], key: string): readonly string[] {
         const target = hash(key, 1)[0];
         let first: string | undefined;
         let firstDistance = Number.POSITIVE_INFINITY;
         let second: string | undefined;
         let secondDistance = Number.POSITIVE_INFINITY;
-        for (const { id } of group) {
+        for (const { id } of runners) {
             const distance = this.#getDistance(id, target);
             if (distance < firstDistance) {
                 second = first;
@@ -53,15 +53,15 @@
     #getDistance(id: string, target: number): number {
         let points = this.#points.get(id);
         if (points === undefined) {
-            points = hash(id, pointsByRunner);
+            points = hash(id, pointsPerRunner);
             this.#points.set(id, points);
         }
-        let least = Number.POSITIVE_INFINITY;
+        let minDistance = Number.POSITIVE_INFINITY;
         for (const point of points) {
             // Shifted, since the operator yields signed numbers.
-            least = Math.min(least, (point ^ target) >>> 0);
+            minDistance = Math.min(minDistance, (point ^ target) >>> 0);
         }
-        return least;
+        return minDistance;
     }
 }
 
--- a/src/decisions/dispatch/runnerGroups.ts
+++ b/src/decisions/dispatch/runnerSubsets.ts
@@ -8,11 +8,11 @@
  * A node chooses among so many runners of its own, besides those that are likely to hold the prompt's parts. Of hundreds of
  * runners it would hear of each one only now and then, and choose blindly; those few it knows well.
  */
-const ownRunners = 12;
+const subsetSize = 12;
 
-interface Group {
+interface RankedRunners {
     /** The nearest runners by this node's own rank. */
-    readonly own: readonly RegisteredUpstream[];
+    readonly subset: readonly RegisteredUpstream[];
     readonly byId: ReadonlyMap<string, RegisteredUpstream>;
 }
 
@@ -20,11 +20,11 @@
  * Selects runners by ranks that do not change. A list of runners is ranked once: ranking a hundred runners for each request takes
  * longer than the rest of the choice.
  */
-export class RunnerGroups {
+export class RunnerSubsets {
     readonly #self: string;
     readonly #failureDomain: string;
     readonly #ranks = new Map<string, number>();
-    readonly #groups = new WeakMap<readonly RegisteredUpstream[], Group>();
+    readonly #rankedRunners = new WeakMap<readonly RegisteredUpstream[], RankedRunners>();
 
     /** @param options - The node that chooses. */
     constructor(options: { readonly self: string; readonly failureDomain: string; }) {
@@ -45,38 +45,44 @@
      * @param runners - All runners; a list that changes is another list.
      * @param holders - Identifiers of those that may hold the prompt.
      */
-    selectOwn(runners: readonly RegisteredUpstream[], holders: readonly string[]): readonly RegisteredUpstream[] {
-        if (runners.length <= ownRunners) {
+    selectCandidates(
+        runners: readonly RegisteredUpstream[],
+        holders: readonly string[],
+    ): readonly RegisteredUpstream[] {
+        if (runners.length <= subsetSize) {
             return runners;
         }
-        const { own, byId } = this.#getGroup(runners);
-        const selected = [...own];
+        const { subset, byId } = this.#getRankedRunners(runners);
+        const selected = [...subset];
         for (const holder of holders) {
             const upstream = byId.get(holder);
-            if (upstream !== undefined && !own.includes(upstream)) {
+            if (upstream !== undefined && !subset.includes(upstream)) {
                 selected.push(upstream);
             }
         }
         return selected;
     }
 
-    #getGroup(runners: readonly RegisteredUpstream[]): Group {
-        let group = this.#groups.get(runners);
-        if (group === undefined) {
-            group = { own: this.#rankOwn(runners), byId: new Map(runners.map(upstream => [upstream.id, upstream])) };
-            this.#groups.set(runners, group);
+    #getRankedRunners(runners: readonly RegisteredUpstream[]): RankedRunners {
+        let rankedRunners = this.#rankedRunners.get(runners);
+        if (rankedRunners === undefined) {
+            rankedRunners = {
+                subset: this.#selectSubset(runners),
+                byId: new Map(runners.map(upstream => [upstream.id, upstream])),
+            };
+            this.#rankedRunners.set(runners, rankedRunners);
         }
-        return group;
+        return rankedRunners;
     }
 
-    #rankOwn(runners: readonly RegisteredUpstream[]): readonly RegisteredUpstream[] {
+    #selectSubset(runners: readonly RegisteredUpstream[]): readonly RegisteredUpstream[] {
         const ranked = runners.map(upstream => ({
             upstream,
             isNear: upstream.failureDomain === this.#failureDomain,
             rank: this.#getRank(upstream.id),
         }));
         ranked.sort((first, second) => Number(second.isNear) - Number(first.isNear) || second.rank - first.rank);
-        return ranked.slice(0, ownRunners).map(({ upstream }) => upstream);
+        return ranked.slice(0, subsetSize).map(({ upstream }) => upstream);
     }
 
     #getRank(id: string): number {
--- a/src/decisions/dispatch/upstreamPicker.ts
+++ b/src/decisions/dispatch/upstreamPicker.ts
@@ -3,27 +3,27 @@
  */
 import type { Clock, RandomSource } from "../../common/index.js";
 import type { RegisteredUpstream } from "../../fleet/index.js";
-import type { Pick, PickOptions, PromptLoad } from "./pick.js";
+import { AverageLoad } from "./averageLoad.js";
+import type { PromptDescription, UpstreamPick, UpstreamPickOptions } from "./pick.js";
+import { PrefillRate } from "./prefillRate.js";
 import { PromptHolders } from "./promptHolders.js";
-import { ReadingPace } from "./readingPace.js";
-import { RunnerGroups } from "./runnerGroups.js";
+import { RunnerSubsets } from "./runnerSubsets.js";
 import { type CallOutcome, type ReportedRequests, UpstreamStatus } from "./upstreamStatus.js";
-import { UsualLoad } from "./usualLoad.js";
 
 /** At most this part of a pool is ejected; beyond it the fault is hardly that of single upstreams. */
-const mostEjectedShare = 0.34;
+const maxEjectedShare = 0.34;
 /** A plain service counts as full in the own failure domain at this part of its slots. */
-const fullShare = 0.9;
+const fullLoadShare = 0.9;
 /** Time by which each request at a runner delays the head of another answer there, in milliseconds. */
-const delayMillisecondsByRequest = 15;
+const delayMillisecondsPerRequest = 15;
 /**
  * What a request in another failure domain must gain in time to be worth its way, in milliseconds: for the way itself, and for
  * each kilobyte, since bytes between failure domains are paid for.
  */
-const domainMilliseconds = 60;
-const domainMillisecondsByKilobyte = 4;
+const crossDomainMilliseconds = 60;
+const crossDomainMillisecondsPerKilobyte = 4;
 /** Parts of a prompt that are shared are likely to be in the memory of the first two runners by rank of their key. */
-const likelyCached = [0.9, 0.4] as const;
+const cacheHitProbabilities = [0.9, 0.4] as const;
 /**
  * Loads are taken so much higher or lower at random: many nodes read the same reports, and all of them would send their
  * next request to the runner that looked emptiest.
@@ -35,22 +35,22 @@
  * crowded by other nodes, expectations are all too low; runners are then slow, not away, and giving them up adds to the crowd.
  */
 const ratioWeight = 0.06;
-const mostRatio = 8;
+const maxRatio = 8;
 /** Waits below this say little about a crowd, in milliseconds. */
-const leastExpected = 80;
+const minExpectedMilliseconds = 80;
 
 /** Picks upstreams for one node and keeps what it learns of them. */
 export class UpstreamPicker {
     readonly #clock: Clock;
     readonly #random: RandomSource;
     readonly #failureDomain: string;
-    readonly #groups: RunnerGroups;
+    readonly #groups: RunnerSubsets;
     readonly #holders = new PromptHolders();
     readonly #onEject: (upstream: string, milliseconds: number) => void;
     readonly #statuses = new Map<string, UpstreamStatus>();
-    readonly #paces = new ReadingPace();
+    readonly #prefillRates = new PrefillRate();
     /** By pool. */
-    readonly #usualLoads = new Map<string, UsualLoad>();
+    readonly #averageLoads = new Map<string, AverageLoad>();
     #waitRatio = 1;
 
     constructor(options: {
@@ -65,7 +65,7 @@
         this.#clock = options.clock;
         this.#random = options.random;
         this.#failureDomain = options.failureDomain;
-        this.#groups = new RunnerGroups(options);
+        this.#groups = new RunnerSubsets(options);
         this.#onEject = options.onEject;
     }
 
@@ -73,19 +73,19 @@
      * Picks an upstream.
      * @returns Undefined when no candidate is left.
      */
-    pick(options: PickOptions): Pick | undefined {
+    pick(options: UpstreamPickOptions): UpstreamPick | undefined {
         const now = this.#clock.monotonic();
-        const untried = leaveOut(options.candidates, ({ id }) => options.excluded.has(id));
-        const sound = leaveOut(untried, ({ id }) => this.#getStatus(id).isEjected(now));
-        if (sound.length === 0) {
+        const untried = exclude(options.candidates, ({ id }) => options.excluded.has(id));
+        const healthy = exclude(untried, ({ id }) => this.#getStatus(id).isEjected(now));
+        if (healthy.length === 0) {
             // Trying an ejected upstream beats refusing.
             return this.#createPick(this.#findLeastLoaded(untried, now), "ejected", now);
         }
         if (options.prompt !== undefined) {
-            return this.#findLeastWait(sound, options.prompt, now);
+            return this.#findLeastWait(healthy, options.prompt, now);
         }
-        const near = sound.filter(upstream => upstream.failureDomain === this.#failureDomain);
-        const upstream = this.#findRoomy(near, now) ?? this.#findLeastLoaded(sound, now);
+        const sameDomain = healthy.filter(upstream => upstream.failureDomain === this.#failureDomain);
+        const upstream = this.#findWithFreeCapacity(sameDomain, now) ?? this.#findLeastLoaded(healthy, now);
         return this.#createPick(upstream, "least-loaded", now);
     }
 
@@ -94,16 +94,16 @@
      * @param upstream - Identifier of the upstream.
      * @param milliseconds - Time that reading it takes; negative when it has been read.
      */
-    addReading(upstream: string, milliseconds: number): void {
-        this.#getStatus(upstream).addReading(milliseconds);
+    addPendingPrefill(upstream: string, milliseconds: number): void {
+        this.#getStatus(upstream).addPendingPrefill(milliseconds);
     }
 
     /**
      * Notes that something came from an upstream.
      * @param upstream - Its identifier.
      */
-    markHeard(upstream: string): void {
-        this.#getStatus(upstream).markHeard(this.#clock.monotonic());
+    markSeen(upstream: string): void {
+        this.#getStatus(upstream).markSeen(this.#clock.monotonic());
     }
 
     /**
@@ -112,15 +112,15 @@
      * @param milliseconds - Time to the head of the answer.
      * @param pick - What was expected.
      */
-    addPace(model: string | undefined, milliseconds: number, pick: Pick): void {
-        const { expectedMilliseconds, readingMilliseconds, unreadTokens } = pick;
-        this.#paces.add({
+    addHeadTime(model: string | undefined, milliseconds: number, pick: UpstreamPick): void {
+        const { expectedMilliseconds, prefillMilliseconds, uncachedTokens } = pick;
+        this.#prefillRates.add({
             model,
-            tokens: unreadTokens,
-            headMilliseconds: milliseconds,
-            waitingMilliseconds: expectedMilliseconds - readingMilliseconds,
+            tokens: uncachedTokens,
+            fixedHeadMilliseconds: milliseconds,
+            waitingMilliseconds: expectedMilliseconds - prefillMilliseconds,
         });
-        const ratio = Math.min(mostRatio, milliseconds / Math.max(leastExpected, expectedMilliseconds));
+        const ratio = Math.min(maxRatio, milliseconds / Math.max(minExpectedMilliseconds, expectedMilliseconds));
         this.#waitRatio += ratioWeight * (ratio - this.#waitRatio);
     }
 
@@ -133,8 +133,8 @@
      * Notes a call that begins.
      * @param upstream - Identifier of the upstream.
      */
-    begin(upstream: string): void {
-        this.#getStatus(upstream).begin();
+    start(upstream: string): void {
+        this.#getStatus(upstream).start();
     }
 
     /**
@@ -142,9 +142,9 @@
      * @param upstream - The upstream.
      * @param load - The load.
      */
-    report(upstream: RegisteredUpstream, load: ReportedRequests): void {
-        const others = this.#getStatus(upstream.id).report(load, this.#clock.monotonic());
-        this.#getUsualLoad(upstream.pool).add(others, load.slots);
+    addLoadReport(upstream: RegisteredUpstream, load: ReportedRequests): void {
+        const others = this.#getStatus(upstream.id).addLoadReport(load, this.#clock.monotonic());
+        this.#getAverageLoad(upstream.pool).add(others, load.slots);
     }
 
     /**
@@ -161,7 +161,7 @@
             return;
         }
         const ejected = pool.filter(other => this.#getStatus(other.id).isEjected(now)).length;
-        if ((ejected + 1) / Math.max(1, pool.length) <= mostEjectedShare) {
+        if ((ejected + 1) / Math.max(1, pool.length) <= maxEjectedShare) {
             this.#onEject(upstream.id, status.eject(now));
         }
     }
@@ -185,22 +185,22 @@
         return status;
     }
 
-    #getUsualLoad(pool: string): UsualLoad {
-        let load = this.#usualLoads.get(pool);
+    #getAverageLoad(pool: string): AverageLoad {
+        let load = this.#averageLoads.get(pool);
         if (load === undefined) {
-            load = new UsualLoad();
-            this.#usualLoads.set(pool, load);
+            load = new AverageLoad();
+            this.#averageLoads.set(pool, load);
         }
         return load;
     }
 
     /** Returns the requests that are expected at an upstream, of all nodes. */
-    #getRequests({ id, pool, slots }: RegisteredUpstream, now: number): number {
-        return this.#getStatus(id).getRequests(now, this.#getUsualLoad(pool).getOthers(slots));
+    #getExpectedRequests({ id, pool, slots }: RegisteredUpstream, now: number): number {
+        return this.#getStatus(id).getExpectedRequests(now, this.#getAverageLoad(pool).getOtherRequests(slots));
     }
 
     #getLoad(upstream: RegisteredUpstream, now: number): number {
-        return this.#getRequests(upstream, now) / upstream.slots;
+        return this.#getExpectedRequests(upstream, now) / upstream.slots;
     }
 
     /** Failure rate of the pool's other upstreams: faults that all of them have are the pool's, not one upstream's. */
@@ -213,54 +213,62 @@
         return others.length === 0 ? 1 : sum / others.length;
     }
 
-    #createPick(upstream: RegisteredUpstream | undefined, reason: Pick["reason"], now: number): Pick | undefined {
+    #createPick(
+        upstream: RegisteredUpstream | undefined,
+        reason: UpstreamPick["reason"],
+        now: number,
+    ): UpstreamPick | undefined {
         return upstream && {
             upstream,
             reason,
             load: this.#getLoad(upstream, now),
             expectedMilliseconds: 0,
-            readingMilliseconds: 0,
-            unreadTokens: 0,
+            prefillMilliseconds: 0,
+            uncachedTokens: 0,
         };
     }
 
     /** Weighs what is read already against what waits: a shared part saves its reading, a crowded runner costs more. */
-    #findLeastWait(group: readonly RegisteredUpstream[], prompt: PromptLoad, now: number): Pick | undefined {
-        const holders = this.#holders.findFirstTwo(group, prompt.sharedKey);
-        const domainCost = domainMilliseconds + domainMillisecondsByKilobyte * prompt.bytes / 1_024;
-        let best: Pick | undefined;
+    #findLeastWait(
+        candidates: readonly RegisteredUpstream[],
+        prompt: PromptDescription,
+        now: number,
+    ): UpstreamPick | undefined {
+        const holders = this.#holders.findTwoHolders(candidates, prompt.sharedKey);
+        const domainCost = crossDomainMilliseconds + crossDomainMillisecondsPerKilobyte * prompt.bytes / 1_024;
+        let best: UpstreamPick | undefined;
         let bestCost = Number.POSITIVE_INFINITY;
-        for (const upstream of this.#groups.selectOwn(group, holders)) {
+        for (const upstream of this.#groups.selectCandidates(candidates, holders)) {
             const status = this.#getStatus(upstream.id);
-            const cached = likelyCached[holders.indexOf(upstream.id)] ?? 0;
-            const unreadTokens = prompt.tokens - cached * prompt.sharedTokens;
-            const readingMilliseconds = this.#paces.getMilliseconds(prompt.model, unreadTokens);
+            const hitProbability = cacheHitProbabilities[holders.indexOf(upstream.id)] ?? 0;
+            const uncachedTokens = prompt.tokens - hitProbability * prompt.sharedTokens;
+            const prefillMilliseconds = this.#prefillRates.getPrefillMilliseconds(prompt.model, uncachedTokens);
             const noise = 1 + loadNoise * (2 * this.#random.next() - 1);
-            const requests = this.#getRequests(upstream, now) * noise;
-            const waiting = requests * delayMillisecondsByRequest + status.getReading();
+            const requests = this.#getExpectedRequests(upstream, now) * noise;
+            const waiting = requests * delayMillisecondsPerRequest + status.getPendingPrefillMilliseconds();
             const isFull = requests >= upstream.slots;
-            const distance = upstream.failureDomain === this.#failureDomain ? 0 : domainCost;
-            const cost = waiting * (isFull ? 2 : 1) + readingMilliseconds + distance;
+            const domainPenalty = upstream.failureDomain === this.#failureDomain ? 0 : domainCost;
+            const cost = waiting * (isFull ? 2 : 1) + prefillMilliseconds + domainPenalty;
             if (cost < bestCost) {
                 bestCost = cost;
-                const expectedMilliseconds = waiting + readingMilliseconds;
+                const expectedMilliseconds = waiting + prefillMilliseconds;
                 const load = requests / upstream.slots;
-                const times = { expectedMilliseconds, readingMilliseconds, unreadTokens };
+                const times = { expectedMilliseconds, prefillMilliseconds, uncachedTokens };
                 best = { upstream, reason: "least-wait", load, ...times };
             }
         }
         return best;
     }
 
-    #findRoomy(group: readonly RegisteredUpstream[], now: number): RegisteredUpstream | undefined {
-        const least = this.#findLeastLoaded(group, now);
-        return least !== undefined && this.#getLoad(least, now) < fullShare ? least : undefined;
+    #findWithFreeCapacity(candidates: readonly RegisteredUpstream[], now: number): RegisteredUpstream | undefined {
+        const leastLoaded = this.#findLeastLoaded(candidates, now);
+        return leastLoaded !== undefined && this.#getLoad(leastLoaded, now) < fullLoadShare ? leastLoaded : undefined;
     }
 
-    #findLeastLoaded(group: readonly RegisteredUpstream[], now: number): RegisteredUpstream | undefined {
+    #findLeastLoaded(candidates: readonly RegisteredUpstream[], now: number): RegisteredUpstream | undefined {
         let best: RegisteredUpstream | undefined;
         let bestLoad = Number.POSITIVE_INFINITY;
-        for (const upstream of group) {
+        for (const upstream of candidates) {
             // A tie is broken at random, or every node would send its first request to the same upstream.
             const load = this.#getLoad(upstream, now) + this.#random.next() * 0.01;
             if (load < bestLoad) {
@@ -273,9 +281,9 @@
 }
 
 /** Leaves some upstreams out; returns the same list where there are none, since what is worked out for a list is kept. */
-function leaveOut(
+function exclude(
     upstreams: readonly RegisteredUpstream[],
-    isLeftOut: (upstream: RegisteredUpstream) => boolean,
+    isExcluded: (upstream: RegisteredUpstream) => boolean,
 ): readonly RegisteredUpstream[] {
-    return upstreams.some(isLeftOut) ? upstreams.filter(upstream => !isLeftOut(upstream)) : upstreams;
+    return upstreams.some(isExcluded) ? upstreams.filter(upstream => !isExcluded(upstream)) : upstreams;
 }
--- a/src/decisions/dispatch/upstreamStatus.ts
+++ b/src/decisions/dispatch/upstreamStatus.ts
@@ -14,11 +14,11 @@
 /** Weight of the newest outcome in the failure rate: about the last eight count. */
 const outcomeWeight = 0.12;
 /** Outcomes before the rate says anything. */
-const leastOutcomes = 4;
-const firstEjectionMilliseconds = 1_000;
-const longestEjectionMilliseconds = 8_000;
+const minOutcomes = 4;
+const initialEjectionMilliseconds = 1_000;
+const maxEjectionMilliseconds = 8_000;
 /** Failures in a row, with no answer of any kind, after which an upstream is taken to be away. */
-const mostSilentFailures = 2;
+const maxUnresponsiveFailures = 2;
 
 /**
  * How a call to an upstream ended, for what is learned of it.
@@ -30,19 +30,19 @@
 export type CallOutcome = "ok" | "error" | "failed" | "silent" | "refused" | "cancelled";
 
 /** A silent call at an upstream that was heard otherwise within this time failed by itself, in milliseconds. */
-const heardMilliseconds = 800;
+const recentlySeenMilliseconds = 800;
 
 /** Learns one upstream. */
 export class UpstreamStatus {
     #inFlight = 0;
-    #readingMilliseconds = 0;
-    #heardAt = Number.NEGATIVE_INFINITY;
+    #pendingPrefillMilliseconds = 0;
+    #lastSeenAt = Number.NEGATIVE_INFINITY;
     /** Requests of other nodes, by the last report. */
-    #others = 0;
+    #otherRequests = 0;
     #reportedAt = Number.NEGATIVE_INFINITY;
     #failureRate = 0;
     #outcomes = 0;
-    #silentFailures = 0;
+    #unresponsiveFailures = 0;
     #ejections = 0;
     #ejectedUntil = Number.NEGATIVE_INFINITY;
 
@@ -56,16 +56,16 @@
      * of which nothing new is known is as crowded as its pool usually is. Taken for empty, it would get the next request of every node
      * that has not heard of it lately: in a large fleet that is nearly all of them, and crowded upstreams get still more.
      * @param now - Monotonic milliseconds.
-     * @param usualOthers - Requests of other nodes that an upstream of the pool usually has.
+     * @param averageOthers - Requests of other nodes that an upstream of the pool usually has.
      */
-    getRequests(now: number, usualOthers: number): number {
-        const share = 0.5 ** ((now - this.#reportedAt) / loadHalfLifeMilliseconds);
-        return this.#inFlight + usualOthers + (this.#others - usualOthers) * share;
+    getExpectedRequests(now: number, averageOthers: number): number {
+        const reportWeight = 0.5 ** ((now - this.#reportedAt) / loadHalfLifeMilliseconds);
+        return this.#inFlight + averageOthers + (this.#otherRequests - averageOthers) * reportWeight;
     }
 
     /** Returns the smoothed share of calls that failed. */
     getFailureRate(): number {
-        return this.#outcomes < leastOutcomes ? 0 : this.#failureRate;
+        return this.#outcomes < minOutcomes ? 0 : this.#failureRate;
     }
 
     /**
@@ -77,12 +77,12 @@
     }
 
     /** Returns the time that the prompts of this node take to be read there that have no answer yet, in milliseconds. */
-    getReading(): number {
-        return this.#readingMilliseconds;
+    getPendingPrefillMilliseconds(): number {
+        return this.#pendingPrefillMilliseconds;
     }
 
     /** Notes a call that begins. */
-    begin(): void {
+    start(): void {
         this.#inFlight += 1;
     }
 
@@ -90,23 +90,23 @@
      * Notes that a prompt waits to be read, or no longer does.
      * @param milliseconds - Time that reading it takes; negative when it has been read.
      */
-    addReading(milliseconds: number): void {
-        this.#readingMilliseconds = Math.max(0, this.#readingMilliseconds + milliseconds);
+    addPendingPrefill(milliseconds: number): void {
+        this.#pendingPrefillMilliseconds = Math.max(0, this.#pendingPrefillMilliseconds + milliseconds);
     }
 
     /** Notes that something came from the upstream. */
-    markHeard(now: number): void {
-        this.#heardAt = now;
+    markSeen(now: number): void {
+        this.#lastSeenAt = now;
     }
 
     /**
      * Notes the load that came with an answer.
      * @returns The requests of other nodes among it.
      */
-    report(load: ReportedRequests, now: number): number {
-        this.#others = Math.max(0, load.requests - this.#inFlight);
+    addLoadReport(load: ReportedRequests, now: number): number {
+        this.#otherRequests = Math.max(0, load.requests - this.#inFlight);
         this.#reportedAt = now;
-        return this.#others;
+        return this.#otherRequests;
     }
 
     /**
@@ -122,8 +122,8 @@
         this.#outcomes += 1;
         const failed = outcome === "ok" ? 0 : 1;
         this.#failureRate += outcomeWeight * (failed - this.#failureRate);
-        const isHeard = now - this.#heardAt < heardMilliseconds;
-        this.#silentFailures = outcome === "silent" && !isHeard ? this.#silentFailures + 1 : 0;
+        const isRecentlySeen = now - this.#lastSeenAt < recentlySeenMilliseconds;
+        this.#unresponsiveFailures = outcome === "silent" && !isRecentlySeen ? this.#unresponsiveFailures + 1 : 0;
         if (outcome === "ok" && this.#failureRate < outcomeWeight) {
             this.#ejections = 0;
         }
@@ -134,7 +134,7 @@
      * @param poolFailureRate - Failure rate over the whole pool.
      */
     isOutlier(poolFailureRate: number): boolean {
-        return this.#silentFailures >= mostSilentFailures || this.getFailureRate() > poolFailureRate + 0.25;
+        return this.#unresponsiveFailures >= maxUnresponsiveFailures || this.getFailureRate() > poolFailureRate + 0.25;
     }
 
     /**
@@ -143,11 +143,11 @@
      * @returns For how long, in milliseconds.
      */
     eject(now: number): number {
-        const milliseconds = Math.min(longestEjectionMilliseconds, firstEjectionMilliseconds * 2 ** this.#ejections);
+        const milliseconds = Math.min(maxEjectionMilliseconds, initialEjectionMilliseconds * 2 ** this.#ejections);
         this.#ejections += 1;
         this.#ejectedUntil = now + milliseconds;
         // One more failure after its return ejects it again; one success and it is given more.
-        this.#silentFailures = Math.min(this.#silentFailures, mostSilentFailures - 1);
+        this.#unresponsiveFailures = Math.min(this.#unresponsiveFailures, maxUnresponsiveFailures - 1);
         this.#failureRate /= 2;
         return milliseconds;
     }
--- a/src/decisions/exposure/confirmation.ts
+++ b/src/decisions/exposure/confirmation.ts
@@ -14,12 +14,12 @@
 /** How much lower the candidate's share may be, as a part of the baseline's, and still count as good. */
 const shareMargin = 0.01;
 /** Standard errors by which the baseline's share is lowered, since it is itself an estimate. */
-const referenceErrors = 1;
+const referenceStandardErrors = 1;
 /** Answers of the baseline below which nothing is judged. */
-const minimumReferenceAnswers = 100;
+const minReferenceAnswers = 100;
 /** Sizes of bets, as parts of the greatest bet that can't lose more than the capital. */
-const betParts: readonly number[] = [0.08, 0.25, 0.6];
-const maximumLog = 600;
+const betFractions: readonly number[] = [0.08, 0.25, 0.6];
+const maxLog = 600;
 
 /** Answers of a class about which all is known that will be. */
 export interface ConfirmationInput {
@@ -28,7 +28,7 @@
     readonly baseline: readonly Bucket[];
 }
 
-interface Answers {
+interface AnswerCounts {
     answered: number;
     confirmed: number;
 }
@@ -39,43 +39,44 @@
  * @returns The capital that the bets have reached. It starts at 1, and is expected not to grow for a good candidate.
  */
 export function getConfirmationCapital(classes: readonly ConfirmationInput[]): number {
-    const logs = betParts.map(() => 0);
+    const logs = betFractions.map(() => 0);
     for (const { candidate, baseline } of classes) {
-        addClass(logs, candidate, baseline);
+        addClassBets(logs, candidate, baseline);
     }
     let sum = 0;
     for (const log of logs) {
-        sum += Math.exp(Math.min(maximumLog, log));
+        sum += Math.exp(Math.min(maxLog, log));
     }
     return sum / logs.length;
 }
 
-function addClass(logs: number[], candidate: readonly Bucket[], baseline: readonly Bucket[]): void {
+function addClassBets(logs: number[], candidate: readonly Bucket[], baseline: readonly Bucket[]): void {
     const reference = collectSlots(baseline);
     const shares: { share: number; confirmed: number; unconfirmed: number; }[] = [];
     const used = new Set<number>();
     for (const bucket of candidate) {
         const { answered, confirmed } = countAnswers(bucket.tally);
-        const share = getShare(reference, bucket, used);
+        const share = getConfirmedShare(reference, bucket, used);
         if (share !== undefined) {
             shares.push({ share, confirmed, unconfirmed: Math.max(0, answered - confirmed) });
         }
     }
-    const errors = referenceErrors * getError(reference, used);
+    const shareReduction = referenceStandardErrors * getStandardError(reference, used);
     for (const { share, confirmed, unconfirmed } of shares) {
-        const least = share * (1 - shareMargin) - errors;
-        if (least <= 0) {
+        const nullShare = share * (1 - shareMargin) - shareReduction;
+        if (nullShare <= 0) {
             continue;
         }
-        for (const [index, part] of betParts.entries()) {
-            logs[index] += confirmed * Math.log(1 - part) + unconfirmed * Math.log(1 + part * least / (1 - least));
+        for (const [index, fraction] of betFractions.entries()) {
+            logs[index] += confirmed * Math.log(1 - fraction)
+                + unconfirmed * Math.log(1 + fraction * nullShare / (1 - nullShare));
         }
     }
 }
 
 /** Counts answers in slots of time. A coarse bucket is spread evenly over the slots that it covers. */
-function collectSlots(buckets: readonly Bucket[]): ReadonlyMap<number, Answers> {
-    const slots = new Map<number, Answers>();
+function collectSlots(buckets: readonly Bucket[]): ReadonlyMap<number, AnswerCounts> {
+    const slots = new Map<number, AnswerCounts>();
     for (const bucket of buckets) {
         const { answered, confirmed } = countAnswers(bucket.tally);
         const covered = getSlots(bucket);
@@ -95,7 +96,11 @@
 }
 
 /** Gets the baseline's share of confirmed answers in the time of a bucket, or `undefined` if it gave none. */
-function getShare(reference: ReadonlyMap<number, Answers>, bucket: Bucket, used: Set<number>): number | undefined {
+function getConfirmedShare(
+    reference: ReadonlyMap<number, AnswerCounts>,
+    bucket: Bucket,
+    used: Set<number>,
+): number | undefined {
     let answered = 0;
     let confirmed = 0;
     for (const slot of getSlots(bucket)) {
@@ -110,20 +115,20 @@
 }
 
 /** Gets the standard error of the baseline's share over the slots that were used. */
-function getError(reference: ReadonlyMap<number, Answers>, used: ReadonlySet<number>): number {
+function getStandardError(reference: ReadonlyMap<number, AnswerCounts>, used: ReadonlySet<number>): number {
     let answered = 0;
     let confirmed = 0;
     for (const slot of used) {
         answered += reference.get(slot)!.answered;
         confirmed += reference.get(slot)!.confirmed;
     }
-    if (answered < minimumReferenceAnswers) {
+    if (answered < minReferenceAnswers) {
         return Infinity;
     }
     const share = Math.min(1, confirmed / answered);
     return Math.sqrt(share * (1 - share) / answered);
 }
 
-function countAnswers(tally: Tally): Readonly<Answers> {
+function countAnswers(tally: Tally): Readonly<AnswerCounts> {
     return { answered: tally.answers - tally.failed, confirmed: tally.ratings - countBadRatings(tally) };
 }
--- a/src/decisions/exposure/exposures.ts
+++ b/src/decisions/exposure/exposures.ts
@@ -28,7 +28,7 @@
     }
 
     /** Gets how many callers a node exposed, as far as is known here. */
-    getOf(origin: string, rollout: string): number {
+    getForNode(origin: string, rollout: string): number {
         return this.#others.get(origin)?.callers[rollout] ?? 0;
     }
 
--- a/src/decisions/exposure/grants.ts
+++ b/src/decisions/exposure/grants.ts
@@ -14,17 +14,17 @@
     /** Callers that may be exposed in the whole system. */
     readonly budget: number;
     /** Exposed callers about whom all is known that will be. */
-    readonly settled: number;
+    readonly evaluatedCallers: number;
     /** Callers that may be exposed before the first one is judged. */
     readonly firstCallers: number;
     /** For each judged caller, so many more may be exposed and not judged. */
-    readonly unjudgedPerJudged: number;
+    readonly pendingPerEvaluated: number;
     /** Gets how many callers an entry has exposed. */
     readonly getSpent: (entry: string) => number;
 }
 
 /** A new split is worth a record if it adds this part of what may be waiting. */
-const worthwhilePart = 0.25;
+const minGrantShare = 0.25;
 
 /**
  * Plans the next grants.
@@ -32,43 +32,45 @@
  */
 export function planGrants(input: GrantInput): Readonly<Record<string, number>> | undefined {
     const granted = sumValues(input.grants);
-    const waiting = Math.max(input.firstCallers, input.unjudgedPerJudged * input.settled);
-    const wanted = Math.floor(input.settled + waiting + countLost(input));
-    const added = Math.min(input.budget, wanted) - granted;
-    if (input.entries.length === 0 || added < Math.max(1, Math.min(input.budget - granted, worthwhilePart * waiting))) {
+    const maxPending = Math.max(input.firstCallers, input.pendingPerEvaluated * input.evaluatedCallers);
+    const target = Math.floor(input.evaluatedCallers + maxPending + countUnusedOfDeparted(input));
+    const added = Math.min(input.budget, target) - granted;
+    if (
+        input.entries.length === 0 || added < Math.max(1, Math.min(input.budget - granted, minGrantShare * maxPending))
+    ) {
         return undefined;
     }
     const grants = { ...input.grants };
     for (let count = 0; count < added; count += 1) {
-        const entry = getNeediest(input, grants);
+        const entry = getEntryWithFewestLeft(input, grants);
         grants[entry] = (grants[entry] ?? 0) + 1;
     }
     return grants;
 }
 
 /** Counts what was granted to entries that have gone; it stays within the budget, but nobody waits for it. */
-function countLost(input: GrantInput): number {
-    let lost = 0;
+function countUnusedOfDeparted(input: GrantInput): number {
+    let unused = 0;
     for (const [entry, granted] of Object.entries(input.grants)) {
         if (!input.entries.includes(entry)) {
-            lost += Math.max(0, granted - input.getSpent(entry));
+            unused += Math.max(0, granted - input.getSpent(entry));
         }
     }
-    return lost;
+    return unused;
 }
 
 /** Gets the entry with the least left to spend. */
-function getNeediest(input: GrantInput, grants: Readonly<Record<string, number>>): string {
-    let neediest = input.entries[0];
-    let least = Infinity;
+function getEntryWithFewestLeft(input: GrantInput, grants: Readonly<Record<string, number>>): string {
+    let selected = input.entries[0];
+    let minLeft = Infinity;
     for (const entry of input.entries) {
         const left = (grants[entry] ?? 0) - input.getSpent(entry);
-        if (left < least) {
-            least = left;
-            neediest = entry;
+        if (left < minLeft) {
+            minLeft = left;
+            selected = entry;
         }
     }
-    return neediest;
+    return selected;
 }
 
 function sumValues(values: Readonly<Record<string, number>>): number {
--- a/src/decisions/exposure/metric.ts
+++ b/src/decisions/exposure/metric.ts
@@ -27,12 +27,12 @@
 const binaryValues = [0, 1];
 
 /** Scores up to this bin are bad answers. */
-const badBin = scoreSteps / 2;
+const maxBadBin = scoreSteps / 2;
 
 /** Counts the ratings of a tally that call an answer bad. */
 export function countBadRatings(tally: Tally): number {
     let count = 0;
-    for (let bin = 0; bin <= badBin; bin += 1) {
+    for (let bin = 0; bin <= maxBadBin; bin += 1) {
         count += tally.getBin(bin);
     }
     return count;
@@ -44,7 +44,7 @@
  * The margin for bad answers, as a part of that for the mean rating. A single bad answer can do harm that no number of
  * good ones makes up for, so less of them is taken as still as good.
  */
-const badMarginPart = 0.2;
+const badRatingMarginShare = 0.2;
 
 /**
  * Makes the metrics by which a version is judged.
@@ -56,7 +56,7 @@
             // A version that answers well as a rule and badly now and then shows here much sooner than in its mean.
             name: "bad ratings",
             weight: 0.5,
-            margin: badMarginPart * qualityMargin,
+            margin: badRatingMarginShare * qualityMargin,
             values: binaryValues,
             count: tally => {
                 const bad = countBadRatings(tally);
@@ -91,7 +91,7 @@
 export interface Reference {
     readonly count: number;
     readonly mean: number;
-    readonly error: number;
+    readonly standardError: number;
 }
 
 /** Variance of one observation that is assumed before any was seen, and how many observations that weighs. */
@@ -110,11 +110,11 @@
         squares += counts[index] * value * value;
     }
     if (count <= 0) {
-        return { count: 0, mean: 0, error: Infinity };
+        return { count: 0, mean: 0, standardError: Infinity };
     }
-    const spread = Math.max(0, squares - sum * sum / count);
-    const variance = (spread + priorWeight * priorVariance) / (count + priorWeight);
+    const squaredDeviations = Math.max(0, squares - sum * sum / count);
+    const variance = (squaredDeviations + priorWeight * priorVariance) / (count + priorWeight);
     // One worst observation is added: a short reference without a single bad answer would otherwise promise that there are
     // none, and the first bad answers of a good version would halt it.
-    return { count, mean: sum / (count + 1), error: Math.sqrt(variance / count) };
+    return { count, mean: sum / (count + 1), standardError: Math.sqrt(variance / count) };
 }
--- a/src/decisions/exposure/rolloutJudge.ts
+++ b/src/decisions/exposure/rolloutEvaluator.ts
@@ -16,41 +16,41 @@
 import { SequentialTest, type Stratum, type TestResult } from "./sequentialTest.js";
 
 /** What should happen next. */
-export type Verdict =
+export type RolloutEvaluation =
     | { readonly action: "wait"; readonly reason: string; readonly strength: number; }
     | { readonly action: "halt"; readonly version: string; readonly reason: string; readonly strength: number; }
     | { readonly action: "advance"; readonly stage: number; readonly reason: string; }
     | { readonly action: "finish"; readonly reason: string; }
     | { readonly action: "grant"; readonly grants: Readonly<Record<string, number>>; readonly reason: string; };
 
-const referenceMilliseconds = 5000;
+const referenceRefreshMilliseconds = 5000;
 /** Starts of a change that share the part of the capital that isn't bet on the first one. */
-const changeStarts = 200;
+const changePointCount = 200;
 /** The part that is bet on the candidate having been bad from the start. */
-const firstStartPart = 0.6;
+const initialChangeWeight = 0.6;
 /** For each judged caller, so many may be waiting for judgement. */
-const unjudgedPerJudged = 1;
+const pendingPerEvaluated = 1;
 /** Strength of evidence against the candidate at which callers are let through only a handful at a time. */
 const suspiciousStrength = 0.2;
 /** Part of the baseline's share of rated answers that the candidate must reach for its exposure to grow. */
-const neededCoverage = 0.5;
-const matureAnswersNeeded = 10;
+const minCoverage = 0.5;
+const minMatureAnswers = 10;
 /** Part of the capital that is bet on missing ratings. */
-const confirmationPart = 0.15;
+const confirmationWeight = 0.15;
 /**
  * Capital of the bets on missing ratings from which on few callers are let through at a time. Waiting is cheap and is
  * taken back by itself, so it needs far less than a halt.
  */
 const unconfirmedCapital = 2;
 /** Callers that may be unjudged then, in the whole system. */
-const unconfirmedCallers = 3;
+const maxUnconfirmedCallers = 3;
 /** Epochs between two moments at which a settled version is supposed to have changed. */
-const settledStartStep = 5;
+const stableChangePointStep = 5;
 /** Part of the evidence needed to hold a version back, below which it is held back no longer. */
-const releasedStrength = 0.25;
+const releaseStrength = 0.25;
 
 /** Options of `RolloutJudge`. */
-export interface RolloutJudgeOptions {
+export interface RolloutEvaluatorOptions {
     readonly fold: RolloutFold;
     readonly evidence: Evidence;
     readonly exposures: Exposures;
@@ -69,11 +69,11 @@
     readonly self: string;
     readonly strata: readonly Stratum[];
     readonly strength: number;
-    readonly confirmation: number;
+    readonly confirmationCapital: number;
 }
 
 /** Judges roll-outs and settled versions. */
-export class RolloutJudge {
+export class RolloutEvaluator {
     readonly #fold: RolloutFold;
     readonly #evidence: Evidence;
     readonly #exposures: Exposures;
@@ -82,7 +82,7 @@
     readonly #held = new Set<string>();
     readonly #references = new Map<string, { readonly formedAt: number; readonly tally: Tally; }>();
 
-    constructor(options: RolloutJudgeOptions) {
+    constructor(options: RolloutEvaluatorOptions) {
         this.#fold = options.fold;
         this.#evidence = options.evidence;
         this.#exposures = options.exposures;
@@ -96,7 +96,7 @@
      * @param entries - Names of the entries that take callers now; grants are split over them.
      * @param self - Name of this entry.
      */
-    judge(id: string, entries: readonly string[], self: string): Verdict {
+    evaluate(id: string, entries: readonly string[], self: string): RolloutEvaluation {
         const rollout = this.#fold.getRollout(id);
         if (rollout?.state !== "active" || this.#fold.isHalted(rollout.candidate)) {
             return { action: "wait", reason: "The roll-out isn't active.", strength: 0 };
@@ -104,32 +104,40 @@
         const strata = this.#getRolloutStrata(rollout);
         const policy = this.#getPolicy(rollout.model);
         const result = createRolloutTest(policy).evaluate(strata);
-        const confirmation = getConfirmationCapital(this.#getConfirmations(rollout, strata, policy));
-        const missing = confirmationPart * confirmation * policy.falseHaltProbability;
-        const strength = (1 - confirmationPart) * result.strength + missing;
+        const confirmationCapital = getConfirmationCapital(this.#getConfirmations(rollout, strata, policy));
+        const missingRatingStrength = confirmationWeight * confirmationCapital * policy.falseHaltProbability;
+        const strength = (1 - confirmationWeight) * result.strength + missingRatingStrength;
         if (strength >= 1) {
             const { candidate: version, baseline } = rollout;
-            const reason = missing >= strength / 2
+            const reason = missingRatingStrength >= strength / 2
                 ? `Fewer of its answers are rated good than of those of ${baseline} at the same time.`
-                : describe(result, baseline);
+                : describeFinding(result, baseline);
             return { action: "halt", version, reason, strength };
         }
-        return this.#judgeProgress({ rollout, policy, entries, self, strata, strength, confirmation });
+        return this.#evaluateProgress({ rollout, policy, entries, self, strata, strength, confirmationCapital });
     }
 
     /**
      * Judges a version that is fully rolled out against its own past.
      * @param version - The version.
      */
-    judgeSettled(version: string): Verdict {
+    evaluateStable(version: string): RolloutEvaluation {
         const policy = this.#getPolicy(getModel(version));
         const isGuarded = this.#isGuarded(version, policy);
-        const falseHalts = isGuarded ? policy.guardFalseHaltMilliseconds : policy.falseHaltMilliseconds;
-        const test = createSettledTest(policy, falseHalts, this.#evidence.epochMilliseconds);
-        const result = test.evaluate(this.#getSettledStrata(version, policy));
-        this.#holdBack(version, isGuarded ? result.strength * falseHalts / policy.falseHoldMilliseconds : 0);
+        const falseHaltMilliseconds = isGuarded ? policy.guardFalseHaltMilliseconds : policy.falseHaltMilliseconds;
+        const test = createStableTest(policy, falseHaltMilliseconds, this.#evidence.epochMilliseconds);
+        const result = test.evaluate(this.#getStableStrata(version, policy));
+        this.#updateHeld(
+            version,
+            isGuarded ? result.strength * falseHaltMilliseconds / policy.falseHoldMilliseconds : 0,
+        );
         if (result.bad) {
-            return { action: "halt", version, reason: describe(result, "its own past"), strength: result.strength };
+            return {
+                action: "halt",
+                version,
+                reason: describeFinding(result, "its own past"),
+                strength: result.strength,
+            };
         }
         const reason = this.isHeld(version) ? "It looks worse than its own past." : "The version is as it was.";
         return { action: "wait", reason, strength: result.strength };
@@ -145,16 +153,26 @@
 
     /**
      * Gets the record that the holder of the lease should append for a verdict, or `undefined`.
-     * @param fence - The fence of the lease.
+     * @param fencingToken - The fence of the lease.
      */
-    getRecord(rollout: string, verdict: Verdict, fence: number): { kind: string; body: unknown; } | undefined {
-        switch (verdict.action) {
+    getRecord(
+        rollout: string,
+        evaluation: RolloutEvaluation,
+        fencingToken: number,
+    ): { kind: string; body: unknown; } | undefined {
+        switch (evaluation.action) {
             case "advance":
-                return { kind: rolloutRecordKinds.advance, body: { rollout, stage: verdict.stage, fence } };
+                return {
+                    kind: rolloutRecordKinds.advance,
+                    body: { rollout, stage: evaluation.stage, fence: fencingToken },
+                };
             case "finish":
-                return { kind: rolloutRecordKinds.finish, body: { rollout, fence } };
+                return { kind: rolloutRecordKinds.finish, body: { rollout, fence: fencingToken } };
             case "grant":
-                return { kind: rolloutRecordKinds.grant, body: { rollout, grants: verdict.grants, fence } };
+                return {
+                    kind: rolloutRecordKinds.grant,
+                    body: { rollout, grants: evaluation.grants, fence: fencingToken },
+                };
             default:
                 return undefined;
         }
@@ -166,30 +184,31 @@
         return finishedAt !== undefined && this.#clock.wall() - finishedAt < policy.guardMilliseconds;
     }
 
-    #holdBack(version: string, strength: number): void {
+    #updateHeld(version: string, strength: number): void {
         if (strength >= 1) {
             this.#held.add(version);
         }
-        else if (strength < releasedStrength) {
+        else if (strength < releaseStrength) {
             this.#held.delete(version);
         }
     }
 
-    #judgeProgress(input: ProgressInput): Verdict {
-        const { rollout, policy, entries, self, strata, strength, confirmation } = input;
-        const seen = this.#countCandidate(strata, policy);
-        if (!seen.ratingsArrive) {
+    #evaluateProgress(input: ProgressInput): RolloutEvaluation {
+        const { rollout, policy, entries, self, strata, strength, confirmationCapital } = input;
+        const candidateCounts = this.#countCandidate(strata, policy);
+        if (!candidateCounts.hasRatings) {
             return { action: "wait", reason: "Ratings of the candidate are missing.", strength };
         }
         const budget = rollout.budgets[rollout.stage];
         const exposed = this.#exposures.getTotal(rollout.id);
-        const spent = budget !== undefined && exposed >= 0.9 * budget && seen.settled >= 0.8 * budget;
-        const longEnough = this.#clock.wall() - rollout.stageSince >= policy.stageMilliseconds;
-        const neededRatings = policy.stageRatings * (rollout.stage + 1);
-        const unconfirmed = confirmation >= unconfirmedCapital;
-        const suspicious = unconfirmed || strength >= suspiciousStrength;
-        if (!suspicious && longEnough && (spent || seen.ratings >= neededRatings)) {
-            const reason = spent ? "The budget is spent without a finding." : "The ratings suffice.";
+        const isBudgetSpent = budget !== undefined && exposed >= 0.9 * budget
+            && candidateCounts.evaluated >= 0.8 * budget;
+        const isStageLongEnough = this.#clock.wall() - rollout.stageSince >= policy.stageMilliseconds;
+        const requiredRatings = policy.stageRatings * (rollout.stage + 1);
+        const isUnconfirmed = confirmationCapital >= unconfirmedCapital;
+        const isSuspicious = isUnconfirmed || strength >= suspiciousStrength;
+        if (!isSuspicious && isStageLongEnough && (isBudgetSpent || candidateCounts.ratings >= requiredRatings)) {
+            const reason = isBudgetSpent ? "The budget is spent without a finding." : "The ratings suffice.";
             if (rollout.stage === rollout.stages.length - 1) {
                 return { action: "finish", reason };
             }
@@ -199,16 +218,16 @@
             grants: rollout.grants,
             entries,
             budget,
-            settled: Math.min(seen.settled, exposed),
-            firstCallers: unconfirmed ? unconfirmedCallers : policy.firstCallers,
-            unjudgedPerJudged: suspicious ? 0 : unjudgedPerJudged,
+            evaluatedCallers: Math.min(candidateCounts.evaluated, exposed),
+            firstCallers: isUnconfirmed ? maxUnconfirmedCallers : policy.firstCallers,
+            pendingPerEvaluated: isSuspicious ? 0 : pendingPerEvaluated,
             getSpent: entry =>
-                entry === self ? this.#exposures.getOwn(rollout.id) : this.#exposures.getOf(entry, rollout.id),
+                entry === self ? this.#exposures.getOwn(rollout.id) : this.#exposures.getForNode(entry, rollout.id),
         });
         if (grants !== undefined) {
             return { action: "grant", grants, reason: "Earlier callers are judged." };
         }
-        const reason = suspicious ? "The evidence against the candidate grows." : "More ratings are needed.";
+        const reason = isSuspicious ? "The evidence against the candidate grows." : "More ratings are needed.";
         return { action: "wait", reason, strength };
     }
 
@@ -217,7 +236,7 @@
         const mature = new Tally();
         const total = new Tally();
         const reference = new Tally();
-        const matureBefore = this.#evidence.getEpoch(this.#clock.wall() - policy.ratingWaitMilliseconds);
+        const matureBefore = this.#evidence.getEpoch(this.#clock.wall() - policy.ratingTimeoutMilliseconds);
         for (const stratum of strata) {
             reference.add(stratum.reference);
             for (const bucket of stratum.buckets) {
@@ -228,11 +247,11 @@
             }
         }
         const coverage = reference.answers === 0 ? 0 : reference.ratings / reference.answers;
-        const neededRatings = neededCoverage * coverage * mature.answers;
+        const requiredRatings = minCoverage * coverage * mature.answers;
         return {
             ratings: total.ratings,
-            settled: Math.max(total.ratings, mature.answers),
-            ratingsArrive: mature.answers < matureAnswersNeeded || mature.ratings >= neededRatings,
+            evaluated: Math.max(total.ratings, mature.answers),
+            hasRatings: mature.answers < minMatureAnswers || mature.ratings >= requiredRatings,
         };
     }
 
@@ -259,7 +278,7 @@
         policy: RolloutPolicy,
     ): readonly ConfirmationInput[] {
         const since = this.#evidence.getEpoch(rollout.startedAt);
-        const before = this.#evidence.getEpoch(this.#clock.wall() - policy.ratingWaitMilliseconds);
+        const before = this.#evidence.getEpoch(this.#clock.wall() - policy.ratingTimeoutMilliseconds);
         const isMature = ({ start, level }: Bucket): boolean => start >= since && start + 2 ** level <= before;
         return strata.map(({ requestClass, buckets }) => ({
             candidate: buckets.filter(isMature),
@@ -272,15 +291,15 @@
         const key = `${version}/${requestClass}`;
         const now = this.#clock.monotonic();
         const known = this.#references.get(key);
-        if (known !== undefined && now - known.formedAt < referenceMilliseconds) {
+        if (known !== undefined && now - known.formedAt < referenceRefreshMilliseconds) {
             return known.tally;
         }
-        const tally = this.#evidence.getRecent(version, requestClass);
+        const tally = this.#evidence.getDecayedTally(version, requestClass);
         this.#references.set(key, { formedAt: now, tally });
         return tally;
     }
 
-    #getSettledStrata(version: string, policy: RolloutPolicy): readonly Stratum[] {
+    #getStableStrata(version: string, policy: RolloutPolicy): readonly Stratum[] {
         const now = this.#evidence.getEpoch(this.#clock.wall());
         const liftedEpoch = this.#evidence.getEpoch(this.#fold.getLiftedAt(version) ?? 0);
         const window = policy.changeWindowMilliseconds / this.#evidence.epochMilliseconds;
@@ -289,7 +308,7 @@
         for (const requestClass of this.#evidence.getClasses(version)) {
             const buckets = this.#evidence.getBuckets(version, requestClass);
             const recent = buckets.filter(({ start }) => start >= from);
-            const reference = addUp(buckets.filter(({ start }) => start < from && start >= liftedEpoch));
+            const reference = sumTallies(buckets.filter(({ start }) => start < from && start >= liftedEpoch));
             strata.push({ requestClass, buckets: recent, reference });
         }
         return strata;
@@ -299,27 +318,27 @@
 function createRolloutTest(policy: RolloutPolicy): SequentialTest {
     return new SequentialTest({
         threshold: 1 / policy.falseHaltProbability,
-        firstStartPart,
-        laterStartPart: (1 - firstStartPart) / changeStarts,
+        initialChangeWeight,
+        laterChangeWeight: (1 - initialChangeWeight) / changePointCount,
         metrics: createMetrics(policy.qualityMargin),
     });
 }
 
-function createSettledTest(
+function createStableTest(
     policy: RolloutPolicy,
     falseHaltMilliseconds: number,
     epochMilliseconds: number,
 ): SequentialTest {
     return new SequentialTest({
-        threshold: falseHaltMilliseconds / (settledStartStep * epochMilliseconds),
-        firstStartPart: 1,
-        laterStartPart: 1,
-        startStep: settledStartStep,
+        threshold: falseHaltMilliseconds / (stableChangePointStep * epochMilliseconds),
+        initialChangeWeight: 1,
+        laterChangeWeight: 1,
+        changePointStep: stableChangePointStep,
         metrics: createMetrics(policy.qualityMargin),
     });
 }
 
-function addUp(buckets: readonly Bucket[]): Tally {
+function sumTallies(buckets: readonly Bucket[]): Tally {
     const total = new Tally();
     for (const bucket of buckets) {
         total.add(bucket.tally);
@@ -327,7 +346,7 @@
     return total;
 }
 
-function describe(result: TestResult, reference: string): string {
+function describeFinding(result: TestResult, reference: string): string {
     const where = result.requestClass === undefined ? "over all classes" : `in class ${result.requestClass}`;
     return `It ${findings[result.metric]} than ${reference} ${where}.`;
 }
--- a/src/decisions/exposure/rolloutPolicy.ts
+++ b/src/decisions/exposure/rolloutPolicy.ts
@@ -21,7 +21,7 @@
     /** Expected time between two times within it at which a version as above is held back without need. */
     readonly falseHoldMilliseconds: number;
     /** How long a rating may take before it is taken to be missing. */
-    readonly ratingWaitMilliseconds: number;
+    readonly ratingTimeoutMilliseconds: number;
     /** Callers exposed before the first rating is in, in the whole system. */
     readonly firstCallers: number;
     /** Ratings needed before a stage is left, unless its budget is spent. */
@@ -40,7 +40,7 @@
     guardMilliseconds: 3_600_000,
     guardFalseHaltMilliseconds: 12 * 3_600_000,
     falseHoldMilliseconds: 300_000,
-    ratingWaitMilliseconds: 90_000,
+    ratingTimeoutMilliseconds: 90_000,
     firstCallers: 8,
     stageRatings: 60,
     stageMilliseconds: 60_000,
@@ -61,11 +61,11 @@
  */
 const boundPerFalseHaltRate = 10;
 /** At a bound of 1 the test would halt before it has seen an answer. */
-const greatestFalseHaltProbability = 0.5;
+const maxFalseHaltProbability = 0.5;
 /** The missed rate for which the default number of ratings is meant. */
 const defaultMissedRate = 0.01;
 /** With fewer ratings than this a stage says next to nothing. */
-const leastStageRatings = 20;
+const minStageRatings = 20;
 
 /**
  * Works out the policy for a model.
@@ -76,7 +76,7 @@
     return {
         ...defaultRolloutPolicy,
         qualityMargin: rules.qualityMargin,
-        falseHaltProbability: Math.min(greatestFalseHaltProbability, boundPerFalseHaltRate * rules.falseHaltRate),
+        falseHaltProbability: Math.min(maxFalseHaltProbability, boundPerFalseHaltRate * rules.falseHaltRate),
         stageRatings: getStageRatings(rules.missedRate),
         stageMilliseconds: rules.stageMinimumSeconds * 1000,
         ...changes,
@@ -86,5 +86,5 @@
 /** The chance that a bad version looks good falls exponentially with the number of its ratings. */
 function getStageRatings(missedRate: number): number {
     const ratings = defaultRolloutPolicy.stageRatings * Math.log(missedRate) / Math.log(defaultMissedRate);
-    return Math.max(leastStageRatings, Math.ceil(ratings));
+    return Math.max(minStageRatings, Math.ceil(ratings));
 }
--- a/src/decisions/exposure/rolloutRouter.ts
+++ b/src/decisions/exposure/rolloutRouter.ts
@@ -10,7 +10,7 @@
 import type { Exposures } from "./exposures.js";
 
 /** Callers remembered in each roll-out; beyond it the stage has no budget and the hash alone decides. */
-const rememberedCallers = 200_000;
+const maxTrackedCallers = 200_000;
 
 /** Options of `RolloutRouter`. */
 export interface RolloutRouterOptions {
@@ -64,7 +64,7 @@
      * @returns The candidate of the first active roll-out that exposes the caller, else the settled version;
      * `undefined` if the model was never rolled out or all its versions are halted.
      */
-    pickOfModel(choice: { readonly model: string; readonly caller: string; }): string | undefined {
+    pickForModel(choice: { readonly model: string; readonly caller: string; }): string | undefined {
         for (const rollout of this.#fold.getActiveRollouts(choice.model)) {
             if (this.#isExposed(rollout, choice.caller)) {
                 return rollout.candidate;
@@ -91,20 +91,20 @@
         if (rollout.state === "finished") {
             return point < heldShare || !this.#isHeld(rollout);
         }
-        return point < share && this.#spend(rollout, point);
+        return point < share && this.#tryExpose(rollout, point);
     }
 
     /** Checks whether a caller is exposed already or may be from now on. */
-    #spend(rollout: Rollout, point: number): boolean {
+    #tryExpose(rollout: Rollout, point: number): boolean {
         const callers = this.#getCallers(rollout.id);
         if (callers.has(point)) {
             return true;
         }
-        const bounded = rollout.budgets[rollout.stage] !== undefined;
-        if (bounded && this.#exposures.getOwn(rollout.id) >= (rollout.grants[this.#entry] ?? 0)) {
+        const hasBudget = rollout.budgets[rollout.stage] !== undefined;
+        if (hasBudget && this.#exposures.getOwn(rollout.id) >= (rollout.grants[this.#entry] ?? 0)) {
             return false;
         }
-        if (callers.size < rememberedCallers) {
+        if (callers.size < maxTrackedCallers) {
             callers.add(point);
             this.#exposures.add(rollout.id);
         }
--- a/src/decisions/exposure/sequentialTest.ts
+++ b/src/decisions/exposure/sequentialTest.ts
@@ -12,15 +12,15 @@
 import { createMetrics, getReference, type Metric, type MetricName } from "./metric.js";
 
 /** Sizes of bets, as parts of the greatest bet that can't lose more than the capital. */
-const betParts: readonly number[] = [0.08, 0.25, 0.6];
+const betFractions: readonly number[] = [0.08, 0.25, 0.6];
 /** Part of the capital of a metric that is bet on all classes together; the rest is split over single classes. */
-const pooledPart = 0.6;
+const pooledWeight = 0.6;
 /** Reference observations below which a class isn't judged. */
-const minimumReferenceCount = 100;
+const minReferenceCount = 100;
 /** Standard errors by which the reference is lowered, since it is itself an estimate. */
-const referenceErrors = 1.5;
+const referenceStandardErrors = 1.5;
 /** Keeps `Math.exp` finite. */
-const maximumLog = 600;
+const maxLog = 600;
 
 /** What is known of a version in one class. */
 export interface Stratum {
@@ -36,11 +36,11 @@
     /** Capital at which the version is judged bad. For a roll-out, one over the false alarm probability. */
     readonly threshold: number;
     /** Part of the capital that is bet on the version having been bad from the first epoch. */
-    readonly firstStartPart: number;
+    readonly initialChangeWeight: number;
     /** Part of the capital that is bet on each later epoch as the one at which it turned bad. */
-    readonly laterStartPart: number;
+    readonly laterChangeWeight: number;
     /** Later starts are multiples of so many epochs. */
-    readonly startStep?: number;
+    readonly changePointStep?: number;
     readonly metrics?: readonly Metric[];
 }
 
@@ -55,8 +55,8 @@
     readonly requestClass: string | undefined;
 }
 
-interface Series {
-    readonly stratum: number;
+interface StratumBucket {
+    readonly stratumIndex: number;
     readonly start: number;
     readonly tally: Tally;
 }
@@ -74,22 +74,22 @@
      * @param strata - The counts by class.
      */
     evaluate(strata: readonly Stratum[]): TestResult {
-        const series = collectSeries(strata);
+        const orderedBuckets = collectBuckets(strata);
         let total = 0;
-        let greatest = -1;
+        let maxContribution = -1;
         let metricName: MetricName = "bad ratings";
         let requestClass: string | undefined;
         for (const metric of this.#options.metrics ?? createMetrics()) {
-            const capital = this.#evaluateMetric(metric, strata, series);
-            const contributions = [pooledPart * capital.pooled];
+            const capital = this.#evaluateMetric(metric, strata, orderedBuckets);
+            const contributions = [pooledWeight * capital.pooled];
             for (const single of capital.single) {
-                contributions.push((1 - pooledPart) * single / capital.single.length);
+                contributions.push((1 - pooledWeight) * single / capital.single.length);
             }
             for (const [index, contribution] of contributions.entries()) {
                 const weighted = metric.weight * contribution;
                 total += weighted;
-                if (weighted > greatest) {
-                    greatest = weighted;
+                if (weighted > maxContribution) {
+                    maxContribution = weighted;
                     metricName = metric.name;
                     requestClass = index === 0 ? undefined : strata[index - 1].requestClass;
                 }
@@ -99,56 +99,56 @@
         return { bad: strength >= 1, strength, metric: metricName, requestClass };
     }
 
-    #evaluateMetric(metric: Metric, strata: readonly Stratum[], series: readonly Series[]) {
-        const tables = strata.map(stratum => createLogTable(metric, stratum.reference));
-        const logs = strata.map(() => betParts.map(() => 0));
-        const pooledLogs = betParts.map(() => 0);
+    #evaluateMetric(metric: Metric, strata: readonly Stratum[], orderedBuckets: readonly StratumBucket[]) {
+        const tables = strata.map(stratumIndex => createLogTable(metric, stratumIndex.reference));
+        const logs = strata.map(() => betFractions.map(() => 0));
+        const pooledLogs = betFractions.map(() => 0);
         const single = strata.map(() => 0);
         let pooled = 0;
-        for (const [index, { stratum, start, tally }] of series.entries()) {
-            addLogs(metric, tally, tables[stratum], logs[stratum], pooledLogs);
-            if (index + 1 < series.length && series[index + 1].start === start) {
+        for (const [index, { stratumIndex, start, tally }] of orderedBuckets.entries()) {
+            addLogs(metric, tally, tables[stratumIndex], logs[stratumIndex], pooledLogs);
+            if (index + 1 < orderedBuckets.length && orderedBuckets[index + 1].start === start) {
                 continue;
             }
-            const part = this.#getStartPart(start, index === series.length - 1);
-            if (part > 0) {
-                pooled += part * getMeanCapital(pooledLogs);
+            const weight = this.#getChangeWeight(start, index === orderedBuckets.length - 1);
+            if (weight > 0) {
+                pooled += weight * getMeanCapital(pooledLogs);
                 for (const [other, classLogs] of logs.entries()) {
-                    single[other] += part * getMeanCapital(classLogs);
+                    single[other] += weight * getMeanCapital(classLogs);
                 }
             }
         }
         return { pooled, single };
     }
 
-    #getStartPart(start: number, first: boolean): number {
-        if (first) {
-            return this.#options.firstStartPart;
+    #getChangeWeight(start: number, isFirst: boolean): number {
+        if (isFirst) {
+            return this.#options.initialChangeWeight;
         }
-        return start % (this.#options.startStep ?? 1) === 0 ? this.#options.laterStartPart : 0;
+        return start % (this.#options.changePointStep ?? 1) === 0 ? this.#options.laterChangeWeight : 0;
     }
 }
 
 /** Orders all buckets from the newest to the oldest start, so that sums from each start on build up. */
-function collectSeries(strata: readonly Stratum[]): readonly Series[] {
-    const series: Series[] = [];
+function collectBuckets(strata: readonly Stratum[]): readonly StratumBucket[] {
+    const orderedBuckets: StratumBucket[] = [];
     for (const [index, { buckets }] of strata.entries()) {
         for (const bucket of buckets) {
-            series.push({ stratum: index, start: bucket.start, tally: bucket.tally });
+            orderedBuckets.push({ stratumIndex: index, start: bucket.start, tally: bucket.tally });
         }
     }
-    return series.sort((left, right) => right.start - left.start);
+    return orderedBuckets.sort((left, right) => right.start - left.start);
 }
 
 /** Gets, for each bet and each value, the logarithm of what an observation multiplies the capital by. */
 function createLogTable(metric: Metric, reference: Tally): readonly (readonly number[])[] | undefined {
-    const { count, mean, error } = getReference(metric, reference);
-    const nullMean = mean - metric.margin - referenceErrors * error;
-    if (count < minimumReferenceCount || nullMean <= 0) {
+    const { count, mean, standardError } = getReference(metric, reference);
+    const nullMean = mean - metric.margin - referenceStandardErrors * standardError;
+    if (count < minReferenceCount || nullMean <= 0) {
         return undefined;
     }
-    return betParts.map(part => {
-        const bet = part / (1 - nullMean);
+    return betFractions.map(fraction => {
+        const bet = fraction / (1 - nullMean);
         return metric.values.map(value => Math.log(1 + bet * (nullMean - value)));
     });
 }
@@ -177,7 +177,7 @@
 function getMeanCapital(logs: readonly number[]): number {
     let sum = 0;
     for (const log of logs) {
-        sum += Math.exp(Math.min(maximumLog, log));
+        sum += Math.exp(Math.min(maxLog, log));
     }
     return sum / logs.length;
 }
--- a/src/decisions/limits/adaptiveLimit.ts
+++ b/src/decisions/limits/adaptiveLimit.ts
@@ -11,7 +11,7 @@
 const noiseMilliseconds = 100;
 const initialHoldMilliseconds = 2_000;
 /** The limit rises only while it is in use, or it would grow without evidence. */
-const usedShare = 0.8;
+const minUtilization = 0.8;
 
 /** A limit of concurrency that follows measured latency. */
 export class AdaptiveLimit {
@@ -23,8 +23,8 @@
     #firstTokens: number[] = [];
     #answers = 0;
     #failures = 0;
-    #mostInFlight = 0;
-    #usual: number | undefined;
+    #maxInFlight = 0;
+    #smoothedFirstTokenMilliseconds: number | undefined;
     #holdMilliseconds = initialHoldMilliseconds;
 
     constructor(options: LimitOptions) {
@@ -42,12 +42,12 @@
     }
 
     /** Returns the usual time to the first token, if any came yet. */
-    getUsualFirstToken(): number | undefined {
-        return this.#usual;
+    getSmoothedFirstTokenMilliseconds(): number | undefined {
+        return this.#smoothedFirstTokenMilliseconds;
     }
 
     /** Returns how many requests end in a millisecond when the limit is in use. */
-    getRate(): number {
+    getCompletionsPerMillisecond(): number {
         return this.get() / this.#holdMilliseconds;
     }
 
@@ -63,8 +63,8 @@
     }
 
     /** Notes how many requests are at work. */
-    addInFlight(inFlight: number): void {
-        this.#mostInFlight = Math.max(this.#mostInFlight, inFlight);
+    recordInFlight(inFlight: number): void {
+        this.#maxInFlight = Math.max(this.#maxInFlight, inFlight);
     }
 
     /**
@@ -89,55 +89,57 @@
         if (answer.firstTokenMilliseconds !== undefined) {
             this.#firstTokens.push(answer.firstTokenMilliseconds);
         }
-        const isFull = this.#answers >= this.#options.windowAnswers;
+        const isFull = this.#answers >= this.#options.minWindowAnswers;
         if (!isFull || now - this.#windowStart < this.#options.windowMilliseconds) {
             return false;
         }
-        const before = this.get();
+        const previousLimit = this.get();
         this.#closeWindow();
         this.#windowStart = now;
-        return this.get() !== before;
+        return this.get() !== previousLimit;
     }
 
     #closeWindow(): void {
-        const typical = getMedian(this.#firstTokens);
-        const excess = this.#getExcess(typical);
+        const median = getMedian(this.#firstTokens);
+        const excess = this.#getExcess(median);
         if (excess > 1) {
-            this.#limit *= Math.max(1 - this.#options.greatestFall, 1 / excess);
+            this.#limit *= Math.max(1 - this.#options.maxDecrease, 1 / excess);
         }
-        else if (this.#mostInFlight >= usedShare * this.#limit) {
-            this.#limit += this.#options.rise * this.#capacity;
+        else if (this.#maxInFlight >= minUtilization * this.#limit) {
+            this.#limit += this.#options.increase * this.#capacity;
         }
         this.#clamp();
-        this.#learnUsual(typical);
+        this.#updateSmoothedFirstToken(median);
         this.#firstTokens = [];
         this.#answers = 0;
         this.#failures = 0;
-        this.#mostInFlight = 0;
+        this.#maxInFlight = 0;
     }
 
     /** Returns how far past its tolerance the window was: above 1 means that the limit has to fall. */
-    #getExcess(typical: number | undefined): number {
-        const failed = this.#failures / this.#answers / this.#options.failureTolerance;
-        if (typical === undefined || this.#usual === undefined) {
-            return failed;
+    #getExcess(median: number | undefined): number {
+        const failureExcess = this.#failures / this.#answers / this.#options.failureTolerance;
+        if (median === undefined || this.#smoothedFirstTokenMilliseconds === undefined) {
+            return failureExcess;
         }
-        const tolerated = this.#usual * this.#options.latencyTolerance + noiseMilliseconds;
-        return Math.max(failed, typical / tolerated);
+        const toleratedMilliseconds = this.#smoothedFirstTokenMilliseconds * this.#options.latencyTolerance
+            + noiseMilliseconds;
+        return Math.max(failureExcess, median / toleratedMilliseconds);
     }
 
-    #learnUsual(typical: number | undefined): void {
-        if (typical === undefined) {
+    #updateSmoothedFirstToken(median: number | undefined): void {
+        if (median === undefined) {
             return;
         }
-        const usual = this.#usual ?? typical;
-        this.#usual = usual + (typical < usual ? fallSmoothing : riseSmoothing) * (typical - usual);
+        const previous = this.#smoothedFirstTokenMilliseconds ?? median;
+        this.#smoothedFirstTokenMilliseconds = previous
+            + (median < previous ? fallSmoothing : riseSmoothing) * (median - previous);
     }
 
     #clamp(): void {
-        const least = this.#options.leastLimitShare * this.#capacity;
-        const greatest = this.#options.greatestLimitShare * this.#capacity;
-        this.#limit = Math.min(greatest, Math.max(least, this.#limit));
+        const min = this.#options.minLimitShare * this.#capacity;
+        const max = this.#options.maxLimitShare * this.#capacity;
+        this.#limit = Math.min(max, Math.max(min, this.#limit));
     }
 }
 
--- a/src/decisions/limits/admissionController.ts
+++ b/src/decisions/limits/admissionController.ts
@@ -10,23 +10,23 @@
 import { events, type Journal } from "../../events/index.js";
 import { AdaptiveLimit } from "./adaptiveLimit.js";
 import type { AdmissionRequest, Release, Schedule } from "./admission.js";
-import { AppointmentBook } from "./appointmentBook.js";
-import { CallerMemory } from "./callerMemory.js";
-import { FairQueue, type Waiting } from "./fairQueue.js";
+import { FairQueue, type FairQueueItem } from "./fairQueue.js";
 import { defaultLimitOptions, type LimitOptions } from "./options.js";
+import { RefusedCallers } from "./refusedCallers.js";
 import { RetryBudget } from "./retryBudget.js";
+import { RetrySchedule } from "./retrySchedule.js";
 import { Ticket } from "./ticket.js";
-import { Workspaces } from "./workspaces.js";
+import { WorkspaceSlots } from "./workspaceSlots.js";
 
 /** Takes the decision on a request. */
-export type Settle = (result: Result<Ticket, Failure>) => void;
+export type AdmissionCallback = (result: Result<Ticket, Failure>) => void;
 
 /** Each early return in a row doubles the wait, this many times at most. */
-const mostDoublings = 4;
+const maxDoublings = 4;
 
-interface Entrant extends Waiting {
+interface QueuedRequest extends FairQueueItem {
     readonly request: AdmissionRequest;
-    readonly settle: Settle;
+    readonly resolve: AdmissionCallback;
     /** Whether its workspace was below its share when it came. */
     readonly isBelowShare: boolean;
     stopWaiting: () => void;
@@ -40,10 +40,10 @@
     readonly #schedule: Schedule;
     readonly #journal: Journal | undefined;
     readonly #limit: AdaptiveLimit;
-    readonly #queue = new FairQueue<Entrant>();
-    readonly #workspaces = new Workspaces();
-    readonly #appointments: AppointmentBook;
-    readonly #callers: CallerMemory;
+    readonly #queue = new FairQueue<QueuedRequest>();
+    readonly #workspaces = new WorkspaceSlots();
+    readonly #retrySchedule: RetrySchedule;
+    readonly #refusedCallers: RefusedCallers;
     readonly #retryBudgets = new Map<string, RetryBudget>();
     #inFlight = 0;
 
@@ -60,8 +60,8 @@
         this.#schedule = options.schedule ?? scheduleByTimer;
         this.#journal = options.journal;
         this.#limit = new AdaptiveLimit(this.#options);
-        this.#appointments = new AppointmentBook(options.random, this.#options.longestRetryMilliseconds);
-        this.#callers = new CallerMemory(this.#options.rememberedCallers);
+        this.#retrySchedule = new RetrySchedule(options.random, this.#options.maxRetryMilliseconds);
+        this.#refusedCallers = new RefusedCallers(this.#options.maxTrackedCallers);
     }
 
     /**
@@ -70,7 +70,7 @@
      */
     setCapacity(requests: number): void {
         this.#limit.setCapacity(requests);
-        this.#letIn();
+        this.#admitQueued();
     }
 
     /** Returns the present limit, in requests at a time. */
@@ -99,36 +99,36 @@
     /**
      * Asks for a place and calls back, at once if the decision can be made at once.
      * @param request - The request.
-     * @param settle - Takes the decision, exactly once.
+     * @param resolve - Takes the decision, exactly once.
      */
-    offer(request: AdmissionRequest, settle: Settle): void {
+    offer(request: AdmissionRequest, resolve: AdmissionCallback): void {
         const now = this.#clock.monotonic();
-        const earlyReturns = this.#getEarlyReturns(request, now);
-        if (earlyReturns > 0) {
+        const earlyRetries = this.#countEarlyRetries(request, now);
+        if (earlyRetries > 0) {
             // Whoever ignores Retry-After pays for asking as if it had been served.
             this.#queue.charge(request.workspace, request.share, request.estimatedTokens);
         }
         // Asked before the workspace is charged: the charge alone would put it ahead.
         const isBelowShare = this.#isBelowShare(request);
-        if (this.#mayEnter(request, isBelowShare)) {
+        if (this.#canAdmit(request, isBelowShare)) {
             this.#queue.start(request.workspace, request.share, request.estimatedTokens);
-            settle(ok(this.#createTicket({ request, since: now, isBelowShare })));
+            resolve(ok(this.#createTicket({ request, since: now, isBelowShare })));
             return;
         }
-        const reason = this.#findRefusal(request, earlyReturns);
+        const reason = this.#findRefusalReason(request, earlyRetries);
         if (reason !== undefined) {
-            settle(err(this.#refuse(request, reason, earlyReturns)));
+            resolve(err(this.#refuse(request, reason, earlyRetries)));
             return;
         }
-        this.#enqueue({ request, settle, isBelowShare }, now);
+        this.#enqueue({ request, resolve, isBelowShare }, now);
     }
 
-    #mayEnter(request: AdmissionRequest, isBelowShare: boolean): boolean {
+    #canAdmit(request: AdmissionRequest, isBelowShare: boolean): boolean {
         const limit = this.#limit.get();
         const threshold = this.#getThreshold(request.priority);
         if (threshold < 1) {
             // Low priorities leave the last places to the others; one of each workspace may use them nonetheless.
-            const isFirst = !this.#workspaces.isAtWork(request.workspace);
+            const isFirst = !this.#workspaces.isActive(request.workspace);
             return this.#inFlight < limit * (isFirst ? 1 : threshold);
         }
         if (isBelowShare) {
@@ -149,21 +149,21 @@
         return thresholds[Math.min(Math.max(0, Math.floor(priority)), thresholds.length - 1)];
     }
 
-    #findRefusal(request: AdmissionRequest, earlyReturns: number): FailureKind | undefined {
-        if (earlyReturns > 0 || this.#getThreshold(request.priority) < 1) {
+    #findRefusalReason(request: AdmissionRequest, earlyRetries: number): FailureKind | undefined {
+        if (earlyRetries > 0 || this.#getThreshold(request.priority) < 1) {
             return "overloaded";
         }
-        const before = this.#queue.countBefore(request.workspace, request.share, request.priority);
-        const wait = (before + 1) / this.#limit.getRate();
-        if (wait + (this.#limit.getUsualFirstToken() ?? 0) > request.deadlineMilliseconds) {
+        const queuedAhead = this.#queue.countAhead(request.workspace, request.share, request.priority);
+        const wait = (queuedAhead + 1) / this.#limit.getCompletionsPerMillisecond();
+        if (wait + (this.#limit.getSmoothedFirstTokenMilliseconds() ?? 0) > request.deadlineMilliseconds) {
             return "deadline";
         }
-        return before > 0 && wait > this.#options.queueMilliseconds ? "overloaded" : undefined;
+        return queuedAhead > 0 && wait > this.#options.maxQueueMilliseconds ? "overloaded" : undefined;
     }
 
-    #enqueue(arrival: Pick<Entrant, "request" | "settle" | "isBelowShare">, now: number): void {
+    #enqueue(arrival: Pick<QueuedRequest, "request" | "resolve" | "isBelowShare">, now: number): void {
         const { request } = arrival;
-        const entrant: Entrant = {
+        const queued: QueuedRequest = {
             workspace: request.workspace,
             share: request.share,
             priority: request.priority,
@@ -172,56 +172,59 @@
             ...arrival,
             stopWaiting: () => {},
         };
-        const leave = (): void => this.#giveUp(entrant);
-        const cancel = this.#schedule(this.#options.queueMilliseconds, leave);
-        request.signal?.addEventListener("abort", leave);
-        entrant.stopWaiting = () => {
+        const reject = (): void => this.#rejectQueued(queued);
+        const cancel = this.#schedule(this.#options.maxQueueMilliseconds, reject);
+        request.signal?.addEventListener("abort", reject);
+        queued.stopWaiting = () => {
             cancel();
-            request.signal?.removeEventListener("abort", leave);
+            request.signal?.removeEventListener("abort", reject);
         };
-        this.#queue.add(entrant);
+        this.#queue.add(queued);
         this.#shortenQueue();
     }
 
     /** A newcomer may have gone before others; whoever can no longer be served in time is told now, not later. */
     #shortenQueue(): void {
-        const longest = Math.max(1, Math.floor(this.#limit.getRate() * this.#options.queueMilliseconds));
-        while (this.#queue.getSize() > longest) {
+        const maxLength = Math.max(
+            1,
+            Math.floor(this.#limit.getCompletionsPerMillisecond() * this.#options.maxQueueMilliseconds),
+        );
+        while (this.#queue.getSize() > maxLength) {
             const last = this.#queue.findLast();
             if (last === undefined) {
                 return;
             }
-            this.#giveUp(last);
+            this.#rejectQueued(last);
         }
     }
 
-    #giveUp(entrant: Entrant): void {
-        if (!this.#queue.remove(entrant)) {
+    #rejectQueued(queued: QueuedRequest): void {
+        if (!this.#queue.remove(queued)) {
             return;
         }
-        entrant.stopWaiting();
-        entrant.settle(err(this.#refuse(entrant.request, "overloaded", 0)));
+        queued.stopWaiting();
+        queued.resolve(err(this.#refuse(queued.request, "overloaded", 0)));
     }
 
-    #letIn(): void {
+    #admitQueued(): void {
         while (this.#inFlight < this.#limit.get()) {
-            const entrant = this.#queue.shift();
-            if (entrant === undefined) {
+            const queued = this.#queue.shift();
+            if (queued === undefined) {
                 return;
             }
-            entrant.stopWaiting();
-            entrant.settle(ok(this.#createTicket(entrant)));
+            queued.stopWaiting();
+            queued.resolve(ok(this.#createTicket(queued)));
         }
     }
 
-    #createTicket(entrant: Pick<Entrant, "request" | "since" | "isBelowShare">): Ticket {
-        const { request, since, isBelowShare } = entrant;
+    #createTicket(queued: Pick<QueuedRequest, "request" | "since" | "isBelowShare">): Ticket {
+        const { request, since, isBelowShare } = queued;
         const now = this.#clock.monotonic();
         this.#inFlight += 1;
         this.#workspaces.add(request.workspace, request.share);
-        this.#limit.addInFlight(this.#inFlight);
+        this.#limit.recordInFlight(this.#inFlight);
         if (request.caller !== undefined) {
-            this.#callers.remove(request.caller);
+            this.#refusedCallers.remove(request.caller);
         }
         return new Ticket({
             waitedMilliseconds: now - since,
@@ -234,18 +237,18 @@
         const now = this.#clock.monotonic();
         this.#inFlight -= 1;
         this.#workspaces.remove(request.workspace);
-        const unpaid = release.tokens - request.estimatedTokens;
-        if (unpaid > 0) {
-            this.#queue.charge(request.workspace, request.share, unpaid);
+        const unchargedTokens = release.tokens - request.estimatedTokens;
+        if (unchargedTokens > 0) {
+            this.#queue.charge(request.workspace, request.share, unchargedTokens);
         }
         if (release.outcome !== "cancelled") {
-            this.#learn(release, now - since, now);
+            this.#updateLimit(release, now - since, now);
         }
-        this.#letIn();
+        this.#admitQueued();
     }
 
-    #learn(release: Release, holdMilliseconds: number, now: number): void {
-        const before = this.#limit.get();
+    #updateLimit(release: Release, holdMilliseconds: number, now: number): void {
+        const previousLimit = this.#limit.get();
         const hasMoved = this.#limit.addAnswer({
             firstTokenMilliseconds: release.firstTokenMilliseconds,
             holdMilliseconds,
@@ -256,18 +259,18 @@
         if (!hasMoved) {
             return;
         }
-        if (limit < before) {
+        if (limit < previousLimit) {
             this.#journal?.write(events.admissionLimitLowered, { limit, capacity });
         }
-        else if (limit >= capacity && before < capacity) {
+        else if (limit >= capacity && previousLimit < capacity) {
             this.#journal?.write(events.admissionLimitRestored, { limit, capacity });
         }
     }
 
     /** Returns how many times in a row the caller came back too soon, by its name or by its workspace's budget. */
-    #getEarlyReturns(request: AdmissionRequest, now: number): number {
+    #countEarlyRetries(request: AdmissionRequest, now: number): number {
         if (request.caller !== undefined) {
-            return this.#callers.getEarlyReturns(request.caller, now);
+            return this.#refusedCallers.countEarlyRetries(request.caller, now);
         }
         const budget = this.#getRetryBudget(request.workspace);
         if (request.isRetry !== true) {
@@ -286,19 +289,20 @@
         return budget;
     }
 
-    #refuse(request: AdmissionRequest, kind: FailureKind, earlyReturns: number): Failure {
+    #refuse(request: AdmissionRequest, kind: FailureKind, earlyRetries: number): Failure {
         const now = this.#clock.monotonic();
-        const factor = 2 ** Math.min(mostDoublings, earlyReturns);
-        const leastMilliseconds = this.#options.leastRetryMilliseconds * factor;
+        const factor = 2 ** Math.min(maxDoublings, earlyRetries);
+        const minMilliseconds = this.#options.minRetryMilliseconds * factor;
         // Whoever is below its share need not stand behind the returns of those above.
-        const retryAfterMilliseconds = earlyReturns === 0 && this.#isBelowShare(request)
-            ? Math.round(leastMilliseconds * (1 + this.#random.next()))
-            : this.#appointments.add(now, {
-                leastMilliseconds,
-                perSecond: this.#limit.getRate() * 1_000 * this.#options.returnShare,
+        const retryAfterMilliseconds = earlyRetries === 0 && this.#isBelowShare(request)
+            ? Math.round(minMilliseconds * (1 + this.#random.next()))
+            : this.#retrySchedule.add(now, {
+                minMilliseconds,
+                retriesPerSecond: this.#limit.getCompletionsPerMillisecond() * 1_000
+                    * this.#options.retryThroughputShare,
             });
         if (request.caller !== undefined) {
-            this.#callers.add(request.caller, { notBefore: now + retryAfterMilliseconds, earlyReturns });
+            this.#refusedCallers.add(request.caller, { notBefore: now + retryAfterMilliseconds, earlyRetries });
         }
         return createRefusal(kind, retryAfterMilliseconds);
     }
--- a/src/decisions/limits/fairQueue.ts
+++ b/src/decisions/limits/fairQueue.ts
@@ -4,7 +4,7 @@
  */
 
 /** A request that waits for a place. */
-export interface Waiting {
+export interface FairQueueItem {
     readonly workspace: string;
     readonly share: number;
     readonly priority: number;
@@ -17,16 +17,16 @@
  * What a workspace did not use is kept for it up to this many usual requests. Without any, one that asks at random
  * moments never gets its share; without a bound, one that comes back after an hour would take everything.
  */
-const creditRequests = 4;
+const maxCreditRequests = 4;
 const meanSmoothing = 0.01;
 /** Virtual times are forgotten when this many workspaces are known and none of them is ahead. */
-const rememberedWorkspaces = 1_024;
+const maxTrackedWorkspaces = 1_024;
 
 /** A queue that is fair between workspaces by tokens. */
-export class FairQueue<T extends Waiting> {
-    readonly #waiting = new Map<string, T[]>();
+export class FairQueue<T extends FairQueueItem> {
+    readonly #queues = new Map<string, T[]>();
     /** Virtual time up to which a workspace has paid. */
-    readonly #paid = new Map<string, number>();
+    readonly #finishTimes = new Map<string, number>();
     #virtualTime = 0;
     #meanTokens = 0;
     #size = 0;
@@ -38,7 +38,7 @@
 
     /** Returns how far a workspace is ahead of the others, in tokens of a share of 1. */
     getLead(workspace: string): number {
-        return Math.max(0, (this.#paid.get(workspace) ?? 0) - this.#virtualTime);
+        return Math.max(0, (this.#finishTimes.get(workspace) ?? 0) - this.#virtualTime);
     }
 
     /**
@@ -46,13 +46,13 @@
      * moving on, work done while nobody waited would be held against a workspace for good.
      */
     start(workspace: string, share: number, tokens: number): void {
-        this.#virtualTime = Math.max(this.#virtualTime, this.#paid.get(workspace) ?? 0);
+        this.#virtualTime = Math.max(this.#virtualTime, this.#finishTimes.get(workspace) ?? 0);
         this.charge(workspace, share, tokens);
     }
 
     /** Tells whether a workspace had less than its share of late. */
     isBehind(workspace: string): boolean {
-        return (this.#paid.get(workspace) ?? 0) < this.#virtualTime;
+        return (this.#finishTimes.get(workspace) ?? 0) < this.#virtualTime;
     }
 
     /**
@@ -63,34 +63,34 @@
      */
     charge(workspace: string, share: number, tokens: number): void {
         this.#meanTokens += meanSmoothing * (tokens - this.#meanTokens);
-        const credit = creditRequests * this.#meanTokens / share;
-        const start = Math.max(this.#virtualTime - credit, this.#paid.get(workspace) ?? 0);
-        this.#paid.set(workspace, start + tokens / share);
-        this.#forgetPaid();
+        const credit = maxCreditRequests * this.#meanTokens / share;
+        const start = Math.max(this.#virtualTime - credit, this.#finishTimes.get(workspace) ?? 0);
+        this.#finishTimes.set(workspace, start + tokens / share);
+        this.#pruneFinishTimes();
     }
 
     /** Adds a request behind those of its workspace that are as urgent. */
-    add(waiting: T): void {
-        const queue = this.#waiting.get(waiting.workspace) ?? [];
+    add(item: T): void {
+        const queue = this.#queues.get(item.workspace) ?? [];
         let index = queue.length;
-        while (index > 0 && queue[index - 1].priority > waiting.priority) {
+        while (index > 0 && queue[index - 1].priority > item.priority) {
             index -= 1;
         }
-        queue.splice(index, 0, waiting);
-        this.#waiting.set(waiting.workspace, queue);
+        queue.splice(index, 0, item);
+        this.#queues.set(item.workspace, queue);
         this.#size += 1;
     }
 
     /** Takes a request out, for instance when its caller left. */
-    remove(waiting: T): boolean {
-        const queue = this.#waiting.get(waiting.workspace);
-        const index = queue?.indexOf(waiting) ?? -1;
+    remove(item: T): boolean {
+        const queue = this.#queues.get(item.workspace);
+        const index = queue?.indexOf(item) ?? -1;
         if (queue === undefined || index < 0) {
             return false;
         }
         queue.splice(index, 1);
         if (queue.length === 0) {
-            this.#waiting.delete(waiting.workspace);
+            this.#queues.delete(item.workspace);
         }
         this.#size -= 1;
         return true;
@@ -110,11 +110,11 @@
     /** Finds the request to give up first: the least urgent and newest one of the workspace that is furthest ahead. */
     findLast(): T | undefined {
         let last: T | undefined;
-        let greatest = Number.NEGATIVE_INFINITY;
-        for (const [workspace, queue] of this.#waiting) {
+        let max = Number.NEGATIVE_INFINITY;
+        for (const [workspace, queue] of this.#queues) {
             const end = this.getLead(workspace) + getCost(queue);
-            if (end > greatest) {
-                greatest = end;
+            if (end > max) {
+                max = end;
                 last = queue[queue.length - 1];
             }
         }
@@ -122,19 +122,19 @@
     }
 
     /** Counts the waiting requests that would go before one more request of a workspace. */
-    countBefore(workspace: string, share: number, priority: number): number {
-        const own = this.#waiting.get(workspace) ?? [];
-        const ownBefore = own.filter(waiting => waiting.priority <= priority);
-        const start = this.getLead(workspace) + ownBefore.reduce((sum, waiting) => sum + waiting.tokens, 0) / share;
-        let count = ownBefore.length;
-        for (const [other, queue] of this.#waiting) {
+    countAhead(workspace: string, share: number, priority: number): number {
+        const own = this.#queues.get(workspace) ?? [];
+        const ownAhead = own.filter(item => item.priority <= priority);
+        const start = this.getLead(workspace) + ownAhead.reduce((sum, item) => sum + item.tokens, 0) / share;
+        let count = ownAhead.length;
+        for (const [other, queue] of this.#queues) {
             let otherStart = this.getLead(other);
-            for (const waiting of other === workspace ? [] : queue) {
+            for (const item of other === workspace ? [] : queue) {
                 if (otherStart > start) {
                     break;
                 }
                 count += 1;
-                otherStart += waiting.tokens / waiting.share;
+                otherStart += item.tokens / item.share;
             }
         }
         return count;
@@ -142,11 +142,11 @@
 
     #findNext(): T | undefined {
         let next: T | undefined;
-        let least = Number.POSITIVE_INFINITY;
-        for (const [workspace, queue] of this.#waiting) {
+        let minLead = Number.POSITIVE_INFINITY;
+        for (const [workspace, queue] of this.#queues) {
             const lead = this.getLead(workspace);
-            if (lead < least || lead === least && next !== undefined && queue[0].since < next.since) {
-                least = lead;
+            if (lead < minLead || lead === minLead && next !== undefined && queue[0].since < next.since) {
+                minLead = lead;
                 next = queue[0];
             }
         }
@@ -154,22 +154,22 @@
     }
 
     /** Without this, each workspace that ever asked would stay in memory. */
-    #forgetPaid(): void {
-        if (this.#paid.size <= rememberedWorkspaces) {
+    #pruneFinishTimes(): void {
+        if (this.#finishTimes.size <= maxTrackedWorkspaces) {
             return;
         }
-        for (const [workspace, paid] of this.#paid) {
-            if (paid <= this.#virtualTime) {
-                this.#paid.delete(workspace);
+        for (const [workspace, finishTime] of this.#finishTimes) {
+            if (finishTime <= this.#virtualTime) {
+                this.#finishTimes.delete(workspace);
             }
         }
     }
 }
 
-function getCost(queue: readonly Waiting[]): number {
+function getCost(queue: readonly FairQueueItem[]): number {
     let cost = 0;
-    for (const waiting of queue) {
-        cost += waiting.tokens / waiting.share;
+    for (const item of queue) {
+        cost += item.tokens / item.share;
     }
     return cost;
 }
--- a/src/decisions/loading/loading.ts
+++ b/src/decisions/loading/loading.ts
@@ -30,15 +30,15 @@
     /** Versions that are to be loaded. */
     readonly placed: readonly PlacedVersion[];
     /** Versions that are loaded nowhere anew, and stay where they are until their room is needed. */
-    readonly kept: ReadonlySet<string>;
+    readonly evictable: ReadonlySet<string>;
     /** Versions that are to go once no work of theirs can be under way: at once on an idle runner. */
     readonly retiring: ReadonlySet<string>;
     readonly versionsPerRunner: number;
     /** Runners that may load at a time. */
     readonly loadsAtATime: number;
     /** Runners that each version needs at least. */
-    readonly leastCopies: number;
+    readonly minCopies: number;
 }
 
 /** Failure domains that a version is spread over at least, so that the loss of one leaves it running. */
-export const leastDomains = 2;
+export const minFailureDomains = 2;
--- a/src/decisions/loading/loadingOrders.ts
+++ b/src/decisions/loading/loadingOrders.ts
@@ -2,7 +2,7 @@
  * The next orders to a pool's engines: what brings them closer to the placement without taking a version away before
  * its replacement reports ready.
  */
-import { leastDomains, type LoadingRequest, type LoadingRunner } from "./loading.js";
+import { type LoadingRequest, type LoadingRunner, minFailureDomains } from "./loading.js";
 import { placeVersions, type VersionPlacement } from "./versionPlacement.js";
 
 /** A version takes the room of others only while it has less than this part of its runners, lest the two take turns. */
@@ -13,7 +13,7 @@
     readonly runner: string;
     readonly versions: readonly string[];
     /** The version that it begins to load with this order, or goes on to load. */
-    readonly loads: string | undefined;
+    readonly loadingVersion: string | undefined;
 }
 
 /** What was decided for a pool. */
@@ -34,33 +34,36 @@
 export function decideLoading(request: LoadingRequest): LoadingDecision {
     const placement = placeVersions(request);
     const unplaced = request.placed.filter(({ id }) => (placement.get(id)?.size ?? 0) === 0);
-    return { ...new Step(request, placement).decide(), placement, unplaced: unplaced.map(({ id }) => id) };
+    return { ...new LoadingPlanner(request, placement).decide(), placement, unplaced: unplaced.map(({ id }) => id) };
 }
 
-interface Load {
+interface MissingLoad {
     readonly runner: LoadingRunner;
     readonly version: string;
-    readonly isUnderWay: boolean;
+    readonly isInProgress: boolean;
     /** How urgent it is; the least first. */
     readonly rank: number;
 }
 
 /** One step from what the runners report towards the placement. */
-class Step {
+class LoadingPlanner {
     readonly #request: LoadingRequest;
     readonly #placement: VersionPlacement;
     /** For each version and failure domain, the runners that report it and are not to unload it. */
     readonly #ready = new Map<string, Map<string, number>>();
-    readonly #wanted = new Map<string, Set<string>>();
+    readonly #desiredVersions = new Map<string, Set<string>>();
     /** For each placed version, over how many failure domains its placement spreads. */
-    readonly #spread: ReadonlyMap<string, number>;
+    readonly #placedDomainCounts: ReadonlyMap<string, number>;
 
     constructor(request: LoadingRequest, placement: VersionPlacement) {
         this.#request = request;
         this.#placement = placement;
-        this.#spread = countDomains(request.runners, placement);
+        this.#placedDomainCounts = countDomains(request.runners, placement);
         for (const runner of request.runners) {
-            this.#wanted.set(runner.id, new Set(runner.versions.filter(version => this.#isToStay(runner, version))));
+            this.#desiredVersions.set(
+                runner.id,
+                new Set(runner.versions.filter(version => this.#shouldStayLoaded(runner, version))),
+            );
             for (const version of runner.versions) {
                 this.#addReady(version, runner.failureDomain, 1);
             }
@@ -69,90 +72,90 @@
 
     decide(): Pick<LoadingDecision, "orders" | "missing"> {
         const loads = this.#listLoads();
-        const granted = new Map<string, string>();
+        const scheduled = new Map<string, string>();
         for (const { runner, version } of loads) {
-            if (granted.size >= this.#request.loadsAtATime) {
+            if (scheduled.size >= this.#request.loadsAtATime) {
                 break;
             }
-            if (!granted.has(runner.id) && this.#makeRoom(runner, version)) {
-                granted.set(runner.id, version);
-                this.#wanted.get(runner.id)?.add(version);
+            if (!scheduled.has(runner.id) && this.#evictUntilFits(runner, version)) {
+                scheduled.set(runner.id, version);
+                this.#desiredVersions.get(runner.id)?.add(version);
             }
         }
         const orders: LoadingOrder[] = [];
         for (const { id, versions } of this.#request.runners) {
-            const wanted = this.#wanted.get(id) ?? new Set<string>();
-            if (wanted.size !== versions.length || versions.some(version => !wanted.has(version))) {
-                orders.push({ runner: id, versions: [...wanted].sort(), loads: granted.get(id) });
+            const desired = this.#desiredVersions.get(id) ?? new Set<string>();
+            if (desired.size !== versions.length || versions.some(version => !desired.has(version))) {
+                orders.push({ runner: id, versions: [...desired].sort(), loadingVersion: scheduled.get(id) });
             }
         }
         return { orders, missing: loads.length };
     }
 
-    #isToStay(runner: LoadingRunner, version: string): boolean {
-        if (this.#placement.has(version) || this.#request.kept.has(version)) {
+    #shouldStayLoaded(runner: LoadingRunner, version: string): boolean {
+        if (this.#placement.has(version) || this.#request.evictable.has(version)) {
             return true;
         }
         return this.#request.retiring.has(version) && !runner.isIdle;
     }
 
     /** Lists the loads that are missing: those under way first, then versions that are ready in the fewest places. */
-    #listLoads(): readonly Load[] {
-        const loads: Load[] = [];
+    #listLoads(): readonly MissingLoad[] {
+        const loads: MissingLoad[] = [];
         for (const runner of this.#request.runners) {
             if (runner.isStalled) {
                 continue;
             }
             for (const [version, holders] of this.#placement) {
                 if (holders.has(runner.id) && !runner.versions.includes(version)) {
-                    const isUnderWay = runner.loading.includes(version);
-                    loads.push({ runner, version, isUnderWay, rank: this.#rank(version, runner.failureDomain) });
+                    const isInProgress = runner.loading.includes(version);
+                    loads.push({ runner, version, isInProgress, rank: this.#rank(version, runner.failureDomain) });
                 }
             }
         }
         return loads.sort((left, right) =>
-            Number(right.isUnderWay) - Number(left.isUnderWay) || left.rank - right.rank
+            Number(right.isInProgress) - Number(left.isInProgress) || left.rank - right.rank
         );
     }
 
     /** A first copy comes first, then the first in a second failure domain, then those that make up the number. */
     #rank(version: string, failureDomain: string): number {
         const domains = this.#ready.get(version) ?? new Map<string, number>();
-        if (domains.size < leastDomains) {
-            return domains.has(failureDomain) ? 1 : domains.size / leastDomains;
+        if (domains.size < minFailureDomains) {
+            return domains.has(failureDomain) ? 1 : domains.size / minFailureDomains;
         }
         return 1 + this.#countReady(version) / (this.#placement.get(version)?.size ?? 1);
     }
 
     /** Takes versions off a runner until one more fits; false when none may go yet. */
-    #makeRoom(runner: LoadingRunner, version: string): boolean {
-        const wanted = this.#wanted.get(runner.id) ?? new Set<string>();
-        if (wanted.size < this.#request.versionsPerRunner) {
+    #evictUntilFits(runner: LoadingRunner, version: string): boolean {
+        const desired = this.#desiredVersions.get(runner.id) ?? new Set<string>();
+        if (desired.size < this.#request.versionsPerRunner) {
             return true;
         }
         const copies = this.#placement.get(version)?.size ?? 0;
-        const isSpread =
-            (this.#ready.get(version)?.size ?? 0) >= Math.min(leastDomains, this.#spread.get(version) ?? 1);
+        const isSpread = (this.#ready.get(version)?.size ?? 0)
+            >= Math.min(minFailureDomains, this.#placedDomainCounts.get(version) ?? 1);
         if (isSpread && this.#countReady(version) >= evictionShare * copies) {
             return false;
         }
-        const evicted = this.#findEvictable(runner, wanted);
+        const evicted = this.#findEvictable(runner, desired);
         if (evicted === undefined) {
             return false;
         }
-        wanted.delete(evicted);
+        desired.delete(evicted);
         this.#addReady(evicted, runner.failureDomain, -1);
-        return wanted.size < this.#request.versionsPerRunner || this.#makeRoom(runner, version);
+        return desired.size < this.#request.versionsPerRunner || this.#evictUntilFits(runner, version);
     }
 
     /** Finds a version that may leave a runner: one that is merely kept, or one that is ready elsewhere. */
-    #findEvictable(runner: LoadingRunner, wanted: ReadonlySet<string>): string | undefined {
-        for (const version of wanted) {
-            if (this.#request.kept.has(version)) {
+    #findEvictable(runner: LoadingRunner, desired: ReadonlySet<string>): string | undefined {
+        for (const version of desired) {
+            if (this.#request.evictable.has(version)) {
                 return version;
             }
         }
-        for (const version of wanted) {
+        for (const version of desired) {
             const holders = this.#placement.get(version);
             if (holders !== undefined && !holders.has(runner.id) && this.#isReadyWithout(version, runner)) {
                 return version;
@@ -168,14 +171,15 @@
     #isReadyWithout(version: string, runner: LoadingRunner): boolean {
         const domains = new Map(this.#ready.get(version));
         domains.set(runner.failureDomain, (domains.get(runner.failureDomain) ?? 0) - 1);
-        const left = [...domains.values()].filter(count => count > 0).length;
-        return left > 0 && left >= Math.min(leastDomains, this.#spread.get(version) ?? 1);
+        const remainingDomains = [...domains.values()].filter(count => count > 0).length;
+        return remainingDomains > 0
+            && remainingDomains >= Math.min(minFailureDomains, this.#placedDomainCounts.get(version) ?? 1);
     }
 
     #countReady(version: string): number {
         let count = 0;
-        for (const ofDomain of this.#ready.get(version)?.values() ?? []) {
-            count += ofDomain;
+        for (const domainCount of this.#ready.get(version)?.values() ?? []) {
+            count += domainCount;
         }
         return count;
     }
--- a/src/decisions/loading/versionPlacement.ts
+++ b/src/decisions/loading/versionPlacement.ts
@@ -2,10 +2,10 @@
  * Places versions on the runners of a pool by demand and failure domain, with the least moves: what is loaded already
  * counts first.
  */
-import { leastDomains, type LoadingRequest, type LoadingRunner, type PlacedVersion } from "./loading.js";
+import { type LoadingRequest, type LoadingRunner, minFailureDomains, type PlacedVersion } from "./loading.js";
 
 /** A version gets so many times its proportional part of the runners, so that requests have a choice among them. */
-const spread = 2;
+const overprovisioningFactor = 2;
 /** Demand that is taken for granted, so that versions that had no requests yet share empty runners evenly. */
 const assumedDemand = 1;
 
@@ -13,7 +13,7 @@
 export type VersionPlacement = ReadonlyMap<string, ReadonlySet<string>>;
 
 /** A runner with what is placed on it so far. */
-interface Seat {
+interface RunnerAssignment {
     readonly runner: LoadingRunner;
     readonly versions: Set<string>;
 }
@@ -25,23 +25,26 @@
 export function countCopies(request: LoadingRequest): ReadonlyMap<string, number> {
     const { runners, placed, versionsPerRunner } = request;
     const slots = runners.length * versionsPerRunner;
-    const affordable = Math.max(1, Math.floor(slots / Math.max(1, placed.length)));
-    const least = Math.min(runners.length, request.leastCopies, affordable);
-    const wanted = new Map<string, number>();
+    const affordableCopies = Math.max(1, Math.floor(slots / Math.max(1, placed.length)));
+    const minCopies = Math.min(runners.length, request.minCopies, affordableCopies);
+    const desired = new Map<string, number>();
     let surplus = 0;
     const total = sumDemand(placed);
     for (const version of placed) {
         const share = (version.demand + assumedDemand) / total;
-        const copies = Math.min(runners.length, Math.max(least, Math.ceil(spread * runners.length * share)));
-        wanted.set(version.id, copies);
-        surplus += copies - least;
+        const copies = Math.min(
+            runners.length,
+            Math.max(minCopies, Math.ceil(overprovisioningFactor * runners.length * share)),
+        );
+        desired.set(version.id, copies);
+        surplus += copies - minCopies;
     }
-    const room = Math.max(0, slots - placed.length * least);
-    const scale = surplus > room ? room / surplus : 1;
-    for (const [id, copies] of wanted) {
-        wanted.set(id, least + Math.floor((copies - least) * scale));
+    const spareSlots = Math.max(0, slots - placed.length * minCopies);
+    const scale = surplus > spareSlots ? spareSlots / surplus : 1;
+    for (const [id, copies] of desired) {
+        desired.set(id, minCopies + Math.floor((copies - minCopies) * scale));
     }
-    return wanted;
+    return desired;
 }
 
 /**
@@ -49,24 +52,24 @@
  * @param request - What is to be decided.
  */
 export function placeVersions(request: LoadingRequest): VersionPlacement {
-    const seats = request.runners.map(runner => ({ runner, versions: new Set<string>() }));
+    const assignments = request.runners.map(runner => ({ runner, versions: new Set<string>() }));
     const copies = countCopies(request);
     const placement = new Map<string, Set<string>>();
     // What is loaded is placed for all versions before anything is added, or a new version would take the room of one
     // that is loaded there, and that one would have to move without need.
     for (const { id } of request.placed) {
-        const loaded = seats.filter(({ runner }) => runner.versions.includes(id) || runner.loading.includes(id));
+        const loaded = assignments.filter(({ runner }) => runner.versions.includes(id) || runner.loading.includes(id));
         placement.set(id, new Set());
-        take({ id, placement, seats: loaded, count: copies.get(id) ?? 0, request });
+        assignCopies({ id, placement, assignments: loaded, count: copies.get(id) ?? 0, request });
     }
     for (const { id } of request.placed) {
-        const free = seats.filter(seat => !seat.runner.isStalled);
-        take({ id, placement, seats: free, count: copies.get(id) ?? 0, request });
+        const free = assignments.filter(assignment => !assignment.runner.isStalled);
+        assignCopies({ id, placement, assignments: free, count: copies.get(id) ?? 0, request });
     }
     for (const { id } of request.placed) {
         const domains = countDomains(request.runners, placement.get(id) ?? new Set());
-        if ((copies.get(id) ?? 0) >= leastDomains && domains.size < leastDomains) {
-            exchange(id, placement, seats, request.versionsPerRunner);
+        if ((copies.get(id) ?? 0) >= minFailureDomains && domains.size < minFailureDomains) {
+            spreadOverDomains(id, placement, assignments, request.versionsPerRunner);
         }
     }
     return placement;
@@ -77,30 +80,30 @@
  * in exchange. Without it a version stays in one failure domain, although there is room in all, when others were
  * placed first.
  */
-function exchange(
+function spreadOverDomains(
     id: string,
     placement: ReadonlyMap<string, Set<string>>,
-    seats: readonly Seat[],
+    assignments: readonly RunnerAssignment[],
     versionsPerRunner: number,
 ): void {
-    const open = seats.filter(seat => !seat.runner.isStalled);
-    const own = open.filter(seat => seat.versions.has(id));
-    const roomy = open.filter(seat => seat.versions.size < versionsPerRunner);
-    for (const seat of open) {
-        if (own.length === 0 || seat.runner.failureDomain === own[0].runner.failureDomain) {
+    const available = assignments.filter(assignment => !assignment.runner.isStalled);
+    const own = available.filter(assignment => assignment.versions.has(id));
+    const withFreeCapacity = available.filter(assignment => assignment.versions.size < versionsPerRunner);
+    for (const assignment of available) {
+        if (own.length === 0 || assignment.runner.failureDomain === own[0].runner.failureDomain) {
             continue;
         }
-        for (const other of seat.versions) {
-            const target = [...roomy, ...own.slice(1)].find(candidate =>
-                !candidate.versions.has(other) && isSpreadAfter(other, seat, candidate, seats)
+        for (const other of assignment.versions) {
+            const target = [...withFreeCapacity, ...own.slice(1)].find(candidate =>
+                !candidate.versions.has(other) && isSpreadAfterMove(other, assignment, candidate, assignments)
             );
             if (target !== undefined) {
                 if (target.versions.has(id)) {
-                    remove(id, target, placement);
+                    unassign(id, target, placement);
                 }
-                remove(other, seat, placement);
-                add(other, target, placement);
-                add(id, seat, placement);
+                unassign(other, assignment, placement);
+                assign(other, target, placement);
+                assign(id, assignment, placement);
                 return;
             }
         }
@@ -108,75 +111,80 @@
 }
 
 /** Tells whether a version that moves has a copy in another failure domain than the one it moves to. */
-function isSpreadAfter(version: string, from: Seat, to: Seat, seats: readonly Seat[]): boolean {
-    for (const seat of seats) {
-        const domain = seat.runner.failureDomain;
-        if (seat !== from && seat.versions.has(version) && domain !== to.runner.failureDomain) {
+function isSpreadAfterMove(
+    version: string,
+    from: RunnerAssignment,
+    to: RunnerAssignment,
+    assignments: readonly RunnerAssignment[],
+): boolean {
+    for (const assignment of assignments) {
+        const domain = assignment.runner.failureDomain;
+        if (assignment !== from && assignment.versions.has(version) && domain !== to.runner.failureDomain) {
             return true;
         }
     }
     return false;
 }
 
-function add(version: string, seat: Seat, placement: ReadonlyMap<string, Set<string>>): void {
-    seat.versions.add(version);
-    placement.get(version)?.add(seat.runner.id);
+function assign(version: string, assignment: RunnerAssignment, placement: ReadonlyMap<string, Set<string>>): void {
+    assignment.versions.add(version);
+    placement.get(version)?.add(assignment.runner.id);
 }
 
-function remove(version: string, seat: Seat, placement: ReadonlyMap<string, Set<string>>): void {
-    seat.versions.delete(version);
-    placement.get(version)?.delete(seat.runner.id);
+function unassign(version: string, assignment: RunnerAssignment, placement: ReadonlyMap<string, Set<string>>): void {
+    assignment.versions.delete(version);
+    placement.get(version)?.delete(assignment.runner.id);
 }
 
-interface Taking {
+interface CopyAssignment {
     readonly id: string;
     readonly placement: Map<string, Set<string>>;
-    readonly seats: readonly Seat[];
+    readonly assignments: readonly RunnerAssignment[];
     readonly count: number;
     readonly request: LoadingRequest;
 }
 
 /** Places a version on runners, from one failure domain after the other, until it has its number of copies. */
-function take({ id, placement, seats, count, request }: Taking): void {
-    const taken = placement.get(id) ?? new Set<string>();
-    const domains = countDomains(request.runners, taken);
+function assignCopies({ id, placement, assignments, count, request }: CopyAssignment): void {
+    const assigned = placement.get(id) ?? new Set<string>();
+    const domains = countDomains(request.runners, assigned);
     const queues = groupByDomain(
-        seats,
-        seat => !taken.has(seat.runner.id) && seat.versions.size < request.versionsPerRunner,
+        assignments,
+        assignment => !assigned.has(assignment.runner.id) && assignment.versions.size < request.versionsPerRunner,
         request.versionsPerRunner,
     );
     for (;;) {
-        const domain = findLeast(queues, domains);
-        const isSpread = domains.size >= leastDomains || domain === undefined || domains.has(domain);
+        const domain = findLeastCoveredDomain(queues, domains);
+        const isSpread = domains.size >= minFailureDomains || domain === undefined || domains.has(domain);
         // A version whose copies all lie in one failure domain gets one more elsewhere, beyond its number.
-        if (domain === undefined || taken.size >= count && (isSpread || count < leastDomains)) {
+        if (domain === undefined || assigned.size >= count && (isSpread || count < minFailureDomains)) {
             return;
         }
-        const seat = queues.get(domain)?.shift();
-        if (seat === undefined) {
+        const assignment = queues.get(domain)?.shift();
+        if (assignment === undefined) {
             return;
         }
-        seat.versions.add(id);
-        taken.add(seat.runner.id);
+        assignment.versions.add(id);
+        assigned.add(assignment.runner.id);
         domains.set(domain, (domains.get(domain) ?? 0) + 1);
     }
 }
 
 /** Groups runners by failure domain, in each the emptiest first. */
 function groupByDomain(
-    seats: readonly Seat[],
-    isFree: (seat: Seat) => boolean,
+    assignments: readonly RunnerAssignment[],
+    isFree: (assignment: RunnerAssignment) => boolean,
     versionsPerRunner: number,
-): ReadonlyMap<string, Seat[]> {
-    const groups = new Map<string, Seat[]>();
-    for (const seat of seats) {
-        if (isFree(seat)) {
-            const group = groups.get(seat.runner.failureDomain);
+): ReadonlyMap<string, RunnerAssignment[]> {
+    const groups = new Map<string, RunnerAssignment[]>();
+    for (const assignment of assignments) {
+        if (isFree(assignment)) {
+            const group = groups.get(assignment.runner.failureDomain);
             if (group === undefined) {
-                groups.set(seat.runner.failureDomain, [seat]);
+                groups.set(assignment.runner.failureDomain, [assignment]);
             }
             else {
-                group.push(seat);
+                group.push(assignment);
             }
         }
     }
@@ -189,37 +197,37 @@
     return groups;
 }
 
-function isFull({ runner }: Seat, versionsPerRunner: number): boolean {
+function isFull({ runner }: RunnerAssignment, versionsPerRunner: number): boolean {
     return runner.versions.length >= versionsPerRunner;
 }
 
 /** Finds the failure domain with the fewest copies that has a runner left; of equal ones, that with the emptiest. */
-function findLeast(
-    queues: ReadonlyMap<string, readonly Seat[]>,
+function findLeastCoveredDomain(
+    queues: ReadonlyMap<string, readonly RunnerAssignment[]>,
     domains: ReadonlyMap<string, number>,
 ): string | undefined {
-    let least: string | undefined;
-    let leastCount = 0;
-    let leastSize = 0;
+    let leastCovered: string | undefined;
+    let minCount = 0;
+    let minSize = 0;
     for (const [domain, queue] of queues) {
         if (queue.length === 0) {
             continue;
         }
         const count = domains.get(domain) ?? 0;
         const { size } = queue[0].versions;
-        if (least === undefined || count < leastCount || count === leastCount && size < leastSize) {
-            least = domain;
-            leastCount = count;
-            leastSize = size;
+        if (leastCovered === undefined || count < minCount || count === minCount && size < minSize) {
+            leastCovered = domain;
+            minCount = count;
+            minSize = size;
         }
     }
-    return least;
+    return leastCovered;
 }
 
-function countDomains(runners: readonly LoadingRunner[], taken: ReadonlySet<string>): Map<string, number> {
+function countDomains(runners: readonly LoadingRunner[], assigned: ReadonlySet<string>): Map<string, number> {
     const domains = new Map<string, number>();
     for (const { id, failureDomain } of runners) {
-        if (taken.has(id)) {
+        if (assigned.has(id)) {
             domains.set(failureDomain, (domains.get(failureDomain) ?? 0) + 1);
         }
     }
--- a/src/decisions/model/answerTimes.ts
+++ b/src/decisions/model/answerTimes.ts
@@ -12,19 +12,19 @@
  * Age after which a time is forgotten. A version that was slow for a while is used less, so that it gives no new times:
  * its old ones would keep it out for good.
  */
-const keptMilliseconds = 60_000;
+const maxAgeMilliseconds = 60_000;
 /** Classes that are kept. Callers name them, so there may be any number. */
-const maximumClasses = 1024;
+const maxClasses = 1024;
 
 /** Times of one answer, in milliseconds. */
 export interface AnswerTime {
     readonly firstToken: number;
-    readonly whole: number;
+    readonly total: number;
 }
 
 interface VersionTimes {
     readonly firstToken: SmoothedTime;
-    readonly whole: SmoothedTime;
+    readonly total: SmoothedTime;
 }
 
 /** Learns how long answers take. */
@@ -47,13 +47,13 @@
     add(version: string, requestClass: string, time: AnswerTime): void {
         const now = this.#clock.monotonic();
         const versions = this.#classes.get(requestClass) ?? new Map<string, VersionTimes>();
-        const times = versions.get(version) ?? { firstToken: new SmoothedTime(), whole: new SmoothedTime() };
+        const times = versions.get(version) ?? { firstToken: new SmoothedTime(), total: new SmoothedTime() };
         times.firstToken.add(time.firstToken, now);
-        times.whole.add(time.whole, now);
+        times.total.add(time.total, now);
         versions.set(version, times);
         this.#classes.delete(requestClass);
         this.#classes.set(requestClass, versions);
-        if (this.#classes.size > maximumClasses) {
+        if (this.#classes.size > maxClasses) {
             this.#classes.delete(this.#classes.keys().next().value as string);
         }
     }
@@ -74,18 +74,18 @@
      * @param first - Identifier of the version that answers first.
      * @param second - Identifier of the version that answers what the first one did not answer well.
      */
-    getHoldMilliseconds(requestClass: string, first: string, second: string): number | undefined {
+    getCascadeWaitMilliseconds(requestClass: string, first: string, second: string): number | undefined {
         const versions = this.#classes.get(requestClass);
         if (versions === undefined) {
             return undefined;
         }
         const now = this.#clock.monotonic();
-        const whole = getHigh(versions, first, times => times.whole.getHigh(now));
-        const firstToken = getHigh(versions, second, times => times.firstToken.getHigh(now));
-        if (whole === undefined || firstToken === undefined) {
+        const total = getUpperBoundOrLongest(versions, first, times => times.total.getUpperBound(now));
+        const firstToken = getUpperBoundOrLongest(versions, second, times => times.firstToken.getUpperBound(now));
+        if (total === undefined || firstToken === undefined) {
             return undefined;
         }
-        return whole + (this.#rating.getHigh(now) ?? 0) + firstToken;
+        return total + (this.#rating.getUpperBound(now) ?? 0) + firstToken;
     }
 }
 
@@ -95,7 +95,7 @@
     #addedAt = -Infinity;
 
     add(milliseconds: number, now: number): void {
-        if (now - this.#addedAt > keptMilliseconds) {
+        if (now - this.#addedAt > maxAgeMilliseconds) {
             this.#mean = milliseconds;
             this.#deviation = milliseconds / 2;
         }
@@ -107,23 +107,23 @@
     }
 
     /** Returns the time within which about 95 in 100 stay, or `undefined` without a recent one. */
-    getHigh(now: number): number | undefined {
-        return now - this.#addedAt > keptMilliseconds
+    getUpperBound(now: number): number | undefined {
+        return now - this.#addedAt > maxAgeMilliseconds
             ? undefined
             : this.#mean + highDeviations * this.#deviation;
     }
 }
 
 /** Gets a time of a version, or the longest of its class when it has none of its own. */
-function getHigh(
+function getUpperBoundOrLongest(
     versions: ReadonlyMap<string, VersionTimes>,
     version: string,
     select: (times: VersionTimes) => number | undefined,
 ): number | undefined {
     const own = versions.get(version);
-    const known = own === undefined ? undefined : select(own);
-    if (known !== undefined) {
-        return known;
+    const ownTime = own === undefined ? undefined : select(own);
+    if (ownTime !== undefined) {
+        return ownTime;
     }
     let longest: number | undefined;
     for (const times of versions.values()) {
--- a/src/decisions/model/bucketSeries.ts
+++ b/src/decisions/model/bucketSeries.ts
@@ -70,12 +70,12 @@
             if (members.length <= bucketsPerLevel) {
                 continue;
             }
-            this.#raise(members[0]);
+            this.#mergeIntoCoarserLevel(members[0]);
         }
     }
 
     /** Moves the oldest bucket of a level into the next coarser one; drops it at the coarsest level. */
-    #raise(oldest: Bucket): void {
+    #mergeIntoCoarserLevel(oldest: Bucket): void {
         const width = 2 ** (oldest.level + 1);
         const start = Math.floor(oldest.start / width) * width;
         const covered = this.#buckets.filter(bucket => bucket.start >= start && bucket.start < start + width);
--- a/src/decisions/model/cellCounts.ts
+++ b/src/decisions/model/cellCounts.ts
@@ -9,10 +9,10 @@
 const priorScoreVariance = 0.04;
 const priorScoreWeight = 4;
 /** Ratings after a supposed change that are needed to believe in it. */
-const minimumChangeRatings = 20;
+const minChangeRatings = 20;
 /** Standard errors by which older scores must differ from newer ones to be left out: more, if the change is welcome. */
-const worseErrors = 4;
-const betterErrors = 5;
+const worseStandardErrors = 4;
+const betterStandardErrors = 5;
 
 /** The counts of a version in a class as they were read. */
 export interface CellCounts {
@@ -69,13 +69,13 @@
 }
 
 function isChanged(newer: Moments, older: Moments): boolean {
-    if (newer.ratings < minimumChangeRatings || older.ratings < minimumChangeRatings) {
+    if (newer.ratings < minChangeRatings || older.ratings < minChangeRatings) {
         return false;
     }
     const difference = newer.scoreSum / newer.ratings - older.scoreSum / older.ratings;
     const variance = getScoreVariance(newer) / newer.ratings + getScoreVariance(older) / older.ratings;
-    const errors = difference / Math.sqrt(variance);
-    return errors < -worseErrors || errors > betterErrors;
+    const standardErrors = difference / Math.sqrt(variance);
+    return standardErrors < -worseStandardErrors || standardErrors > betterStandardErrors;
 }
 
 /** Gets the variance of single scores, drawn towards what is assumed while there are few. */
@@ -83,6 +83,6 @@
     if (ratings === 0) {
         return priorScoreVariance;
     }
-    const spread = Math.max(0, binSquareSum - binSum * binSum / ratings) / scoreSteps ** 2;
-    return (spread + priorScoreWeight * priorScoreVariance) / (ratings + priorScoreWeight);
+    const squaredDeviations = Math.max(0, binSquareSum - binSum * binSum / ratings) / scoreSteps ** 2;
+    return (squaredDeviations + priorScoreWeight * priorScoreVariance) / (ratings + priorScoreWeight);
 }
--- a/src/decisions/model/hardness.ts
+++ b/src/decisions/model/difficulty.ts
@@ -20,7 +20,7 @@
 }
 
 /** How a class's hard requests spoil the second answer. */
-export interface Hardness {
+export interface Difficulty {
     /** Loss of the second answer for each unit by which the first one fell short of its mean. */
     readonly slope: number;
     readonly slopeDeviation: number;
@@ -48,17 +48,17 @@
         }
         const firstMean = firstSum / count;
         const secondMean = secondSum / count;
-        for (const [bin, seen] of counts.entries()) {
+        for (const [bin, binCount] of counts.entries()) {
             const distance = bin / scoreSteps - firstMean;
-            squares += seen * distance * distance;
-            products += distance * (sums[bin] / escalationSumUnit - seen * secondMean);
+            squares += binCount * distance * distance;
+            products += distance * (sums[bin] / escalationSumUnit - binCount * secondMean);
         }
     }
     return { squares, products };
 }
 
 /** Estimates the slope from the sums of all classes. */
-export function getHardness(all: Iterable<SlopeSums>, pairs: readonly EscalationCounts[]): Hardness {
+export function estimateDifficulty(all: Iterable<SlopeSums>, pairs: readonly EscalationCounts[]): Difficulty {
     const priorSquares = (secondScoreDeviation / priorSlopeDeviation) ** 2;
     let squares = priorSquares;
     let products = priorSquares * priorSlope;
@@ -76,27 +76,27 @@
  * @param getFirstMean - The mean of a version that answered first, `undefined` if it isn't known.
  */
 export function getPairedMeans(
-    hardness: Hardness,
+    difficulty: Difficulty,
     getFirstMean: (version: string) => number | undefined,
 ): ReadonlyMap<string, PairedMean> {
     const means = new Map<string, PairedMean>();
-    for (const { first, second, counts, sums } of hardness.pairs) {
+    for (const { first, second, counts, sums } of difficulty.pairs) {
         const firstMean = getFirstMean(first);
         const { count, firstSum, secondSum } = sumPair(counts, sums);
         if (firstMean === undefined || count === 0) {
             continue;
         }
         const shortfall = firstMean - firstSum / count;
-        const mean = secondSum / count + hardness.slope * shortfall;
-        const variance = secondScoreDeviation ** 2 / count + (hardness.slopeDeviation * shortfall) ** 2
+        const mean = secondSum / count + difficulty.slope * shortfall;
+        const variance = secondScoreDeviation ** 2 / count + (difficulty.slopeDeviation * shortfall) ** 2
             + pairDeviation ** 2;
-        means.set(second, combine(means.get(second), { mean, precision: 1 / variance }));
+        means.set(second, combineByPrecision(means.get(second), { mean, precision: 1 / variance }));
     }
     return means;
 }
 
 /** Combines two means by their precisions. */
-export function combine(one: PairedMean | undefined, other: PairedMean): PairedMean {
+export function combineByPrecision(one: PairedMean | undefined, other: PairedMean): PairedMean {
     if (one === undefined || one.precision === 0) {
         return other;
     }
@@ -108,9 +108,9 @@
     let count = 0;
     let firstSum = 0;
     let secondSum = 0;
-    for (const [bin, seen] of counts.entries()) {
-        count += seen;
-        firstSum += seen * bin / scoreSteps;
+    for (const [bin, binCount] of counts.entries()) {
+        count += binCount;
+        firstSum += binCount * bin / scoreSteps;
         secondSum += sums[bin] / escalationSumUnit;
     }
     return { count, firstSum, secondSum };
--- a/src/decisions/model/escalations.ts
+++ b/src/decisions/model/escalations.ts
@@ -60,11 +60,11 @@
 
     /** Adds another node's counts of one class. */
     merge(other: Escalations, requestClass: string): void {
-        for (const theirs of other.#classes.get(requestClass)?.values() ?? []) {
-            const pair = this.#getPair(theirs.first, theirs.second, requestClass);
+        for (const otherPair of other.#classes.get(requestClass)?.values() ?? []) {
+            const pair = this.#getPair(otherPair.first, otherPair.second, requestClass);
             for (let bin = 0; bin <= scoreSteps; bin += 1) {
-                pair.counts[bin] += theirs.counts[bin];
-                pair.sums[bin] += theirs.sums[bin];
+                pair.counts[bin] += otherPair.counts[bin];
+                pair.sums[bin] += otherPair.sums[bin];
             }
         }
     }
--- a/src/decisions/model/evidence.ts
+++ b/src/decisions/model/evidence.ts
@@ -103,7 +103,7 @@
     readonly #others = new Map<string, NodeCounts>();
     #revision = 0;
     /** The revision when a node's counts were last dropped. */
-    #dropped = 0;
+    #droppedAtRevision = 0;
     #lastRatingAt: number | undefined;
 
     constructor(options: EvidenceOptions) {
@@ -150,7 +150,7 @@
      */
     addEscalation(escalation: EscalationInput): void {
         this.#own.escalations.add(escalation);
-        this.#touchOwn();
+        this.#incrementOwnSequence();
     }
 
     /**
@@ -220,7 +220,7 @@
         for (const node of this.#getNodes()) {
             revision += node.cells.get(version)?.get(requestClass)?.revision ?? 0;
         }
-        return revision + this.#dropped;
+        return revision + this.#droppedAtRevision;
     }
 
     /** Gets the buckets of all nodes for a version and class, in no particular order. */
@@ -248,7 +248,7 @@
     }
 
     /** Gets the merged counts of a version and class with old ones weighing less. */
-    getRecent(version: string, requestClass: string): Tally {
+    getDecayedTally(version: string, requestClass: string): Tally {
         const total = new Tally();
         for (const bucket of this.getBuckets(version, requestClass)) {
             total.add(bucket.tally, this.getWeight(bucket));
@@ -276,7 +276,7 @@
     }
 
     #getOwnTally(input: { version: string; requestClass: string; answeredAt?: number; }): Tally {
-        this.#touchOwn();
+        this.#incrementOwnSequence();
         const classes = getOrInsert(this.#own.cells, input.version, () => new Map<string, Cell>());
         const cell = getOrInsert(classes, input.requestClass, createCell);
         cell.sequence = this.#own.sequence;
@@ -284,7 +284,7 @@
         return cell.series.getTally(this.getEpoch(input.answeredAt ?? this.#clock.wall()));
     }
 
-    #touchOwn(): void {
+    #incrementOwnSequence(): void {
         this.#own.sequence += 1;
         this.#revision += 1;
     }
@@ -300,7 +300,7 @@
             if (node.departed && getNewestEpoch(node) < oldest) {
                 this.#others.delete(origin);
                 this.#revision += 1;
-                this.#dropped = this.#revision;
+                this.#droppedAtRevision = this.#revision;
             }
         }
     }
--- a/src/decisions/model/plan.ts
+++ b/src/decisions/model/plan.ts
@@ -46,17 +46,18 @@
 /** Leaves out every plan that another one undercuts for requests of any size. */
 export function getUndominated(options: readonly PlanOption[]): readonly PlanOption[] {
     const sorted = [...options].sort((left, right) => left.inputPrice - right.inputPrice);
-    const kept: PlanOption[] = [];
+    const undominated: PlanOption[] = [];
     for (const option of sorted) {
         // In this order the one kept last is the one that most often undercuts the next.
         if (
-            kept.length === 0
-            || !dominates(kept[kept.length - 1], option) && !kept.some(other => dominates(other, option))
+            undominated.length === 0
+            || !dominates(undominated[undominated.length - 1], option)
+                && !undominated.some(other => dominates(other, option))
         ) {
-            kept.push(option);
+            undominated.push(option);
         }
     }
-    return kept;
+    return undominated;
 }
 
 function dominates(one: PlanOption, other: PlanOption): boolean {
--- a/src/decisions/model/planChoice.ts
+++ b/src/decisions/model/planChoice.ts
@@ -7,7 +7,7 @@
 import { getPlanCost, type Plan, type PlanOption } from "./plan.js";
 
 /** Less quality given up is not told apart. */
-const leastLoss = 0.001;
+const minLoss = 0.001;
 
 const quantiles = new Map<number, number>();
 
@@ -20,7 +20,7 @@
  * Gets the quality by which saved surplus is reckoned: halfway from the expected quality to its lower bound. Reckoned by
  * the lower bound, the cheapest sure plan, which just meets the target, would hardly ever earn what a try costs.
  */
-export function getLikelyQuality(option: PlanOption, confidence: number): number {
+export function getConservativeQuality(option: PlanOption, confidence: number): number {
     return option.quality - getQuantile(confidence) * option.deviation / 2;
 }
 
@@ -37,24 +37,24 @@
  * Gets the option with the highest expected quality. The lower bound would not do here: it favours a version that is
  * well known to miss the target over one that nobody has tried yet.
  */
-export function getSurest(options: readonly PlanOption[]): PlanOption {
-    let surest = options[0];
+export function getHighestQuality(options: readonly PlanOption[]): PlanOption {
+    let highest = options[0];
     for (const option of options) {
-        if (option.quality > surest.quality) {
-            surest = option;
+        if (option.quality > highest.quality) {
+            highest = option;
         }
     }
-    return surest;
+    return highest;
 }
 
 /** Gets the options that are no less sure than one, as far as the target asks for it. */
-export function getNoLessSure(
+export function getNoWorse(
     options: readonly PlanOption[],
-    surest: PlanOption,
+    reference: PlanOption,
     { targetQuality, confidence }: ModelRequest,
 ): readonly PlanOption[] {
-    const lower = Math.min(targetQuality, getLowerBound(surest, confidence));
-    const mean = Math.min(targetQuality, surest.quality);
+    const lower = Math.min(targetQuality, getLowerBound(reference, confidence));
+    const mean = Math.min(targetQuality, reference.quality);
     return options.filter(option => option.quality >= mean && getLowerBound(option, confidence) >= lower);
 }
 
@@ -94,31 +94,31 @@
  * @param best - The plan that is used otherwise.
  * @param credit - Saved surplus quality that may be spent.
  */
-export function getThriftiest(
+export function getMostCostEffective(
     options: readonly PlanOption[],
     best: PlanOption,
     request: ModelRequest,
     credit: number,
 ): PlanOption | undefined {
-    let thriftiest: PlanOption | undefined;
+    let mostCostEffective: PlanOption | undefined;
     let highest = 0;
     for (const option of options) {
-        const thrift = getThrift(option, best, request);
-        const debit = request.targetQuality - getLikelyQuality(option, request.confidence);
-        if (thrift > highest && debit <= credit) {
-            thriftiest = option;
-            highest = thrift;
+        const savingPerLoss = getSavingPerLoss(option, best, request);
+        const debit = request.targetQuality - getConservativeQuality(option, request.confidence);
+        if (savingPerLoss > highest && debit <= credit) {
+            mostCostEffective = option;
+            highest = savingPerLoss;
         }
     }
-    return thriftiest;
+    return mostCostEffective;
 }
 
 /** Gets the saved cost by the quality given up. */
-function getThrift(option: PlanOption, best: PlanOption, request: ModelRequest): number {
+function getSavingPerLoss(option: PlanOption, best: PlanOption, request: ModelRequest): number {
     const { inputTokens, outputTokens, confidence } = request;
     const saved = getPlanCost(best, inputTokens, outputTokens) - getPlanCost(option, inputTokens, outputTokens);
-    const lost = getLikelyQuality(best, confidence) - getLikelyQuality(option, confidence);
-    return saved / Math.max(leastLoss, lost);
+    const lost = getConservativeQuality(best, confidence) - getConservativeQuality(option, confidence);
+    return saved / Math.max(minLoss, lost);
 }
 
 /** Gets how likely an option meets the target, and how much it is expected to fall short of it. */
@@ -146,7 +146,7 @@
 
 /** Gets the surplus quality that a plan spends; a negative one is earned. */
 export function getDebit(option: PlanOption, { targetQuality, confidence }: ModelRequest): number {
-    return targetQuality - getLikelyQuality(option, confidence);
+    return targetQuality - getConservativeQuality(option, confidence);
 }
 
 /** Makes the plan for a request from an option. */
@@ -161,10 +161,10 @@
 }
 
 /** Gets why a plan was chosen, for logs and `rattanlock status`. */
-export function getReason(option: PlanOption, margin: number, ratings: boolean): string {
+export function getReason(option: PlanOption, margin: number, hasRatings: boolean): string {
     if (margin < 0) {
         return `surest ${option.steps.length > 1 ? "cascade" : "version"}, since nothing is known to meet the target`;
     }
     const kind = option.steps.length > 1 ? "cheapest cascade" : "cheapest version";
-    return ratings ? `${kind} that meets the target` : `${kind} that meets the target, without ratings`;
+    return hasRatings ? `${kind} that meets the target` : `${kind} that meets the target, without ratings`;
 }
--- a/src/decisions/model/planOptions.ts
+++ b/src/decisions/model/planOptions.ts
@@ -1,17 +1,17 @@
 /**
  * Forms every plan worth weighing for a class: each single version, and each cascade of two with its thresholds.
  */
+import { type Difficulty, secondScoreDeviation } from "./difficulty.js";
 import { type EscalationCounts, escalationSumUnit } from "./escalations.js";
-import type { Estimate } from "./estimate.js";
-import { type Hardness, secondScoreDeviation } from "./hardness.js";
 import type { PlanOption } from "./plan.js";
-import { getScoreShape, shapeWeight } from "./scoreShape.js";
+import type { QualityEstimate } from "./qualityEstimate.js";
+import { getScoreDistribution, priorDistributionWeight } from "./scoreDistribution.js";
 import { scoreSteps } from "./tally.js";
 
 /** A threshold at a bin with a smaller share of the scores is as good as the next one. */
-const minimumShare = 0.001;
+const minBinShare = 0.001;
 /** Accept thresholds that are weighed, in bins. */
-const firstThreshold = 8;
+const minThresholdBin = 8;
 /** What the forming of plans depends on besides evidence. */
 export interface PlanSettings {
     /** Share of a single score's distance from the mean that is the answer's and not the rating's noise. */
@@ -23,7 +23,7 @@
 }
 
 /** Forms the plan of one version alone. */
-export function getSingleOption(estimate: Estimate): PlanOption {
+export function getSingleOption(estimate: QualityEstimate): PlanOption {
     return {
         steps: [{ version: estimate.version, acceptScore: undefined }],
         inputPrice: estimate.version.inputPrice,
@@ -38,75 +38,89 @@
  * Forms the cascades from one version to another.
  * @param first - The version that answers first.
  * @param second - The version that answers what the first one didn't answer well.
- * @param hardness - How much worse the second one does on such requests.
+ * @param difficulty - How much worse the second one does on such requests.
  */
 export function getCascadeOptions(
-    first: Estimate,
-    second: Estimate,
-    hardness: Hardness,
+    first: QualityEstimate,
+    second: QualityEstimate,
+    difficulty: Difficulty,
     settings: PlanSettings,
 ): readonly PlanOption[] {
-    const pair = hardness.pairs.find(({ first: one, second: other }) =>
+    const pair = difficulty.pairs.find(({ first: one, second: other }) =>
         one === first.version.id && other === second.version.id
     );
     const options: PlanOption[] = [];
-    const { shares, mean } = getScoreShape(first);
-    let accepted = 0;
+    const { shares, mean } = getScoreDistribution(first);
+    let acceptedShare = 0;
     let acceptedScores = 0;
     let acceptedSum = 0;
     let acceptedSquares = 0;
-    for (let bin = scoreSteps; bin >= firstThreshold; bin -= 1) {
+    for (let bin = scoreSteps; bin >= minThresholdBin; bin -= 1) {
         const share = shares[bin];
         const quality = mean + settings.ratingReliability * (bin / scoreSteps - mean);
-        accepted += share;
+        acceptedShare += share;
         acceptedScores += share * bin / scoreSteps;
         acceptedSum += share * quality;
         acceptedSquares += share * quality * quality;
-        if (share > minimumShare && accepted < 1) {
-            const rejectedScore = (mean - acceptedScores) / (1 - accepted);
-            const hard = getHardQuality(
+        if (share > minBinShare && acceptedShare < 1) {
+            const rejectedScore = (mean - acceptedScores) / (1 - acceptedShare);
+            const escalatedQuality = getEscalatedQuality(
                 second,
                 Math.max(0, mean - rejectedScore),
-                hardness,
-                getSeenBelow(pair, bin),
+                difficulty,
+                sumEscalationsBelow(pair, bin),
+            );
+            options.push(
+                createCascade({
+                    first,
+                    second,
+                    bin,
+                    acceptedShare,
+                    acceptedSum,
+                    acceptedSquares,
+                    escalatedQuality,
+                    settings,
+                }),
             );
-            options.push(formCascade({ first, second, bin, accepted, acceptedSum, acceptedSquares, hard, settings }));
         }
     }
     return options;
 }
 
 interface CascadeParts {
-    readonly first: Estimate;
-    readonly second: Estimate;
+    readonly first: QualityEstimate;
+    readonly second: QualityEstimate;
     readonly bin: number;
-    readonly accepted: number;
+    readonly acceptedShare: number;
     readonly acceptedSum: number;
     readonly acceptedSquares: number;
-    readonly hard: HardQuality;
+    readonly escalatedQuality: EscalatedQuality;
     readonly settings: PlanSettings;
 }
 
-function formCascade(parts: CascadeParts): PlanOption {
-    const { first, second, accepted, acceptedSum, acceptedSquares, hard, settings } = parts;
-    const rated = settings.ratedShare;
-    const escalated = 1 - rated * accepted;
-    const rejected = 1 - accepted;
-    const ratedQuality = acceptedSum + rejected * hard.quality;
-    const spread = Math.max(0, acceptedSquares + rejected * hard.quality ** 2 - ratedQuality ** 2);
-    const count = first.scores.ratings + shapeWeight;
-    const variance = rated ** 2 * (spread + first.scoreVariance / count) / count
-        + rejected ** 2 * hard.variance + (1 - rated) ** 2 * second.deviation ** 2;
+function createCascade(parts: CascadeParts): PlanOption {
+    const { first, second, acceptedShare, acceptedSum, acceptedSquares, escalatedQuality, settings } = parts;
+    const ratedShare = settings.ratedShare;
+    const escalatedShare = 1 - ratedShare * acceptedShare;
+    const rejectedShare = 1 - acceptedShare;
+    const ratedQuality = acceptedSum + rejectedShare * escalatedQuality.quality;
+    const qualityVariance = Math.max(
+        0,
+        acceptedSquares + rejectedShare * escalatedQuality.quality ** 2 - ratedQuality ** 2,
+    );
+    const count = first.scores.ratings + priorDistributionWeight;
+    const variance = ratedShare ** 2 * (qualityVariance + first.scoreVariance / count) / count
+        + rejectedShare ** 2 * escalatedQuality.variance + (1 - ratedShare) ** 2 * second.deviation ** 2;
     return {
         steps: [
             // Half a bin lower, so that every score of the bin is accepted.
             { version: first.version, acceptScore: (parts.bin - 0.5) / scoreSteps },
             { version: second.version, acceptScore: undefined },
         ],
-        inputPrice: first.version.inputPrice + escalated * second.version.inputPrice,
-        outputPrice: first.version.outputPrice + escalated * second.version.outputPrice,
+        inputPrice: first.version.inputPrice + escalatedShare * second.version.inputPrice,
+        outputPrice: first.version.outputPrice + escalatedShare * second.version.outputPrice,
         fixedPrice: settings.ratingPrice,
-        quality: rated * ratedQuality + (1 - rated) * second.mean,
+        quality: ratedShare * ratedQuality + (1 - ratedShare) * second.mean,
         deviation: Math.sqrt(variance),
     };
 }
@@ -116,36 +130,41 @@
  * the hardness of the class lets expect, or that corrected by what this pair of versions has shown, whichever is surer.
  * What all escalations tell about the second version has this pair's in it, so that both together would count them twice.
  */
-function getHardQuality(second: Estimate, shortfall: number, hardness: Hardness, seen: SeenEscalations): HardQuality {
-    const lineVariance = (hardness.slopeDeviation * shortfall) ** 2;
-    const loss = hardness.slope * shortfall;
-    const expected = { quality: Math.max(0, second.mean - loss), variance: second.deviation ** 2 + lineVariance };
-    if (seen.count === 0) {
+function getEscalatedQuality(
+    second: QualityEstimate,
+    shortfall: number,
+    difficulty: Difficulty,
+    observed: EscalationSums,
+): EscalatedQuality {
+    const slopeVariance = (difficulty.slopeDeviation * shortfall) ** 2;
+    const loss = difficulty.slope * shortfall;
+    const expected = { quality: Math.max(0, second.mean - loss), variance: second.deviation ** 2 + slopeVariance };
+    if (observed.count === 0) {
         return expected;
     }
-    const directPrecision = 1 / (second.directDeviation ** 2 + lineVariance);
-    const seenPrecision = seen.count / secondScoreDeviation ** 2;
-    const precision = directPrecision + seenPrecision;
+    const directPrecision = 1 / (second.directDeviation ** 2 + slopeVariance);
+    const observedPrecision = observed.count / secondScoreDeviation ** 2;
+    const precision = directPrecision + observedPrecision;
     const direct = Math.max(0, second.directMean - loss);
     const corrected = {
-        quality: (directPrecision * direct + seenPrecision * seen.sum / seen.count) / precision,
+        quality: (directPrecision * direct + observedPrecision * observed.sum / observed.count) / precision,
         variance: 1 / precision,
     };
     return corrected.variance < expected.variance ? corrected : expected;
 }
 
-interface HardQuality {
+interface EscalatedQuality {
     readonly quality: number;
     readonly variance: number;
 }
 
 /** Escalations of one pair whose first score was below a bin. */
-interface SeenEscalations {
+interface EscalationSums {
     readonly count: number;
     readonly sum: number;
 }
 
-function getSeenBelow(pair: EscalationCounts | undefined, bin: number): SeenEscalations {
+function sumEscalationsBelow(pair: EscalationCounts | undefined, bin: number): EscalationSums {
     let count = 0;
     let sum = 0;
     for (let lower = 0; lower < bin && pair !== undefined; lower += 1) {
--- a/src/decisions/model/estimate.ts
+++ b/src/decisions/model/qualityEstimate.ts
@@ -5,7 +5,7 @@
 import type { WeightedScores } from "./moments.js";
 
 /** What is known of a version in a class. */
-export interface Estimate {
+export interface QualityEstimate {
     readonly version: ModelVersion;
     /** Recent counts, old ones weighing less. */
     readonly scores: WeightedScores;
--- a/src/decisions/model/qualityModel.ts
+++ b/src/decisions/model/qualityModel.ts
@@ -9,26 +9,26 @@
 import type { Clock } from "../../common/index.js";
 import type { ModelVersion } from "../../world/index.js";
 import { type CellCounts, readCell } from "./cellCounts.js";
-import type { Estimate } from "./estimate.js";
-import type { Evidence } from "./evidence.js";
 import {
-    combine,
-    getHardness,
+    combineByPrecision,
+    type Difficulty,
+    estimateDifficulty,
     getPairedMeans,
     getSlopeSums,
-    type Hardness,
     type PairedMean,
     type SlopeSums,
-} from "./hardness.js";
+} from "./difficulty.js";
+import type { Evidence } from "./evidence.js";
+import type { QualityEstimate } from "./qualityEstimate.js";
 
 /** Standard deviation of how easy classes are, and of how far the operator misjudges versions. */
 const classDeviation = 0.15;
 const versionDeviation = 0.08;
 /** Standard deviation of the rest that is assumed at first, and how many pairs that assumption weighs. */
-const restDeviation = 0.08;
-const restWeight = 12;
-const minimumRestDeviation = 0.04;
-const maximumRestDeviation = 0.15;
+const residualDeviation = 0.08;
+const residualWeight = 12;
+const minResidualDeviation = 0.04;
+const maxResidualDeviation = 0.15;
 /** A rest beyond so many standard deviations tells nothing about other classes: that version is odd in this class. */
 const outlierDeviations = 2;
 
@@ -42,7 +42,7 @@
 
 /** What is known of one pair, and the effects that are worked out from it. */
 interface Cell {
-    readonly expected: number;
+    readonly expectedQuality: number;
     readonly counts: CellCounts;
     /** Mean and precision of its scores, those of escalated requests corrected for their hardness. */
     observed: PairedMean;
@@ -59,8 +59,8 @@
     readonly #classEffects = new Map<string, Effect>();
     readonly #versionEffects = new Map<string, Effect>();
     readonly #slopes = new Map<string, SlopeSums>();
-    readonly #hardness = new Map<string, Hardness>();
-    #restVariance = restDeviation ** 2;
+    readonly #difficulties = new Map<string, Difficulty>();
+    #residualVariance = residualDeviation ** 2;
 
     constructor(evidence: Evidence, clock: Clock) {
         this.#evidence = evidence;
@@ -84,7 +84,7 @@
     }
 
     /** Takes up a version's expected quality, and reads its counts if they never were. */
-    ensure(version: ModelVersion, requestClass: string): void {
+    ensureRead(version: ModelVersion, requestClass: string): void {
         const known = this.#classes.get(requestClass)?.get(version.id);
         if (known === undefined) {
             this.refresh(version, requestClass);
@@ -94,19 +94,19 @@
         }
     }
 
-    #setCell(version: ModelVersion, requestClass: string, cell: Omit<Cell, "expected">): void {
+    #setCell(version: ModelVersion, requestClass: string, cell: Omit<Cell, "expectedQuality">): void {
         let cells = this.#classes.get(requestClass);
         if (cells === undefined) {
             cells = new Map();
             this.#classes.set(requestClass, cells);
         }
-        cells.set(version.id, { ...cell, expected: version.expectedQuality });
+        cells.set(version.id, { ...cell, expectedQuality: version.expectedQuality });
     }
 
     /** Works out the effects of a class and its versions anew, after counts were read. */
     fit(requestClass: string, versions: readonly ModelVersion[]): void {
-        this.#takeEscalations(requestClass);
-        this.#restVariance = this.#getRestVariance();
+        this.#applyEscalations(requestClass);
+        this.#residualVariance = this.#estimateResidualVariance();
         this.#classEffects.set(requestClass, this.#getClassEffect(requestClass, undefined));
         for (const { id } of versions) {
             this.#versionEffects.set(id, this.#getVersionEffect(id, undefined));
@@ -114,12 +114,12 @@
     }
 
     /** Gets the posterior of a version in a class, whose counts were read before. */
-    getEstimate(version: ModelVersion, requestClass: string): Estimate {
-        const { counts, expected, observed } = this.#classes.get(requestClass)!.get(version.id)!;
+    getEstimate(version: ModelVersion, requestClass: string): QualityEstimate {
+        const { counts, expectedQuality, observed } = this.#classes.get(requestClass)!.get(version.id)!;
         const classEffect = this.#getClassEffect(requestClass, version.id);
         const versionEffect = this.#getVersionEffect(version.id, requestClass);
-        const priorMean = Math.min(1, Math.max(0, expected + classEffect.mean + versionEffect.mean));
-        const priorPrecision = 1 / (classEffect.variance + versionEffect.variance + this.#restVariance);
+        const priorMean = Math.min(1, Math.max(0, expectedQuality + classEffect.mean + versionEffect.mean));
+        const priorPrecision = 1 / (classEffect.variance + versionEffect.variance + this.#residualVariance);
         const precision = priorPrecision + observed.precision;
         const directPrecision = priorPrecision + counts.precision;
         return {
@@ -134,89 +134,89 @@
     }
 
     /** Gets how the hard requests of a class spoil the second answer. */
-    getHardness(requestClass: string): Hardness {
-        return this.#hardness.get(requestClass)!;
+    getDifficulty(requestClass: string): Difficulty {
+        return this.#difficulties.get(requestClass)!;
     }
 
-    #takeEscalations(requestClass: string): void {
+    #applyEscalations(requestClass: string): void {
         const pairs = this.#evidence.getEscalations(requestClass);
         this.#slopes.set(requestClass, getSlopeSums(pairs));
-        const hardness = getHardness(this.#slopes.values(), pairs);
-        this.#hardness.set(requestClass, hardness);
+        const difficulty = estimateDifficulty(this.#slopes.values(), pairs);
+        this.#difficulties.set(requestClass, difficulty);
         const cells = this.#classes.get(requestClass);
-        const paired = getPairedMeans(hardness, version => {
+        const paired = getPairedMeans(difficulty, version => {
             const counts = cells?.get(version)?.counts;
             return counts !== undefined && counts.precision > 0 ? counts.mean : undefined;
         });
         for (const [version, cell] of cells ?? []) {
             const own = paired.get(version);
-            cell.observed = own === undefined ? cell.counts : combine(cell.counts, own);
+            cell.observed = own === undefined ? cell.counts : combineByPrecision(cell.counts, own);
         }
     }
 
-    /** @param leftOut - A version whose own counts are not to be used. */
-    #getClassEffect(requestClass: string, leftOut: string | undefined): Effect {
-        const sum = new EffectSum(classDeviation, this.#restVariance);
-        for (const [version, { expected, observed }] of this.#classes.get(requestClass) ?? []) {
-            if (version !== leftOut && observed.precision > 0) {
+    /** @param excludedVersion - A version whose own counts are not to be used. */
+    #getClassEffect(requestClass: string, excludedVersion: string | undefined): Effect {
+        const sum = new EffectSum(classDeviation, this.#residualVariance);
+        for (const [version, { expectedQuality, observed }] of this.#classes.get(requestClass) ?? []) {
+            if (version !== excludedVersion && observed.precision > 0) {
                 const other = this.#versionEffects.get(version);
-                sum.add(observed.mean - expected - (other?.mean ?? 0), observed.precision, other?.variance);
+                sum.add(observed.mean - expectedQuality - (other?.mean ?? 0), observed.precision, other?.variance);
             }
         }
         return sum.getEffect();
     }
 
-    /** @param leftOut - A class whose own counts are not to be used. */
-    #getVersionEffect(version: string, leftOut: string | undefined): Effect {
-        const sum = new EffectSum(versionDeviation, this.#restVariance);
+    /** @param excludedClass - A class whose own counts are not to be used. */
+    #getVersionEffect(version: string, excludedClass: string | undefined): Effect {
+        const sum = new EffectSum(versionDeviation, this.#residualVariance);
         for (const [requestClass, cells] of this.#classes) {
             const cell = cells.get(version);
-            if (cell !== undefined && requestClass !== leftOut && cell.observed.precision > 0) {
+            if (cell !== undefined && requestClass !== excludedClass && cell.observed.precision > 0) {
                 const { mean, precision } = cell.observed;
                 const other = this.#classEffects.get(requestClass);
-                sum.add(mean - cell.expected - (other?.mean ?? 0), precision, other?.variance);
+                sum.add(mean - cell.expectedQuality - (other?.mean ?? 0), precision, other?.variance);
             }
         }
         return sum.getEffect();
     }
 
     /** Estimates the variance of the rest from the pairs that are known well. */
-    #getRestVariance(): number {
-        let squares = restWeight * restDeviation ** 2;
-        let weight = restWeight;
+    #estimateResidualVariance(): number {
+        let squares = residualWeight * residualDeviation ** 2;
+        let weight = residualWeight;
         for (const [name, cells] of this.#classes) {
             const classEffect = this.#classEffects.get(name);
-            for (const [version, { expected, observed }] of cells) {
+            for (const [version, { expectedQuality, observed }] of cells) {
                 const versionEffect = this.#versionEffects.get(version);
                 if (classEffect === undefined || versionEffect === undefined || observed.precision === 0) {
                     continue;
                 }
                 const noise = 1 / observed.precision;
-                const rest = observed.mean - expected - classEffect.mean - versionEffect.mean;
-                const share = this.#restVariance / (this.#restVariance + noise);
-                const bounded = Math.min(rest ** 2, maximumRestDeviation ** 2);
+                const residual = observed.mean - expectedQuality - classEffect.mean - versionEffect.mean;
+                const share = this.#residualVariance / (this.#residualVariance + noise);
+                const bounded = Math.min(residual ** 2, maxResidualDeviation ** 2);
                 squares += share * Math.max(0, bounded - noise);
                 weight += share;
             }
         }
         const variance = squares / weight;
-        return Math.min(maximumRestDeviation ** 2, Math.max(minimumRestDeviation ** 2, variance));
+        return Math.min(maxResidualDeviation ** 2, Math.max(minResidualDeviation ** 2, variance));
     }
 }
 
 /** Adds up what pairs tell about an effect that they share. */
 class EffectSum {
-    readonly #restVariance: number;
+    readonly #residualVariance: number;
     #precision: number;
     #sum = 0;
 
-    constructor(deviation: number, restVariance: number) {
-        this.#restVariance = restVariance;
+    constructor(deviation: number, residualVariance: number) {
+        this.#residualVariance = residualVariance;
         this.#precision = 1 / deviation ** 2;
     }
 
     add(difference: number, precision: number, otherVariance = 0): void {
-        const variance = this.#restVariance + 1 / precision + otherVariance;
+        const variance = this.#residualVariance + 1 / precision + otherVariance;
         const excess = Math.abs(difference - this.#sum / this.#precision) / Math.sqrt(variance + 1 / this.#precision);
         const weight = Math.min(1, outlierDeviations / Math.max(excess, 1e-9)) / variance;
         this.#sum += weight * difference;
--- a/src/decisions/placement/candidateSet.ts
+++ b/src/decisions/placement/candidateSet.ts
@@ -48,13 +48,13 @@
 
     /** Compares one runner, if it is fit. */
     addOne(runner: Runner, reason: PlacementReason): void {
-        if (this.#isFit(runner) && this.#serves(runner)) {
+        if (this.#isEligible(runner) && this.#serves(runner)) {
             this.#compare(runner, reason);
         }
     }
 
     /** Compares a few runners drawn at random, or all of a short list. */
-    addSome(runners: readonly Runner[], reason: PlacementReason): void {
+    addSample(runners: readonly Runner[], reason: PlacementReason): void {
         if (runners.length <= this.#options.choices) {
             this.#addAll(runners, reason);
             return;
@@ -62,7 +62,7 @@
         let found = 0;
         for (let draw = 0; draw < this.#options.choices * drawsPerChoice; draw += 1) {
             const runner = runners[this.#random.nextInteger(runners.length)];
-            if (this.#isFit(runner) && this.#isDrawn(runner)) {
+            if (this.#isEligible(runner) && this.#passesRamp(runner)) {
                 this.#compare(runner, reason);
                 found += 1;
             }
@@ -77,14 +77,14 @@
         const start = runners.length === 0 ? 0 : this.#random.nextInteger(runners.length);
         for (let step = 0; step < runners.length; step += 1) {
             const runner = runners[(start + step) % runners.length];
-            if (this.#isFit(runner) && this.#isDrawn(runner)) {
+            if (this.#isEligible(runner) && this.#passesRamp(runner)) {
                 this.#compare(runner, reason);
             }
         }
     }
 
     /** Compares a few runners whether ejected or not. */
-    addAny(runners: readonly Runner[]): void {
+    addIncludingEjected(runners: readonly Runner[]): void {
         const start = runners.length === 0 ? 0 : this.#random.nextInteger(runners.length);
         let found = 0;
         for (let step = 0; step < runners.length && found < this.#options.choices; step += 1) {
@@ -110,7 +110,7 @@
         };
     }
 
-    #isFit(runner: Runner): boolean {
+    #isEligible(runner: Runner): boolean {
         return !runner.isLeaving && !runner.health.isEjected(this.#now)
             && this.#request?.exclude.has(runner.vm.id) === false;
     }
@@ -122,7 +122,7 @@
     }
 
     /** A returning runner is passed over at first, more and more seldom, so that its cache and threads warm up. */
-    #isDrawn(runner: Runner): boolean {
+    #passesRamp(runner: Runner): boolean {
         const ramp = runner.health.getRamp(this.#now);
         return ramp >= 1 || this.#random.next() < ramp;
     }
--- a/src/decisions/placement/failures.ts
+++ b/src/decisions/placement/failures.ts
@@ -6,10 +6,10 @@
 
 /** Says that nobody serves what is asked for. */
 export function createUnavailable(request: PlacementRequest, retryAfterMilliseconds: number): Failure {
-    const wanted = request.version ?? request.pool ?? "any version";
+    const requested = request.version ?? request.pool ?? "any version";
     return new Failure({
         kind: "unavailable",
-        message: `No upstream serves ${wanted} now.`,
+        message: `No upstream serves ${requested} now.`,
         remedy: "Come back after the given time; if it lasts, load the version on a runner or add upstreams.",
         retryAfterMilliseconds,
     });
--- a/src/decisions/placement/health.ts
+++ b/src/decisions/placement/health.ts
@@ -3,9 +3,9 @@
  */
 import type { PlacementOptions } from "./options.js";
 
-const leastRamp = 0.1;
+const minRamp = 0.1;
 /** An ejected runner that then served this long is forgiven its earlier ejections. */
-const forgivenessMilliseconds = 60_000;
+const ejectionResetMilliseconds = 60_000;
 
 /** Health of one runner as one entry sees it. */
 export class Health {
@@ -30,13 +30,13 @@
             return 1;
         }
         const since = now - this.#ejectedUntil;
-        return Math.min(1, leastRamp + (1 - leastRamp) * since / this.#options.rampMilliseconds);
+        return Math.min(1, minRamp + (1 - minRamp) * since / this.#options.rampMilliseconds);
     }
 
     /** Notes a good answer. */
     addSuccess(now: number): void {
         this.#failures = 0;
-        if (now - this.#ejectedUntil > forgivenessMilliseconds) {
+        if (now - this.#ejectedUntil > ejectionResetMilliseconds) {
             this.#ejections = 0;
         }
     }
@@ -48,7 +48,7 @@
     }
 
     /** Notes whether an answer was far slower than the pool's, and returns how many there were in a row. */
-    addPace(isSlow: boolean): number {
+    recordLatency(isSlow: boolean): number {
         this.#slowAnswers = isSlow ? this.#slowAnswers + 1 : 0;
         return this.#slowAnswers;
     }
@@ -61,7 +61,7 @@
      */
     eject(now: number, draw: number): number {
         const base = this.#options.ejectionMilliseconds * 2 ** this.#ejections;
-        const duration = Math.min(this.#options.longestEjectionMilliseconds, base) * (0.75 + draw / 2);
+        const duration = Math.min(this.#options.maxEjectionMilliseconds, base) * (0.75 + draw / 2);
         this.#ejections += 1;
         this.#failures = 0;
         this.#slowAnswers = 0;
--- a/src/decisions/placement/loadEstimate.ts
+++ b/src/decisions/placement/loadEstimate.ts
@@ -13,11 +13,11 @@
 /** Load of one runner as one entry sees it. */
 export class LoadEstimate {
     /** Both grow with use: of 2,100 runners an entry uses few. */
-    readonly #times: number[] = [];
-    readonly #counts: number[] = [];
+    readonly #historyTimes: number[] = [];
+    readonly #historyCounts: number[] = [];
     #historyNext = 0;
-    #own = 0;
-    #othersAtMeasurement = 0;
+    #ownRequests = 0;
+    #otherRequestsAtMeasurement = 0;
     #measuredAt = Number.NEGATIVE_INFINITY;
     #reportedAt = Number.NEGATIVE_INFINITY;
     #acceptedAt = Number.NEGATIVE_INFINITY;
@@ -36,8 +36,8 @@
     }
 
     /** Returns how many requests this entry has on the runner. */
-    getOwn(): number {
-        return this.#own;
+    getOwnRequests(): number {
+        return this.#ownRequests;
     }
 
     /** Tells whether the runner has ever reported. */
@@ -50,10 +50,10 @@
      * @param change - 1 or -1.
      * @param now - Monotonic milliseconds.
      */
-    addOwn(change: 1 | -1, now: number): void {
-        this.#own += change;
-        this.#times[this.#historyNext % historyLength] = now;
-        this.#counts[this.#historyNext % historyLength] = this.#own;
+    changeOwnRequests(change: 1 | -1, now: number): void {
+        this.#ownRequests += change;
+        this.#historyTimes[this.#historyNext % historyLength] = now;
+        this.#historyCounts[this.#historyNext % historyLength] = this.#ownRequests;
         this.#historyNext += 1;
     }
 
@@ -75,15 +75,15 @@
         this.#reportedAt = report.measuredAt;
         this.#acceptedAt = now;
         if (measuredAt > this.#measuredAt) {
-            this.#set(report.running + report.waiting, report.capacity, measuredAt);
+            this.#applyMeasurement(report.running + report.waiting, report.capacity, measuredAt);
         }
         return true;
     }
 
     /** Takes in load that came with an answer just now. */
-    addFresh(load: number, capacity: number, now: number): void {
+    addAnswerLoad(load: number, capacity: number, now: number): void {
         this.#answeredAt = now;
-        this.#set(load, capacity, now);
+        this.#applyMeasurement(load, capacity, now);
     }
 
     /** Returns when load last came with an answer, in monotonic milliseconds. */
@@ -92,35 +92,35 @@
     }
 
     /** Returns the work of others at the time of the measurement. */
-    getOthersAtMeasurement(): number {
-        return this.#othersAtMeasurement;
+    getOtherRequestsAtMeasurement(): number {
+        return this.#otherRequestsAtMeasurement;
     }
 
     /**
      * Estimates the work of others now. A fresh report is believed; an old one fades into what is usual in the pool,
      * since others decide by the same late reports and all correct the same way.
      * @param now - Monotonic milliseconds.
-     * @param usual - The usual work of others on a runner of this capacity.
+     * @param poolAverage - The usual work of others on a runner of this capacity.
      * @param lifetime - Time constant of the fading, in milliseconds.
      */
-    getOthers(now: number, usual: number, lifetime: number): number {
-        const trust = Math.exp(-(now - this.#measuredAt) / lifetime);
-        return trust * this.#othersAtMeasurement + (1 - trust) * usual;
+    getOtherRequests(now: number, poolAverage: number, lifetime: number): number {
+        const reportWeight = Math.exp(-(now - this.#measuredAt) / lifetime);
+        return reportWeight * this.#otherRequestsAtMeasurement + (1 - reportWeight) * poolAverage;
     }
 
-    #set(load: number, capacity: number, measuredAt: number): void {
-        this.#othersAtMeasurement = Math.max(0, load - this.#getOwnAt(measuredAt));
+    #applyMeasurement(load: number, capacity: number, measuredAt: number): void {
+        this.#otherRequestsAtMeasurement = Math.max(0, load - this.#getOwnRequestsAt(measuredAt));
         this.#measuredAt = measuredAt;
         this.#capacity = Math.max(1, capacity);
     }
 
-    #getOwnAt(time: number): number {
+    #getOwnRequestsAt(time: number): number {
         const oldest = Math.max(0, this.#historyNext - historyLength);
         for (let index = this.#historyNext - 1; index >= oldest; index -= 1) {
-            if (this.#times[index % historyLength] <= time) {
-                return this.#counts[index % historyLength];
+            if (this.#historyTimes[index % historyLength] <= time) {
+                return this.#historyCounts[index % historyLength];
             }
         }
-        return oldest === 0 ? 0 : this.#counts[oldest % historyLength];
+        return oldest === 0 ? 0 : this.#historyCounts[oldest % historyLength];
     }
 }
--- a/src/decisions/placement/options.ts
+++ b/src/decisions/placement/options.ts
@@ -26,19 +26,19 @@
     readonly ejectAfterFailures: number;
     /** First ejection; each further one in a row is twice as long. */
     readonly ejectionMilliseconds: number;
-    readonly longestEjectionMilliseconds: number;
+    readonly maxEjectionMilliseconds: number;
     /** Time over which a returning runner goes from little work to its full part. */
     readonly rampMilliseconds: number;
     /** Greatest part of a pool that may be ejected at a time. */
-    readonly mostEjectedShare: number;
+    readonly maxEjectedShare: number;
     /** How many times slower than its pool a runner must be, again and again, to be ejected. */
     readonly outlierFactor: number;
     /** Slow answers in a row that make an outlier. */
     readonly outlierAnswers: number;
     /** Blocks that the table of prefixes keeps. */
-    readonly prefixTableSize: number;
+    readonly maxPrefixBlocks: number;
     /** Capacity of a runner that has not reported yet, in requests. */
-    readonly unknownCapacity: number;
+    readonly defaultCapacity: number;
 }
 
 /** The defaults. */
@@ -54,11 +54,11 @@
     spillOverMilliseconds: 400,
     ejectAfterFailures: 3,
     ejectionMilliseconds: 5_000,
-    longestEjectionMilliseconds: 60_000,
+    maxEjectionMilliseconds: 60_000,
     rampMilliseconds: 10_000,
-    mostEjectedShare: 0.5,
+    maxEjectedShare: 0.5,
     outlierFactor: 6,
     outlierAnswers: 8,
-    prefixTableSize: 65_536,
-    unknownCapacity: 8,
+    maxPrefixBlocks: 65_536,
+    defaultCapacity: 8,
 };
--- a/src/decisions/placement/placement.ts
+++ b/src/decisions/placement/placement.ts
@@ -52,7 +52,7 @@
 export type WorkOutcome = "ok" | "failed" | "refused" | "cancelled";
 
 /** What is known of a piece of work when it ends. */
-export interface WorkEnd {
+export interface WorkResult {
     readonly outcome: WorkOutcome;
     /** From dispatch to end. */
     readonly milliseconds: number;
--- a/src/decisions/placement/pollSchedule.ts
+++ b/src/decisions/placement/pollSchedule.ts
@@ -6,12 +6,12 @@
  */
 
 /** Answers put a question off for no longer than this: they carry the load, but not the versions or the leaving. */
-const longestPostponementMilliseconds = 2_000;
+const maxPostponementMilliseconds = 2_000;
 /** Rarer reports cost more of the first token's time than rarer cache events do, see the measurement `load`. */
 const pollsForCacheEvents = 4;
 const millisecondsPerSecond = 1_000;
 /** Keeps a sum of fractions from missing the next whole question by a rounding error. */
-const rounding = 1e-9;
+const roundingTolerance = 1e-9;
 
 /** An upstream that may be asked. */
 export interface PollCandidate {
@@ -29,8 +29,8 @@
     readonly hasCacheEvents: boolean;
 }
 
-interface Asked {
-    readonly at: number;
+interface PollRecord {
+    readonly polledAt: number;
     readonly count: number;
 }
 
@@ -45,9 +45,9 @@
 /** Spreads a bounded number of questions over the upstreams: longest unheard first. */
 export class PollSchedule {
     readonly #options: PollScheduleOptions;
-    readonly #asked = new Map<string, Asked>();
+    readonly #records = new Map<string, PollRecord>();
     #allowance = 0;
-    #takenAt: number | undefined;
+    #refilledAt: number | undefined;
 
     constructor(options: PollScheduleOptions) {
         this.#options = options;
@@ -60,45 +60,45 @@
      * @param now - Monotonic milliseconds.
      */
     take(candidates: readonly PollCandidate[], now: number): readonly Poll[] {
-        this.#grow(now);
-        this.#forget(candidates);
-        const unknown = candidates.filter(({ id }) => !this.#asked.has(id));
+        this.#refill(now);
+        this.#removeUnlisted(candidates);
+        const unknown = candidates.filter(({ id }) => !this.#records.has(id));
         const due = candidates
             .filter(({ isPending }) => !isPending)
-            .map(candidate => ({ id: candidate.id, since: this.#getHeardAt(candidate) }))
+            .map(candidate => ({ id: candidate.id, since: this.#getLastSeenAt(candidate) }))
             .filter(({ since }) => now - since >= this.#options.intervalMilliseconds)
             .sort((left, right) => left.since - right.since)
-            .slice(0, Math.floor(this.#allowance + rounding));
+            .slice(0, Math.floor(this.#allowance + roundingTolerance));
         this.#allowance -= due.length;
-        return [...unknown, ...due].map(({ id }) => this.#ask(id, now));
+        return [...unknown, ...due].map(({ id }) => this.#poll(id, now));
     }
 
-    #ask(id: string, now: number): Poll {
-        const count = this.#asked.get(id)?.count ?? 0;
-        this.#asked.set(id, { at: now, count: count + 1 });
+    #poll(id: string, now: number): Poll {
+        const count = this.#records.get(id)?.count ?? 0;
+        this.#records.set(id, { polledAt: now, count: count + 1 });
         return { id, hasCacheEvents: count % pollsForCacheEvents === 0 };
     }
 
     /** What was not used up is kept for a second only: a node that was paused must not ask everybody at once. */
-    #grow(now: number): void {
+    #refill(now: number): void {
         const { pollsPerSecond } = this.#options;
-        const grown = (now - (this.#takenAt ?? now)) * pollsPerSecond / millisecondsPerSecond;
-        this.#allowance = Math.min(this.#allowance + grown, Math.max(1, pollsPerSecond));
-        this.#takenAt = now;
+        const refilled = (now - (this.#refilledAt ?? now)) * pollsPerSecond / millisecondsPerSecond;
+        this.#allowance = Math.min(this.#allowance + refilled, Math.max(1, pollsPerSecond));
+        this.#refilledAt = now;
     }
 
-    #forget(candidates: readonly PollCandidate[]): void {
+    #removeUnlisted(candidates: readonly PollCandidate[]): void {
         const listed = new Set(candidates.map(({ id }) => id));
-        for (const id of this.#asked.keys()) {
+        for (const id of this.#records.keys()) {
             if (!listed.has(id)) {
-                this.#asked.delete(id);
+                this.#records.delete(id);
             }
         }
     }
 
     /** Returns when the upstream was last heard; never asked counts as just now, for it is taken anyway. */
-    #getHeardAt({ id, answeredAt }: PollCandidate): number {
-        const askedAt = this.#asked.get(id)?.at ?? Number.POSITIVE_INFINITY;
-        return Math.max(askedAt, Math.min(answeredAt ?? askedAt, askedAt + longestPostponementMilliseconds));
+    #getLastSeenAt({ id, answeredAt }: PollCandidate): number {
+        const polledAt = this.#records.get(id)?.polledAt ?? Number.POSITIVE_INFINITY;
+        return Math.max(polledAt, Math.min(answeredAt ?? polledAt, polledAt + maxPostponementMilliseconds));
     }
 }
--- a/src/decisions/placement/poolStatistics.ts
+++ b/src/decisions/placement/poolStatistics.ts
@@ -7,15 +7,15 @@
 /** Running averages over the runners of a pool. */
 export class PoolStatistics {
     /** Work of other entries for each place of a runner's capacity. */
-    #othersPerPlace = 0;
+    #otherRequestsPerSlot = 0;
     #serviceMilliseconds = 1_000;
     /** Time to the first token for each token of prompt to be read, on an idle runner. */
-    #tokenMilliseconds = 0.5;
-    #logPace = 0;
+    #prefillMillisecondsPerToken = 0.5;
+    #logSlowdown = 0;
 
     /** Returns the usual work of others on a runner. */
-    getUsualOthers(capacity: number): number {
-        return this.#othersPerPlace * capacity;
+    getAverageOtherRequests(capacity: number): number {
+        return this.#otherRequestsPerSlot * capacity;
     }
 
     /** Returns how long a request usually takes from dispatch to end. */
@@ -24,32 +24,32 @@
     }
 
     /** Returns how long a token of prompt usually takes to be read. */
-    getTokenMilliseconds(): number {
-        return this.#tokenMilliseconds;
+    getPrefillMillisecondsPerToken(): number {
+        return this.#prefillMillisecondsPerToken;
     }
 
     /** Returns how much slower than expected answers usually come. */
-    getPace(): number {
-        return Math.exp(this.#logPace);
+    getSlowdown(): number {
+        return Math.exp(this.#logSlowdown);
     }
 
     /** Notes the work of others on a runner. */
-    addOthers(others: number, capacity: number): void {
-        this.#othersPerPlace += smoothing * (others / capacity - this.#othersPerPlace);
+    addOtherRequests(others: number, capacity: number): void {
+        this.#otherRequestsPerSlot += smoothing * (others / capacity - this.#otherRequestsPerSlot);
     }
 
     /** Notes how long a whole request took. */
-    addService(milliseconds: number): void {
+    addServiceTime(milliseconds: number): void {
         this.#serviceMilliseconds += smoothing * (milliseconds - this.#serviceMilliseconds);
     }
 
     /** Notes how long the first token of a request that did not have to wait took. */
-    addToken(milliseconds: number): void {
-        this.#tokenMilliseconds += smoothing * (milliseconds - this.#tokenMilliseconds);
+    addPrefillSample(milliseconds: number): void {
+        this.#prefillMillisecondsPerToken += smoothing * (milliseconds - this.#prefillMillisecondsPerToken);
     }
 
     /** Notes how much slower than expected an answer came. */
-    addPace(ratio: number): void {
-        this.#logPace += smoothing * (Math.log(ratio) - this.#logPace);
+    addSlowdown(ratio: number): void {
+        this.#logSlowdown += smoothing * (Math.log(ratio) - this.#logSlowdown);
     }
 }
--- a/src/decisions/placement/prefixTable.ts
+++ b/src/decisions/placement/prefixTable.ts
@@ -10,7 +10,7 @@
  * Weight of a hint for each gap since: the runner may have dropped the block. Measured: doubting more (0.5) costs far
  * more hits than it avoids, also with small caches.
  */
-const doubtfulWeight = 0.97;
+const gapConfidenceFactor = 0.97;
 
 interface Holder {
     readonly upstream: string;
@@ -28,16 +28,16 @@
 
 /** Table of prompt prefixes and their holders. */
 export class PrefixTable {
-    readonly #size: number;
+    readonly #maxBlocks: number;
     readonly #holders = new Map<string, Holder[]>();
     /** Counts the gaps of each runner; hints of an earlier generation are in doubt. */
     readonly #generations = new Map<string, number>();
     /** The generation from which hints count at all, for runners that cleared their cache. */
-    readonly #clearedBefore = new Map<string, number>();
+    readonly #minValidGenerations = new Map<string, number>();
 
-    /** @param size - How many blocks are kept. */
-    constructor(size: number) {
-        this.#size = size;
+    /** @param maxBlocks - How many blocks are kept. */
+    constructor(maxBlocks: number) {
+        this.#maxBlocks = maxBlocks;
     }
 
     /** Returns how many blocks are known. */
@@ -55,10 +55,10 @@
             return;
         }
         this.#generations.set(upstream, generation);
-        const kept = holders?.slice(1 - holdersPerBlock) ?? [];
+        const retained = holders?.slice(1 - holdersPerBlock) ?? [];
         // Deleting and setting again moves the block to the young end of the map, which is the bound's order.
         this.#holders.delete(block);
-        this.#holders.set(block, [...kept, { upstream, generation }]);
+        this.#holders.set(block, [...retained, { upstream, generation }]);
         this.#removeOldest();
     }
 
@@ -78,13 +78,13 @@
     /** Notes that a runner dropped everything. */
     clear(upstream: string): void {
         this.addGap(upstream);
-        this.#clearedBefore.set(upstream, this.#getGeneration(upstream));
+        this.#minValidGenerations.set(upstream, this.#getGeneration(upstream));
     }
 
     /** Forgets a runner that is gone for good; what is left of it in the table no longer counts. */
     forget(upstream: string): void {
         this.#generations.delete(upstream);
-        this.#clearedBefore.delete(upstream);
+        this.#minValidGenerations.delete(upstream);
     }
 
     /** Notes that events of a runner were lost: removals may be among them. */
@@ -116,14 +116,14 @@
 
     #getConfidence(holder: Holder): number {
         const generation = this.#generations.get(holder.upstream);
-        if (generation === undefined || holder.generation < (this.#clearedBefore.get(holder.upstream) ?? 0)) {
+        if (generation === undefined || holder.generation < (this.#minValidGenerations.get(holder.upstream) ?? 0)) {
             return 0;
         }
-        return doubtfulWeight ** (generation - holder.generation);
+        return gapConfidenceFactor ** (generation - holder.generation);
     }
 
     #removeOldest(): void {
-        if (this.#holders.size <= this.#size) {
+        if (this.#holders.size <= this.#maxBlocks) {
             return;
         }
         for (const block of this.#holders.keys()) {
