--- a/src/decisions/placement/runner.ts
+++ b/src/decisions/placement/runner.ts
@@ -12,25 +12,25 @@
 /** Fixed cost of a request, as if it had this many more tokens of prompt. */
 const fixedTokens = 64;
 /** One answer says little: queues and wrong hints come and go. Several in a row that all say the same say much. */
-const paceSmoothing = 0.03;
-const persistentPaceSmoothing = 0.3;
+const slowdownSmoothing = 0.03;
+const persistentSlowdownSmoothing = 0.3;
 const persistentAnswers = 3;
 const persistentLogRatio = Math.log(2);
 /** Keeps the exponential finite; no queue is that long. */
-const mostExcess = 500;
-const paceLifetimeMilliseconds = 30_000;
-const leastRatio = 0.1;
-const greatestRatio = 50;
+const maxExcess = 500;
+const slowdownLifetimeMilliseconds = 30_000;
+const minRatio = 0.1;
+const maxRatio = 50;
 
 /** A runner (or plain service) as one entry sees it. */
 export class Runner {
     readonly load: LoadEstimate;
     readonly health: Health;
-    readonly pool: PoolStatistics;
+    readonly poolStatistics: PoolStatistics;
     /** Its place in the entry's order of preference; the greatest first. */
     readonly rank: number;
     /** Network cost of reaching it. */
-    readonly distanceMilliseconds: number;
+    readonly networkMilliseconds: number;
     readonly isNear: boolean;
     vm: Vm;
     versions: readonly string[] | undefined;
@@ -40,33 +40,34 @@
     readonly #options: PlacementOptions;
     /** When each request that still waits for its first token was sent; the oldest first. */
     readonly #waiting = new Map<object, number>();
-    #logPace = 0;
-    #pacedAt = 0;
+    #logSlowdown = 0;
+    #slowdownUpdatedAt = 0;
     /** Answers in a row that were far slower (positive) or far faster (negative) than this runner's pace. */
-    #persistence = 0;
+    #outlierStreak = 0;
 
     constructor(options: {
         readonly vm: Vm;
-        readonly pool: PoolStatistics;
+        readonly poolStatistics: PoolStatistics;
         readonly rank: number;
-        readonly distanceMilliseconds: number;
+        readonly networkMilliseconds: number;
         readonly isNear: boolean;
         readonly options: PlacementOptions;
     }) {
         this.vm = options.vm;
-        this.pool = options.pool;
+        this.poolStatistics = options.poolStatistics;
         this.rank = options.rank;
-        this.distanceMilliseconds = options.distanceMilliseconds;
+        this.networkMilliseconds = options.networkMilliseconds;
         this.isNear = options.isNear;
         this.#options = options.options;
-        this.load = new LoadEstimate(options.options.unknownCapacity);
+        this.load = new LoadEstimate(options.options.defaultCapacity);
         this.health = new Health(options.options);
     }
 
     /** Estimates the requests on the runner now, of this entry and of others. */
     getLoad(now: number): number {
-        const usual = this.pool.getUsualOthers(this.load.getCapacity());
-        return this.load.getOwn() + this.load.getOthers(now, usual, this.#options.reportLifetimeMilliseconds);
+        const averageOthers = this.poolStatistics.getAverageOtherRequests(this.load.getCapacity());
+        return this.load.getOwnRequests()
+            + this.load.getOtherRequests(now, averageOthers, this.#options.reportLifetimeMilliseconds);
     }
 
     /**
@@ -74,8 +75,8 @@
      * reports too little load is found out: what it promises by its report it does not keep. It fades, so that the
      * runner is tried again.
      */
-    getPace(now: number): number {
-        return Math.exp(this.#logPace * Math.exp(-(now - this.#pacedAt) / paceLifetimeMilliseconds));
+    getSlowdown(now: number): number {
+        return Math.exp(this.#logSlowdown * Math.exp(-(now - this.#slowdownUpdatedAt) / slowdownLifetimeMilliseconds));
     }
 
     /**
@@ -84,8 +85,8 @@
      * @param uncachedBlocks - Blocks of prompt that the runner has to read.
      */
     getExpectedWait(now: number, uncachedBlocks: number): number {
-        const expected = this.getModelledWait(now, uncachedBlocks) * this.getPace(now);
-        return Math.max(expected, this.#getOldestWait(now)) + this.distanceMilliseconds;
+        const expected = this.getModelledWait(now, uncachedBlocks) * this.getSlowdown(now);
+        return Math.max(expected, this.#getOldestWait(now)) + this.networkMilliseconds;
     }
 
     /** Expects the time to the first token from load alone, as if the runner's reports were true. */
@@ -93,10 +94,11 @@
         const capacity = this.load.getCapacity();
         const load = this.getLoad(now);
         // Load is known within about a request. A runner that seems to have one place left has a queue half of the time.
-        const excess = Math.log(1 + Math.exp(Math.min(mostExcess, load - capacity + 1)));
-        const queue = excess * this.pool.getServiceMilliseconds() / capacity;
-        const reading = (fixedTokens + uncachedBlocks * tokensPerBlock) * this.pool.getTokenMilliseconds();
-        return queue + reading * (1 + Math.min(1, load / capacity));
+        const excess = Math.log(1 + Math.exp(Math.min(maxExcess, load - capacity + 1)));
+        const queue = excess * this.poolStatistics.getServiceMilliseconds() / capacity;
+        const prefill = (fixedTokens + uncachedBlocks * tokensPerBlock)
+            * this.poolStatistics.getPrefillMillisecondsPerToken();
+        return queue + prefill * (1 + Math.min(1, load / capacity));
     }
 
     /** Notes that a request was sent. */
@@ -117,22 +119,23 @@
      * @returns How much slower than expected it came.
      */
     addFirstToken(milliseconds: number, modelled: number, now: number): number {
-        const ratio = Math.min(greatestRatio, Math.max(leastRatio, milliseconds / Math.max(1, modelled)));
-        const faded = Math.log(this.getPace(now));
-        this.#logPace = faded + this.#getPaceSmoothing(Math.log(ratio) - faded) * (Math.log(ratio) - faded);
-        this.#pacedAt = now;
-        this.pool.addPace(ratio);
+        const ratio = Math.min(maxRatio, Math.max(minRatio, milliseconds / Math.max(1, modelled)));
+        const decayed = Math.log(this.getSlowdown(now));
+        this.#logSlowdown = decayed
+            + this.#getSlowdownSmoothing(Math.log(ratio) - decayed) * (Math.log(ratio) - decayed);
+        this.#slowdownUpdatedAt = now;
+        this.poolStatistics.addSlowdown(ratio);
         return ratio;
     }
 
-    #getPaceSmoothing(difference: number): number {
+    #getSlowdownSmoothing(difference: number): number {
         if (Math.abs(difference) < persistentLogRatio) {
-            this.#persistence = 0;
-            return paceSmoothing;
+            this.#outlierStreak = 0;
+            return slowdownSmoothing;
         }
         const sign = Math.sign(difference);
-        this.#persistence = Math.sign(this.#persistence) === sign ? this.#persistence + sign : sign;
-        return Math.abs(this.#persistence) >= persistentAnswers ? persistentPaceSmoothing : paceSmoothing;
+        this.#outlierStreak = Math.sign(this.#outlierStreak) === sign ? this.#outlierStreak + sign : sign;
+        return Math.abs(this.#outlierStreak) >= persistentAnswers ? persistentSlowdownSmoothing : slowdownSmoothing;
     }
 
     /**
@@ -148,6 +151,6 @@
 }
 
 /** Returns how many tokens of prompt a number of blocks stands for, the fixed cost included. */
-export function getReadingTokens(uncachedBlocks: number): number {
+export function getPrefillTokens(uncachedBlocks: number): number {
     return fixedTokens + uncachedBlocks * tokensPerBlock;
 }
--- a/src/decisions/placement/runnerChooser.ts
+++ b/src/decisions/placement/runnerChooser.ts
@@ -12,16 +12,16 @@
 import { createOverloaded, createUnavailable } from "./failures.js";
 import { parseLoadHeader } from "./loadHeader.js";
 import { defaultPlacementOptions, type PlacementOptions } from "./options.js";
-import type { CacheEvent, EntryLocation, Placement, PlacementRequest, WorkEnd } from "./placement.js";
+import type { CacheEvent, EntryLocation, Placement, PlacementRequest, WorkResult } from "./placement.js";
 import { PoolStatistics } from "./poolStatistics.js";
 import { PrefixTable } from "./prefixTable.js";
 import { getRank } from "./rendezvous.js";
-import { getReadingTokens, Runner } from "./runner.js";
+import { getPrefillTokens, Runner } from "./runner.js";
 import { RunnerIndex } from "./runnerIndex.js";
 import { Work } from "./work.js";
 
 /** A refused caller comes back no sooner than this. */
-const leastRetryMilliseconds = 1_000;
+const minRetryMilliseconds = 1_000;
 const ownDomainMilliseconds = 0;
 
 /** Chooses runners for one entry and keeps what it learns of them. */
@@ -50,7 +50,7 @@
         this.#options = { ...defaultPlacementOptions, ...options.options };
         this.#journal = options.journal;
         this.#index = new RunnerIndex(options.self.failureDomain, this.#options);
-        this.#prefixes = new PrefixTable(this.#options.prefixTableSize);
+        this.#prefixes = new PrefixTable(this.#options.maxPrefixBlocks);
         this.#candidates = new CandidateSet({ random: options.random, options: this.#options });
     }
 
@@ -129,7 +129,7 @@
      * Returns what an upstream reports of its versions and of the orders that it takes.
      * @param upstream - Identifier of the upstream.
      */
-    getReported(upstream: string): { readonly versions?: readonly string[]; readonly checksFencing?: boolean; } {
+    getReportedState(upstream: string): { readonly versions?: readonly string[]; readonly checksFencing?: boolean; } {
         const runner = this.#runners.get(upstream);
         return { versions: runner?.versions, checksFencing: runner?.checksFencing };
     }
@@ -148,7 +148,7 @@
         }
         this.setVersions(report.upstream, report.versions);
         runner.checksFencing = report.checksFencing;
-        runner.pool.addOthers(runner.load.getOthersAtMeasurement(), runner.load.getCapacity());
+        runner.poolStatistics.addOtherRequests(runner.load.getOtherRequestsAtMeasurement(), runner.load.getCapacity());
     }
 
     /**
@@ -200,7 +200,7 @@
             return false;
         }
         const ejectedShare = getEjectedShareWith(runner, this.#runners.values(), now);
-        if (ejectedShare > this.#options.mostEjectedShare) {
+        if (ejectedShare > this.#options.maxEjectedShare) {
             return false;
         }
         const milliseconds = Math.round(runner.health.eject(now, this.#random.next()));
@@ -218,14 +218,14 @@
         const list = this.#index.get(request.version, request.pool);
         const matches = this.#prefixes.getMatches(request.blocks, this.#options.cachedChoices);
         this.#candidates.start(now, request, matches);
-        this.#addNamed(request, matches);
-        this.#candidates.addSome(list.near, "least-wait");
+        this.#addPreferred(request, matches);
+        this.#candidates.addSample(list.near, "least-wait");
         if (this.#candidates.getBestWait() > this.#options.spillOverMilliseconds) {
-            this.#candidates.addSome(list.far, "spill-over");
+            this.#candidates.addSample(list.far, "spill-over");
         }
         if (this.#candidates.isEmpty()) {
             // When the subset has nobody left, any runner will do, ejected or not: trying beats refusing.
-            this.#candidates.addAny(list.all);
+            this.#candidates.addIncludingEjected(list.all);
         }
         const placement = this.#candidates.getBest();
         if (placement === undefined) {
@@ -242,7 +242,7 @@
      * Counts a request that is sent to the chosen runner.
      * @param placement - What `choose` returned.
      */
-    begin(placement: Placement): Work {
+    start(placement: Placement): Work {
         const runner = this.#runners.get(placement.upstream.id);
         return runner === undefined
             ? new Work({ firstToken: () => {}, load: () => {}, finish: () => {} })
@@ -251,10 +251,10 @@
 
     #createWork(runner: Runner, placement: Placement): Work {
         const now = this.#clock.monotonic();
-        const uncached = placement.blocks.length - placement.cachedBlocks;
-        const modelled = runner.getModelledWait(now, uncached);
+        const uncachedBlocks = placement.blocks.length - placement.cachedBlocks;
+        const modelled = runner.getModelledWait(now, uncachedBlocks);
         const isIdle = runner.getLoad(now) < runner.load.getCapacity() / 2;
-        runner.load.addOwn(1, now);
+        runner.load.changeOwnRequests(1, now);
         for (const block of placement.blocks) {
             this.#prefixes.add(runner.vm.id, block);
         }
@@ -262,15 +262,15 @@
             firstToken: milliseconds => {
                 runner.removeWaiting(work);
                 if (isIdle) {
-                    runner.pool.addToken(milliseconds / getReadingTokens(uncached));
+                    runner.poolStatistics.addPrefillSample(milliseconds / getPrefillTokens(uncachedBlocks));
                 }
-                this.#learnPace(runner, milliseconds, modelled);
+                this.#recordFirstToken(runner, milliseconds, modelled);
             },
-            load: header => this.#addHeader(runner, header),
+            load: header => this.#applyLoadHeader(runner, header),
             finish: end => {
                 runner.removeWaiting(work);
-                runner.load.addOwn(-1, this.#clock.monotonic());
-                this.#learnEnd(runner, end);
+                runner.load.changeOwnRequests(-1, this.#clock.monotonic());
+                this.#recordResult(runner, end);
             },
         });
         runner.addWaiting(work, now);
@@ -288,9 +288,9 @@
         }
         const runner = new Runner({
             vm,
-            pool: this.#getPool(vm.pool),
+            poolStatistics: this.#getPool(vm.pool),
             rank: getRank(this.#self.subsetKey, vm.id),
-            distanceMilliseconds: this.#getDistance(vm),
+            networkMilliseconds: this.#getNetworkMilliseconds(vm),
             isNear: vm.region === this.#self.region,
             options: this.#options,
         });
@@ -301,7 +301,7 @@
         }
     }
 
-    #getDistance(vm: Vm): number {
+    #getNetworkMilliseconds(vm: Vm): number {
         if (vm.region !== this.#self.region) {
             return this.#options.otherRegionMilliseconds;
         }
@@ -319,7 +319,7 @@
         return pool;
     }
 
-    #addNamed(request: PlacementRequest, matches: readonly { readonly upstream: string; }[]): void {
+    #addPreferred(request: PlacementRequest, matches: readonly { readonly upstream: string; }[]): void {
         const preferred = request.preferred === undefined ? undefined : this.#runners.get(request.preferred);
         if (preferred !== undefined) {
             this.#candidates.addOne(preferred, "session");
@@ -332,37 +332,37 @@
         }
     }
 
-    #learnPace(runner: Runner, milliseconds: number, modelled: number): void {
+    #recordFirstToken(runner: Runner, milliseconds: number, modelled: number): void {
         const now = this.#clock.monotonic();
         const ratio = runner.addFirstToken(milliseconds, modelled, now);
-        const isSlow = ratio > this.#options.outlierFactor * Math.max(1, runner.pool.getPace());
-        if (runner.health.addPace(isSlow) >= this.#options.outlierAnswers) {
+        const isSlow = ratio > this.#options.outlierFactor * Math.max(1, runner.poolStatistics.getSlowdown());
+        if (runner.health.recordLatency(isSlow) >= this.#options.outlierAnswers) {
             this.eject(runner.vm.id, "slow");
         }
     }
 
-    #learnEnd(runner: Runner, end: WorkEnd): void {
-        if (end.loadHeader !== undefined) {
-            this.#addHeader(runner, end.loadHeader);
+    #recordResult(runner: Runner, result: WorkResult): void {
+        if (result.loadHeader !== undefined) {
+            this.#applyLoadHeader(runner, result.loadHeader);
         }
-        if (end.outcome === "ok") {
+        if (result.outcome === "ok") {
             runner.health.addSuccess(this.#clock.monotonic());
-            runner.pool.addService(end.milliseconds);
+            runner.poolStatistics.addServiceTime(result.milliseconds);
         }
-        else if (end.outcome === "failed" && runner.health.addFailure() >= this.#options.ejectAfterFailures) {
+        else if (result.outcome === "failed" && runner.health.addFailure() >= this.#options.ejectAfterFailures) {
             this.eject(runner.vm.id, "failures");
         }
     }
 
-    #addHeader(runner: Runner, header: string): void {
+    #applyLoadHeader(runner: Runner, header: string): void {
         const load = parseLoadHeader(header);
         if (load !== undefined) {
-            runner.load.addFresh(load.requests, load.capacity, this.#clock.monotonic());
+            runner.load.addAnswerLoad(load.requests, load.capacity, this.#clock.monotonic());
         }
     }
 
     #getRetryAfter(excessMilliseconds: number): number {
-        return Math.round((leastRetryMilliseconds + excessMilliseconds) * (0.75 + this.#random.next() / 2));
+        return Math.round((minRetryMilliseconds + excessMilliseconds) * (0.75 + this.#random.next() / 2));
     }
 }
 
--- a/src/decisions/placement/runnerIndex.ts
+++ b/src/decisions/placement/runnerIndex.ts
@@ -88,21 +88,21 @@
     #addTo(key: string, runner: Runner): void {
         const group = this.#groups.get(key) ?? { runners: [], list: undefined };
         this.#groups.set(key, group);
-        const place = findPlace(group.runners, runner.rank);
-        if (group.runners[place] === runner) {
+        const index = findInsertionIndex(group.runners, runner.rank);
+        if (group.runners[index] === runner) {
             return;
         }
-        group.runners.splice(place, 0, runner);
+        group.runners.splice(index, 0, runner);
         group.list = undefined;
     }
 
     #removeFrom(key: string, runner: Runner): void {
         const group = this.#groups.get(key);
-        const place = group?.runners.indexOf(runner) ?? -1;
-        if (group === undefined || place < 0) {
+        const index = group?.runners.indexOf(runner) ?? -1;
+        if (group === undefined || index < 0) {
             return;
         }
-        group.runners.splice(place, 1);
+        group.runners.splice(index, 1);
         group.list = undefined;
         if (group.runners.length === 0) {
             this.#groups.delete(key);
@@ -135,7 +135,7 @@
 }
 
 /** Finds the first place whose rank is not greater, by halving. */
-function findPlace(runners: readonly Runner[], rank: number): number {
+function findInsertionIndex(runners: readonly Runner[], rank: number): number {
     let low = 0;
     let high = runners.length;
     while (low < high) {
--- a/src/decisions/placement/work.ts
+++ b/src/decisions/placement/work.ts
@@ -1,13 +1,13 @@
 /**
  * One request on one runner, from dispatch to end.
  */
-import type { WorkEnd } from "./placement.js";
+import type { WorkResult } from "./placement.js";
 
 /** What is done with the news of a piece of work. */
 export interface WorkListener {
     readonly firstToken: (milliseconds: number) => void;
     readonly load: (header: string) => void;
-    readonly finish: (end: WorkEnd) => void;
+    readonly finish: (end: WorkResult) => void;
 }
 
 /** A request that was sent to a runner. */
@@ -25,7 +25,7 @@
      * Notes the first token of the answer.
      * @param milliseconds - From dispatch to the first token.
      */
-    firstToken(milliseconds: number): void {
+    addFirstToken(milliseconds: number): void {
         if (this.#hasFirstToken || this.#isFinished) {
             return;
         }
@@ -42,7 +42,7 @@
     }
 
     /** Notes the end of the work. A second call changes nothing: error and close often arrive together. */
-    finish(end: WorkEnd): void {
+    finish(end: WorkResult): void {
         if (this.#isFinished) {
             return;
         }
--- a/src/decisions/retries/index.ts
+++ b/src/decisions/retries/index.ts
@@ -1,2 +1,2 @@
 /** How often a request may be sent once more. */
-export * from "./windowedBudget.js";
+export * from "./windowedRetryBudget.js";
--- a/src/decisions/retries/windowedBudget.ts
+++ b/src/decisions/retries/windowedRetryBudget.ts
@@ -4,12 +4,12 @@
 import type { Clock } from "../../common/index.js";
 
 /** The window is kept in so many slices; it moves on by one at a time. */
-const slices = 20;
+const sliceCount = 20;
 /** Part of the budget that is used: clocks and windows of nodes and of whoever counts differ by a slice or two. */
-const usedShare = 0.88;
+const safetyFactor = 0.88;
 
 /** How many repeats are allowed in a window. */
-export interface RepeatAllowance {
+export interface RetryAllowance {
     /** Repeats that each request of the window allows. */
     readonly ratio: number;
     /** Repeats that all nodes together may make beyond that. */
@@ -17,12 +17,12 @@
 }
 
 /** Settings of a windowed budget. */
-export interface WindowedBudgetOptions {
+export interface WindowedRetryBudgetOptions {
     readonly clock: Clock;
     /** Length of the window in milliseconds. */
     readonly windowMilliseconds: number;
     /** Returns the allowance in force. */
-    readonly getAllowance: () => RepeatAllowance;
+    readonly getAllowance: () => RetryAllowance;
     /** Returns the number of nodes that may be at work; each takes an equal part of the extra. */
     readonly getNodeCount: () => number;
 }
@@ -30,7 +30,7 @@
 interface Slice {
     readonly index: number;
     requests: number;
-    repeats: number;
+    retries: number;
 }
 
 /**
@@ -38,11 +38,11 @@
  * holds for their sum, so it needs no coordination. Under a failure that hits every request, the load on the pool is
  * bounded by (1 + ratio) times the callers' own.
  */
-export class WindowedBudget {
-    readonly #options: WindowedBudgetOptions;
+export class WindowedRetryBudget {
+    readonly #options: WindowedRetryBudgetOptions;
     readonly #slices: Slice[] = [];
 
-    constructor(options: WindowedBudgetOptions) {
+    constructor(options: WindowedRetryBudgetOptions) {
         this.#options = options;
     }
 
@@ -53,16 +53,16 @@
 
     /** Returns how many repeats are left in the window. */
     getLeft(): number {
-        this.#forgetOld();
+        this.#removeExpired();
         let requests = 0;
-        let repeats = 0;
+        let retries = 0;
         for (const slice of this.#slices) {
             requests += slice.requests;
-            repeats += slice.repeats;
+            retries += slice.retries;
         }
         const { ratio, extra } = this.#options.getAllowance();
         const nodes = Math.max(1, this.#options.getNodeCount());
-        return usedShare * (ratio * requests + extra / nodes) - repeats;
+        return safetyFactor * (ratio * requests + extra / nodes) - retries;
     }
 
     /**
@@ -74,7 +74,7 @@
         if (this.getLeft() - reserve < 1) {
             return false;
         }
-        this.#getSlice().repeats += 1;
+        this.#getSlice().retries += 1;
         return true;
     }
 
@@ -82,20 +82,20 @@
         const index = this.#getIndex();
         let slice = this.#slices.at(-1);
         if (slice === undefined || slice.index !== index) {
-            slice = { index, requests: 0, repeats: 0 };
+            slice = { index, requests: 0, retries: 0 };
             this.#slices.push(slice);
         }
         return slice;
     }
 
-    #forgetOld(): void {
-        const oldest = this.#getIndex() - slices;
-        while (this.#slices.length > 0 && this.#slices[0].index <= oldest) {
+    #removeExpired(): void {
+        const lastExpired = this.#getIndex() - sliceCount;
+        while (this.#slices.length > 0 && this.#slices[0].index <= lastExpired) {
             this.#slices.shift();
         }
     }
 
     #getIndex(): number {
-        return Math.floor(this.#options.clock.monotonic() / (this.#options.windowMilliseconds / slices));
+        return Math.floor(this.#options.clock.monotonic() / (this.#options.windowMilliseconds / sliceCount));
     }
 }
--- a/src/entry/attemptRunner.ts
+++ b/src/entry/attemptRunner.ts
@@ -176,7 +176,7 @@
         const grace = options.direct && call.request.streamed ? this.#options.resumeGraceMilliseconds : 0;
         const ending = createAttemptSignal(call.gone, call.deadline, grace);
         const startedAt = this.#options.clock.monotonic();
-        const work = this.#options.runners.begin(placement);
+        const work = this.#options.runners.start(placement);
         try {
             const answering = this.#options.engines.complete(runner, {
                 streamId,
@@ -231,7 +231,7 @@
                 const now = clock.monotonic();
                 firstTokenMilliseconds = now - options.since;
                 lastEventAt = now;
-                work.firstToken(now - startedAt);
+                work.addFirstToken(now - startedAt);
                 if (options.direct) {
                     metrics.firstToken.observe({ class: call.requestClass }, (now - call.arrivedAt) / 1000);
                     call.sink.begin(headers);
--- a/src/entry/chatPipeline.ts
+++ b/src/entry/chatPipeline.ts
@@ -162,7 +162,7 @@
         if (!call.request.streamed) {
             return true;
         }
-        const hold = this.#options.answerTimes.getHoldMilliseconds(call.requestClass, first, second);
+        const hold = this.#options.answerTimes.getCascadeWaitMilliseconds(call.requestClass, first, second);
         const waited = this.#options.clock.monotonic() - call.arrivedAt;
         return hold !== undefined && waited + hold <= call.settings.firstTokenMilliseconds;
     }
--- a/src/entry/cradle.ts
+++ b/src/entry/cradle.ts
@@ -15,7 +15,7 @@
     Exposures,
     ModelChooser,
     RetryBudget,
-    RolloutJudge,
+    RolloutEvaluator,
     RolloutRouter,
     RunnerChooser,
 } from "../decisions/index.js";
@@ -84,7 +84,7 @@
     readonly answerTimes: AnswerTimes;
     readonly exposures: Exposures;
     readonly chooser: ModelChooser;
-    readonly judge: RolloutJudge;
+    readonly judge: RolloutEvaluator;
     readonly router: RolloutRouter;
     readonly driver: RolloutDriver;
     readonly engineOrders: EngineOrders;
--- a/src/entry/orders/orderDriver.ts
+++ b/src/entry/orders/orderDriver.ts
@@ -127,7 +127,7 @@
     #getDemand(version: string): number {
         let answers = 0;
         for (const requestClass of this.#options.evidence.getClasses(version)) {
-            answers += this.#options.evidence.getRecent(version, requestClass).answers;
+            answers += this.#options.evidence.getDecayedTally(version, requestClass).answers;
         }
         return answers;
     }
--- a/src/entry/orders/poolOrders.ts
+++ b/src/entry/orders/poolOrders.ts
@@ -4,7 +4,7 @@
 import { type Clock } from "../../common/index.js";
 import type { PoolSettings } from "../../configuration/index.js";
 import type { OrderChannel } from "../../control/index.js";
-import { decideLoading, leastDomains, type LoadingDecision, type LoadingRunner } from "../../decisions/index.js";
+import { decideLoading, type LoadingDecision, type LoadingRunner, minFailureDomains } from "../../decisions/index.js";
 import { events, type Journal } from "../../events/index.js";
 import type { EngineOrders, EngineReport } from "../../upstream/index.js";
 import type { Vm } from "../../world/index.js";
@@ -99,11 +99,11 @@
         const decision = decideLoading({
             runners: states,
             placed: wanted.placed,
-            kept: wanted.kept,
+            evictable: wanted.kept,
             retiring: this.#findRetiring(states, wanted, longestWork),
             versionsPerRunner: settings.versionsPerRunner,
             loadsAtATime: settings.loadsAtATime,
-            leastCopies: this.#countLeastCopies(runners.length),
+            minCopies: this.#countLeastCopies(runners.length),
         });
         this.#decision = decision;
         this.#warn(decision, settings);
@@ -128,7 +128,7 @@
         for (const report of this.#reports.values()) {
             ready += report.versions.includes(version) ? 1 : 0;
         }
-        return ready >= Math.min(leastDomains, holders.size);
+        return ready >= Math.min(minFailureDomains, holders.size);
     }
 
     /** Returns what is known, for operators. */
@@ -238,7 +238,7 @@
     /** With more runners than an entry talks to, two copies would be out of reach for nearly all entries. */
     #countLeastCopies(runners: number): number {
         const { subsetSize } = this.#options;
-        return runners <= subsetSize ? leastDomains : Math.ceil(runners * copiesInSubset / subsetSize);
+        return runners <= subsetSize ? minFailureDomains : Math.ceil(runners * copiesInSubset / subsetSize);
     }
 
     /** Remembers the state of runners that are as they are wanted, and forgets it for those that are ordered anew. */
@@ -255,9 +255,9 @@
     #noteLoads(decision: LoadingDecision): void {
         const now = this.#options.clock.monotonic();
         const loading = new Map<string, string>();
-        for (const { runner, loads } of decision.orders) {
-            if (loads !== undefined) {
-                loading.set(runner, loads);
+        for (const { runner, loadingVersion } of decision.orders) {
+            if (loadingVersion !== undefined) {
+                loading.set(runner, loadingVersion);
             }
         }
         for (const id of this.#loads.keys()) {
--- a/src/entry/parts/decisionParts.ts
+++ b/src/entry/parts/decisionParts.ts
@@ -10,7 +10,7 @@
     Exposures,
     ModelChooser,
     RetryBudget,
-    RolloutJudge,
+    RolloutEvaluator,
     RolloutRouter,
     RunnerChooser,
 } from "../../decisions/index.js";
@@ -39,7 +39,7 @@
     chooser: ({ evidence, random, clock }) =>
         new ModelChooser({ evidence, random, clock, schedule: step => setImmediate(step) }),
     judge: ({ rollouts, evidence, exposures, clock, configuration, settings }) =>
-        new RolloutJudge({
+        new RolloutEvaluator({
             fold: rollouts,
             evidence,
             exposures,
--- a/src/entry/planRunner.ts
+++ b/src/entry/planRunner.ts
@@ -289,7 +289,7 @@
         });
         if (result.isOk()) {
             const { firstTokenMilliseconds: firstToken, milliseconds: whole } = result.value;
-            this.#options.answerTimes.add(version.id, call.requestClass, { firstToken, whole });
+            this.#options.answerTimes.add(version.id, call.requestClass, { firstToken, total: whole });
             this.#options.metrics.answers.inc({ version: version.id, class: call.requestClass });
             if (version.status === "candidate") {
                 this.#options.metrics.exposed.inc({ version: version.id });
--- a/src/entry/rolloutDriver.ts
+++ b/src/entry/rolloutDriver.ts
@@ -8,7 +8,7 @@
 import { randomUUID } from "node:crypto";
 import { type Clock, RepeatedTask } from "../common/index.js";
 import { type Halt, type LeaseHolder, type Rollout, type RolloutFold, rolloutRecordKinds } from "../control/index.js";
-import type { RolloutJudge, Verdict } from "../decisions/index.js";
+import type { RolloutEvaluation, RolloutEvaluator } from "../decisions/index.js";
 import { events, type Journal } from "../events/index.js";
 import type { LogRecord } from "../log/index.js";
 
@@ -24,7 +24,7 @@
     readonly clock: Clock;
     readonly journal: Journal;
     readonly rollouts: RolloutFold;
-    readonly judge: RolloutJudge;
+    readonly judge: RolloutEvaluator;
     readonly lease: LeaseHolder;
     /** Identifiers of the entries that take callers. */
     readonly getEntries: () => readonly string[];
@@ -90,7 +90,7 @@
 
     async #judgeRollout(rollout: Rollout): Promise<void> {
         const { judge, entry, lease } = this.#options;
-        const verdict = judge.judge(rollout.id, this.#options.getEntries(), entry);
+        const verdict = judge.evaluate(rollout.id, this.#options.getEntries(), entry);
         this.#act(rollout, verdict);
         const fence = lease.getFence();
         if (fence === undefined || this.#isWaiting(rollout)) {
@@ -114,7 +114,7 @@
     #judgeSettled(version: string): void {
         const { judge, journal } = this.#options;
         const wasHeld = judge.isHeld(version);
-        const verdict = judge.judgeSettled(version);
+        const verdict = judge.evaluateStable(version);
         const isHeld = judge.isHeld(version);
         if (isHeld !== wasHeld) {
             journal.write(isHeld ? events.versionHeld : events.versionReleased, { version, reason: verdict.reason });
@@ -139,7 +139,7 @@
         return true;
     }
 
-    #act(rollout: Rollout | undefined, verdict: Verdict): void {
+    #act(rollout: Rollout | undefined, verdict: RolloutEvaluation): void {
         if (verdict.action !== "halt") {
             return;
         }
--- a/src/entry/servicePipeline.ts
+++ b/src/entry/servicePipeline.ts
@@ -229,7 +229,7 @@
         excluded.add(service.id);
         journal.write(events.requestDispatched, { request: request.requestId, upstream: service.id });
         const startedAt = clock.monotonic();
-        const work = runners.begin(placed.value);
+        const work = runners.start(placed.value);
         const called = await services.call(service, {
             requestId: request.requestId,
             method: request.method,
--- a/src/entry/status.ts
+++ b/src/entry/status.ts
@@ -47,7 +47,7 @@
             id,
             pool,
             failureDomain,
-            ...cradle.runners.getReported(id),
+            ...cradle.runners.getReportedState(id),
         })),
         memory: process.memoryUsage(),
         processor: process.cpuUsage(),
--- a/src/forwarding/attempts.ts
+++ b/src/forwarding/attempts.ts
@@ -3,7 +3,7 @@
  */
 import { err, ok, type Result } from "neverthrow";
 import type { Clock } from "../common/index.js";
-import type { CallOutcome, Pick, PromptLoad, UpstreamPicker, WindowedBudget } from "../decisions/index.js";
+import type { CallOutcome, Pick, PromptLoad, UpstreamPicker, WindowedRetryBudget } from "../decisions/index.js";
 import { events, type Journal } from "../events/index.js";
 import type { RegisteredUpstream, UpstreamRegistry } from "../fleet/index.js";
 import type { VersionSelection } from "../rollouts/index.js";
@@ -20,7 +20,7 @@
     readonly picker: UpstreamPicker;
     readonly caller: UpstreamCaller;
     /** Returns the budget of repeats of a pool. */
-    readonly getBudget: (pool: string) => WindowedBudget;
+    readonly getBudget: (pool: string) => WindowedRetryBudget;
     /** Returns the upstreams that may serve an exchange, by the roll-out under way. */
     readonly selectVersion: (exchange: Exchange, candidates: readonly RegisteredUpstream[]) => VersionSelection;
     /** Takes an attempt that begins; what it returns takes how the attempt ended. */
@@ -143,7 +143,7 @@
         versionReason: string | undefined,
     ): Promise<Result<Attempt, AttemptFailure>> {
         const { exchange, prompt } = request;
-        const { upstream, readingMilliseconds } = pick;
+        const { upstream, prefillMilliseconds } = pick;
         const choice = `${pick.reason} at load ${pick.load.toFixed(2)}, ${
             Math.round(pick.expectedMilliseconds)
         } ms expected`;
@@ -176,8 +176,8 @@
             this.#finish(ended, { choice, versionReason, reason, startedAt, promptTokens, confidence });
         };
         const onEnd = this.#options.onBegin(exchange, upstream);
-        picker.begin(upstream.id);
-        picker.addReading(upstream.id, readingMilliseconds);
+        picker.start(upstream.id);
+        picker.addPendingPrefill(upstream.id, prefillMilliseconds);
         const called = await caller.call(upstream, {
             request: exchange.request,
             deadlineMilliseconds: exchange.getTimeLeft(),
@@ -188,7 +188,7 @@
             signal: controller.signal,
         });
         clearTimeout(timer);
-        picker.addReading(upstream.id, -readingMilliseconds);
+        picker.addPendingPrefill(upstream.id, -prefillMilliseconds);
         if (called.isErr()) {
             if (called.error.kind === "not-sent") {
                 exchange.takeBackAttempt();
@@ -199,15 +199,15 @@
         }
         headMilliseconds = clock.monotonic() - startedAt;
         confidence = called.value.confidence;
-        picker.markHeard(upstream.id);
+        picker.markSeen(upstream.id);
         if (prompt !== undefined) {
-            picker.addPace(prompt.model, headMilliseconds, pick);
+            picker.addHeadTime(prompt.model, headMilliseconds, pick);
         }
         const { load } = called.value;
         if (load !== undefined) {
-            picker.report(upstream, { requests: load.running + load.waiting, slots: load.slots });
+            picker.addLoadReport(upstream, { requests: load.running + load.waiting, slots: load.slots });
         }
-        return ok({ upstream, answer: called.value, finish, cancel, markHeard: () => picker.markHeard(upstream.id) });
+        return ok({ upstream, answer: called.value, finish, cancel, markHeard: () => picker.markSeen(upstream.id) });
     }
 
     #judge(exchange: Exchange, failure: UpstreamCallFailure, isSilent: boolean): CallOutcome {
@@ -234,7 +234,7 @@
         }
         if (failure.load !== undefined) {
             const { running, waiting, slots } = failure.load;
-            picker.report(upstream, { requests: running + waiting, slots });
+            picker.addLoadReport(upstream, { requests: running + waiting, slots });
         }
     }
 
--- a/src/forwarding/forwarder.ts
+++ b/src/forwarding/forwarder.ts
@@ -3,7 +3,7 @@
  */
 import { err, ok, type Result } from "neverthrow";
 import { type Clock, Failure, type Refusal } from "../common/index.js";
-import { getUnitRank, type WindowedBudget } from "../decisions/index.js";
+import { getUnitRank, type WindowedRetryBudget } from "../decisions/index.js";
 import { events, type Journal } from "../events/index.js";
 import type { Route, RouteTable } from "../routing/index.js";
 import type { Attempts } from "./attempts.js";
@@ -34,7 +34,7 @@
     readonly getLongestKeyAge: () => number;
     /** Returns the age up to which a route or key that is missing is believed to be missing, in milliseconds. */
     readonly getLongestDenialAge: () => number;
-    readonly getBudget: (pool: string) => WindowedBudget;
+    readonly getBudget: (pool: string) => WindowedRetryBudget;
     /** Tells why nothing new is taken on, such as a shutdown that leaves too little time. */
     readonly checkCapacity: (route: Route) => Failure | undefined;
 }
--- a/src/forwarding/streamExchange.ts
+++ b/src/forwarding/streamExchange.ts
@@ -2,7 +2,7 @@
  * Requests that are answered by a stream of events.
  */
 import { Failure, type Refusal } from "../common/index.js";
-import { chooseFirstModel, chooseNextModel, type PromptLoad, type WindowedBudget } from "../decisions/index.js";
+import { chooseFirstModel, chooseNextModel, type PromptLoad, type WindowedRetryBudget } from "../decisions/index.js";
 import type { Attempt, AttemptFailure, Attempts } from "./attempts.js";
 import { EventSplitter } from "./eventSplitter.js";
 import { createTimeoutRefusal, type Exchange } from "./exchange.js";
@@ -38,7 +38,7 @@
 export class StreamExchange {
     readonly #exchange: Exchange;
     readonly #attempts: Attempts;
-    readonly #budget: WindowedBudget;
+    readonly #budget: WindowedRetryBudget;
     readonly #splitter = new EventSplitter();
     #model: string | undefined;
     #lastEventId: string | undefined;
@@ -48,7 +48,7 @@
      * @param attempts - Makes the attempts.
      * @param budget - Repeats of the pool.
      */
-    constructor(exchange: Exchange, attempts: Attempts, budget: WindowedBudget) {
+    constructor(exchange: Exchange, attempts: Attempts, budget: WindowedRetryBudget) {
         this.#exchange = exchange;
         this.#attempts = attempts;
         this.#budget = budget;
@@ -97,7 +97,7 @@
         }
         return chooseFirstModel({
             models: route.models,
-            repeatsLeft: this.#budget.getLeft(),
+            retriesLeft: this.#budget.getLeft(),
             attemptsLeft: route.maximumAttempts - attempts,
             isContinued: request.lastEventId !== undefined,
         });
--- a/src/measure/decisionCost.ts
+++ b/src/measure/decisionCost.ts
@@ -73,8 +73,8 @@
 
 function choose(chooser: RunnerChooser, request: CostRequest): void {
     const placement = chooser.choose(request)._unsafeUnwrap();
-    const work = chooser.begin(placement);
-    work.firstToken(50);
+    const work = chooser.start(placement);
+    work.addFirstToken(50);
     work.finish({ outcome: "ok", milliseconds: 500 });
 }
 
--- a/src/measure/exposure/exposureSite.ts
+++ b/src/measure/exposure/exposureSite.ts
@@ -8,7 +8,7 @@
     type CallerHash,
     defaultRolloutPolicy,
     Exposures,
-    RolloutJudge,
+    RolloutEvaluator,
     type RolloutPolicy,
     RolloutRouter,
 } from "../../decisions/exposure/index.js";
@@ -35,7 +35,7 @@
     readonly exposures: Exposures;
     readonly fold: RolloutFold;
     readonly router: RolloutRouter;
-    readonly judge: RolloutJudge;
+    readonly judge: RolloutEvaluator;
     /** Sequence of its counts that the others have been sent. */
     published: number;
 }
@@ -154,8 +154,8 @@
                 continue;
             }
             const verdict = rollout.state === "active"
-                ? entry.judge.judge(rolloutId, names, entry.name)
-                : entry.judge.judgeSettled(candidate);
+                ? entry.judge.evaluate(rolloutId, names, entry.name)
+                : entry.judge.evaluateStable(candidate);
             if (verdict.action === "halt") {
                 this.#halt(entry, verdict.reason);
             }
@@ -185,7 +185,7 @@
         const exposures = new Exposures();
         const fold = new RolloutFold({ isCurrentFence: given => given === fence });
         const policy = { ...defaultRolloutPolicy, ...options.policy };
-        const judge = new RolloutJudge({ fold, evidence, exposures, clock, getPolicy: () => policy });
+        const judge = new RolloutEvaluator({ fold, evidence, exposures, clock, getPolicy: () => policy });
         const isHeld = (): boolean => judge.isHeld(candidate);
         const router = new RolloutRouter({ entry: name, fold, exposures, hash: options.hash, isHeld });
         return { name, evidence, exposures, fold, router, judge, published: 0 };
--- a/src/measure/orders.ts
+++ b/src/measure/orders.ts
@@ -58,11 +58,11 @@
                 id: `version-${index}@1`,
                 demand: Math.round(1_000 / (index + 1)),
             })),
-            kept: new Set(),
+            evictable: new Set(),
             retiring: new Set(),
             versionsPerRunner,
             loadsAtATime: shape.loadsAtATime,
-            leastCopies: shape.runners <= subsetSize ? 2 : least,
+            minCopies: shape.runners <= subsetSize ? 2 : least,
         };
     }
 
@@ -79,7 +79,7 @@
             const byRunner = new Map(orders.map(order => [order.runner, order]));
             const runners = this.request.runners.map(runner => {
                 const order = byRunner.get(runner.id);
-                return order === undefined ? runner : this.#obey(runner, order.versions, order.loads);
+                return order === undefined ? runner : this.#obey(runner, order.versions, order.loadingVersion);
             });
             for (const [index, { versions }] of runners.entries()) {
                 const before = this.request.runners[index].versions;
--- a/src/measure/placementPolicies.ts
+++ b/src/measure/placementPolicies.ts
@@ -7,7 +7,7 @@
     type Poll,
     PollSchedule,
     RunnerChooser,
-    type WorkEnd,
+    type WorkResult,
 } from "../decisions/placement/index.js";
 import type { LoadReport, Vm } from "../world/index.js";
 import type { SimulatedRunner } from "./simulatedRunner.js";
@@ -41,7 +41,7 @@
 export interface PolicyChoice {
     readonly runner: number;
     readonly firstToken: (milliseconds: number, loadHeader: string) => void;
-    readonly end: (end: WorkEnd) => void;
+    readonly end: (end: WorkResult) => void;
 }
 
 /** One entry's way to choose. */
@@ -194,12 +194,12 @@
             if (chosen.isErr()) {
                 return undefined;
             }
-            const work = chooser.begin(chosen.value);
+            const work = chooser.start(chosen.value);
             return {
                 runner: indexes.get(chosen.value.upstream.id) ?? 0,
                 firstToken: (milliseconds, header) => {
                     work.addLoad(header);
-                    work.firstToken(milliseconds);
+                    work.addFirstToken(milliseconds);
                 },
                 end: end => work.finish(end),
             };
--- a/src/platform/nodeParts.ts
+++ b/src/platform/nodeParts.ts
@@ -3,7 +3,7 @@
  */
 import { asFunction, type AwilixContainer, createContainer, InjectionMode, Lifetime } from "awilix";
 import { type Clock, RandomSource, SuspensionClock, systemClock } from "../common/index.js";
-import { UpstreamPicker, WindowedBudget } from "../decisions/index.js";
+import { UpstreamPicker, WindowedRetryBudget } from "../decisions/index.js";
 import { events, Journal, LineWriter } from "../events/index.js";
 import { UpstreamRegistry } from "../fleet/index.js";
 import {
@@ -74,7 +74,7 @@
     readonly membership: Membership;
     readonly directory: MemberDirectory;
     readonly picker: UpstreamPicker;
-    readonly budgets: (pool: string) => WindowedBudget;
+    readonly budgets: (pool: string) => WindowedRetryBudget;
     readonly upstreamClient: UpstreamClient;
     readonly rollouts: Rollouts;
     readonly departure: Departure;
@@ -240,12 +240,12 @@
     clock: Clock,
     liveSettings: LiveSettings,
     membership: Membership,
-): (pool: string) => WindowedBudget {
-    const budgets = new Map<string, WindowedBudget>();
+): (pool: string) => WindowedRetryBudget {
+    const budgets = new Map<string, WindowedRetryBudget>();
     return pool => {
         let budget = budgets.get(pool);
         if (budget === undefined) {
-            budget = new WindowedBudget({
+            budget = new WindowedRetryBudget({
                 clock,
                 windowMilliseconds: liveSettings.get().bounds.retryWindowMilliseconds,
                 getAllowance: () => {
--- a/test/decisions/cascade/confidenceCascade.test.ts
+++ b/test/decisions/cascade/confidenceCascade.test.ts
@@ -3,21 +3,21 @@
 import { chooseFirstModel, chooseNextModel } from "../../../src/decisions/index.js";
 
 const models = ["small", "middle", "large"];
-const first = { models, repeatsLeft: 20, attemptsLeft: 3, isContinued: false };
+const firstModelOptions = { models, retriesLeft: 20, attemptsLeft: 3, isContinued: false };
 
 describe("chooseFirstModel", () => {
     it("begins with the smallest", () => {
-        expect(chooseFirstModel(first)).toEqual("small");
+        expect(chooseFirstModel(firstModelOptions)).toEqual("small");
     });
 
     // The pool's repeats are used up. A small model's poor answer could not be bettered, and the caller would be left with it.
     it("begins with the largest when no second step is possible", () => {
-        expect(chooseFirstModel({ ...first, repeatsLeft: 1 })).toEqual("large");
-        expect(chooseFirstModel({ ...first, attemptsLeft: 1 })).toEqual("large");
+        expect(chooseFirstModel({ ...firstModelOptions, retriesLeft: 1 })).toEqual("large");
+        expect(chooseFirstModel({ ...firstModelOptions, attemptsLeft: 1 })).toEqual("large");
     });
 
     it("goes on with the largest where the caller has a part of an answer", () => {
-        expect(chooseFirstModel({ ...first, isContinued: true })).toEqual("large");
+        expect(chooseFirstModel({ ...firstModelOptions, isContinued: true })).toEqual("large");
     });
 });
 
--- a/test/decisions/dispatch/manyNodes.ts
+++ b/test/decisions/dispatch/manyNodes.ts
@@ -27,7 +27,7 @@
     readonly at: number;
     readonly node: number;
     readonly kind: Kind;
-    readonly readingMilliseconds: number;
+    readonly prefillMilliseconds: number;
 }
 
 interface Runner {
@@ -35,7 +35,7 @@
     readonly queue: Job[];
 }
 
-interface Moment {
+interface ScheduledEvent {
     readonly at: number;
     readonly run: () => void;
 }
@@ -69,15 +69,15 @@
     );
     const meanMilliseconds = kinds.reduce((sum, kind) => sum + kind.share * kind.milliseconds, 0);
     const gapMilliseconds = meanMilliseconds / (runners * slots * load);
-    const moments: Moment[] = [];
+    const scheduledEvents: ScheduledEvent[] = [];
     const waits: number[] = [];
 
-    function schedule(moment: Moment): void {
-        let index = moments.length;
-        while (index > 0 && moments[index - 1].at < moment.at) {
+    function schedule(event: ScheduledEvent): void {
+        let index = scheduledEvents.length;
+        while (index > 0 && scheduledEvents[index - 1].at < event.at) {
             index -= 1;
         }
-        moments.splice(index, 0, moment);
+        scheduledEvents.splice(index, 0, event);
     }
 
     function drawKind(): Kind {
@@ -85,14 +85,14 @@
         return drawn < kinds[0].share ? kinds[0] : drawn < kinds[0].share + kinds[1].share ? kinds[1] : kinds[2];
     }
 
-    function begin(id: string, job: Job): void {
+    function startJob(id: string, job: Job): void {
         const upstream = upstreams.find(other => other.id === id)!;
         const state = states.get(id)!;
         const picker = pickers[job.node];
         state.running += 1;
         waits.push(clock.monotonic() - job.at);
-        picker.addReading(id, -job.readingMilliseconds);
-        picker.report(upstream, { requests: state.running + state.queue.length, slots });
+        picker.addPendingPrefill(id, -job.prefillMilliseconds);
+        picker.addLoadReport(upstream, { requests: state.running + state.queue.length, slots });
         const milliseconds = job.kind.milliseconds * Math.exp(0.6 * random.nextNormal() - 0.18);
         schedule({
             at: clock.monotonic() + milliseconds,
@@ -101,38 +101,41 @@
                 picker.finish(upstream, "ok", upstreams);
                 const next = state.queue.shift();
                 if (next !== undefined) {
-                    begin(id, next);
+                    startJob(id, next);
                 }
             },
         });
     }
 
-    function arrive(left: number): void {
+    function arrive(remaining: number): void {
         const kind = drawKind();
         const node = random.nextInteger(nodes);
         const tokens = Math.round(kind.tokens * Math.exp(random.nextNormal() - 0.5));
-        const prompt = { model: "m", tokens, bytes: 800, sharedTokens: 0, sharedKey: `k${left}` };
+        const prompt = { model: "m", tokens, bytes: 800, sharedTokens: 0, sharedKey: `k${remaining}` };
         const pick = pickers[node].pick({ pool: "app", candidates: upstreams, excluded: new Set(), prompt })!;
-        const { upstream: { id }, readingMilliseconds } = pick;
-        pickers[node].begin(id);
-        pickers[node].addReading(id, readingMilliseconds);
-        const job = { at: clock.monotonic(), node, kind, readingMilliseconds };
+        const { upstream: { id }, prefillMilliseconds } = pick;
+        pickers[node].start(id);
+        pickers[node].addPendingPrefill(id, prefillMilliseconds);
+        const job = { at: clock.monotonic(), node, kind, prefillMilliseconds };
         const state = states.get(id)!;
         if (state.running < slots) {
-            begin(id, job);
+            startJob(id, job);
         }
         else {
             state.queue.push(job);
         }
-        if (left > 1) {
-            schedule({ at: clock.monotonic() + random.nextExponential(gapMilliseconds), run: () => arrive(left - 1) });
+        if (remaining > 1) {
+            schedule({
+                at: clock.monotonic() + random.nextExponential(gapMilliseconds),
+                run: () => arrive(remaining - 1),
+            });
         }
     }
 
     schedule({ at: clock.monotonic(), run: () => arrive(requests) });
-    for (let moment = moments.pop(); moment !== undefined; moment = moments.pop()) {
-        clock.advance(moment.at - clock.monotonic());
-        moment.run();
+    for (let event = scheduledEvents.pop(); event !== undefined; event = scheduledEvents.pop()) {
+        clock.advance(event.at - clock.monotonic());
+        event.run();
     }
     return waits;
 }
--- a/test/decisions/dispatch/promptHolders.test.ts
+++ b/test/decisions/dispatch/promptHolders.test.ts
@@ -10,11 +10,11 @@
         const runners = createUpstreams(30);
         const [one, other] = [new PromptHolders(), new PromptHolders()];
         for (const key of keys.slice(0, 200)) {
-            const first = one.findFirstTwo(runners, key);
+            const first = one.findTwoHolders(runners, key);
             expect(first.length).toEqual(2);
-            expect(other.findFirstTwo([...runners].reverse(), key)).toEqual(first);
+            expect(other.findTwoHolders([...runners].reverse(), key)).toEqual(first);
         }
-        expect(one.findFirstTwo(createUpstreams(1), "any")).toEqual(["u1"]);
+        expect(one.findTwoHolders(createUpstreams(1), "any")).toEqual(["u1"]);
     });
 
     // A runner crashes. If the keys of all others moved too, every shared part would be read again at another runner, at the
@@ -23,8 +23,8 @@
         const runners = createUpstreams(30);
         const holders = new PromptHolders();
         for (const key of keys) {
-            const [first, second] = holders.findFirstTwo(runners, key);
-            const left = holders.findFirstTwo(runners.filter(runner => runner.id !== "u7"), key);
+            const [first, second] = holders.findTwoHolders(runners, key);
+            const left = holders.findTwoHolders(runners.filter(runner => runner.id !== "u7"), key);
             expect(left[0]).toEqual(first === "u7" ? second : first);
         }
     });
@@ -34,7 +34,7 @@
         const holders = new PromptHolders();
         const runners = createUpstreams(30);
         for (const key of keys) {
-            const [first] = holders.findFirstTwo(runners, key);
+            const [first] = holders.findTwoHolders(runners, key);
             counts.set(first, (counts.get(first) ?? 0) + 1);
         }
         expect(counts.size).toEqual(30);
--- a/test/decisions/dispatch/upstreamPicker.test.ts
+++ b/test/decisions/dispatch/upstreamPicker.test.ts
@@ -58,7 +58,7 @@
 /** Time to the first token that 95 in 100 callers are promised. */
 const objectiveMilliseconds = 900;
 
-function getAt95(waits: readonly number[]): number {
+function getPercentile95(waits: readonly number[]): number {
     const sorted = [...waits].sort((first, second) => first - second);
     return sorted[Math.floor(sorted.length * 0.95)];
 }
@@ -72,7 +72,7 @@
             const options = { pool: "app", candidates: [near, far], excluded: new Set<string>(), prompt: undefined };
             expect(picker.pick(options)?.upstream.id).toEqual("near");
             for (let request = 0; request < 8; request += 1) {
-                picker.begin("near");
+                picker.start("near");
             }
             expect(picker.pick(options)?.upstream.id).toEqual("far");
         });
@@ -94,7 +94,7 @@
         it("does not take runners for empty of which nothing is known", () => {
             for (const seed of [1, 2, 3]) {
                 const waits = replayManyNodes({ nodes: 33, runners: 12, slots: 12, load: 0.9, requests: 6_000, seed });
-                expect(getAt95(waits) < objectiveMilliseconds).toEqual(true);
+                expect(getPercentile95(waits) < objectiveMilliseconds).toEqual(true);
             }
         });
 
@@ -102,7 +102,7 @@
             const { picker } = createPicker();
             const only = createUpstream("only");
             for (let failure = 0; failure < 8; failure += 1) {
-                picker.begin("only");
+                picker.start("only");
                 picker.finish(only, "silent", [only, createUpstream("second"), createUpstream("third")]);
             }
             const pick = picker.pick({ pool: "app", candidates: [only], excluded: new Set(), prompt: undefined });
@@ -118,7 +118,7 @@
                 const prompt = createPrompt({ tokens: 300, sharedTokens: 0, sharedKey: `large ${request % 3}` });
                 const pick = picker.pick({ pool: "app", candidates: [...near, ...far], excluded: new Set(), prompt });
                 picked.add(pick?.upstream.id);
-                picker.begin(pick!.upstream.id);
+                picker.start(pick!.upstream.id);
             }
             expect(picked.size <= 12 + 6).toEqual(true);
         });
@@ -129,31 +129,31 @@
             const jobs = createJobs(7);
             const runners = createUpstreams(13, { slots: 48 });
             const random = new RandomSource(8);
-            const spread = replay(jobs, runners, () => runners[random.nextInteger(runners.length)].id);
+            const randomWaits = replay(jobs, runners, () => runners[random.nextInteger(runners.length)].id);
             const { clock, picker } = createPicker();
-            const reading: { readonly id: string; readonly until: number; readonly milliseconds: number; }[] = [];
-            const apart = replay(jobs, runners, job => {
+            const prefills: { readonly id: string; readonly until: number; readonly milliseconds: number; }[] = [];
+            const pickerWaits = replay(jobs, runners, job => {
                 clock.advance(job.at + 10_000 - clock.monotonic());
                 for (
-                    const done of reading.splice(0).filter(entry => entry.until > clock.monotonic() || !finish(entry))
+                    const done of prefills.splice(0).filter(entry => entry.until > clock.monotonic() || !finish(entry))
                 ) {
-                    reading.push(done);
+                    prefills.push(done);
                 }
                 const prompt = createPrompt({ tokens: job.tokens, sharedKey: `large ${job.at}` });
                 const pick = picker.pick({ pool: "app", candidates: runners, excluded: new Set(), prompt });
-                const { upstream, readingMilliseconds } = pick!;
-                picker.begin(upstream.id);
-                picker.addReading(upstream.id, readingMilliseconds);
+                const { upstream, prefillMilliseconds } = pick!;
+                picker.start(upstream.id);
+                picker.addPendingPrefill(upstream.id, prefillMilliseconds);
                 const until = clock.monotonic() + job.tokens / 40;
-                reading.push({ id: upstream.id, until, milliseconds: readingMilliseconds });
+                prefills.push({ id: upstream.id, until, milliseconds: prefillMilliseconds });
                 return upstream.id;
             });
-            function finish(entry: typeof reading[number]): boolean {
-                picker.addReading(entry.id, -entry.milliseconds);
+            function finish(entry: typeof prefills[number]): boolean {
+                picker.addPendingPrefill(entry.id, -entry.milliseconds);
                 picker.finish(createUpstream(entry.id), "cancelled", []);
                 return true;
             }
-            expect(getAt95(apart) < 0.25 * getAt95(spread)).toEqual(true);
+            expect(getPercentile95(pickerWaits) < 0.25 * getPercentile95(randomWaits)).toEqual(true);
         });
     });
 
@@ -163,9 +163,9 @@
             const pool = createUpstreams(4);
             for (const upstream of pool.slice(0, 2)) {
                 for (let call = 0; call < 2; call += 1) {
-                    picker.begin(upstream.id);
+                    picker.start(upstream.id);
                     if (upstream.id === "u2") {
-                        picker.markHeard("u2");
+                        picker.markSeen("u2");
                     }
                     picker.finish(upstream, "silent", pool);
                 }
@@ -180,7 +180,7 @@
             const pool = createUpstreams(4);
             for (let call = 0; call < 400; call += 1) {
                 const upstream = pool[call % 4];
-                picker.begin(upstream.id);
+                picker.start(upstream.id);
                 picker.finish(upstream, call % 7 < 1 ? "failed" : "ok", pool);
             }
             expect(ejected).toEqual([]);
@@ -191,7 +191,7 @@
             const pool = createUpstreams(6);
             for (let call = 0; call < 60; call += 1) {
                 for (const upstream of pool.slice(0, 4)) {
-                    picker.begin(upstream.id);
+                    picker.start(upstream.id);
                     picker.finish(upstream, "silent", pool);
                 }
             }
--- a/test/decisions/exposure/rolloutJudge.test.ts
+++ b/test/decisions/exposure/rolloutEvaluator.test.ts
@@ -5,15 +5,15 @@
 import {
     createRolloutPolicy,
     Exposures,
-    RolloutJudge,
+    type RolloutEvaluation,
+    RolloutEvaluator,
     type RolloutRules,
-    type Verdict,
 } from "../../../src/decisions/exposure/index.js";
 import { Evidence } from "../../../src/decisions/model/index.js";
 
 const rollout = "rollout-1";
 const entries = ["a", "b"];
-const fence = 1;
+const fencingToken = 1;
 const requestClass = "allergens";
 
 describe("RolloutJudge", () => {
@@ -26,7 +26,7 @@
 
         it("releases no more callers until the first ones are judged", () => {
             const { judge, append, expose } = createFixture();
-            append("rollout-grant", { rollout, fence, grants: { a: 4, b: 4 } });
+            append("rollout-grant", { rollout, fence: fencingToken, grants: { a: 4, b: 4 } });
             expose(8);
             expect(judge().action).toEqual("wait");
         });
@@ -37,7 +37,7 @@
             answer("label@2", 300, 0.03, 1);
             clock.advance(70_000);
             expect(judge().action).toEqual("advance");
-            append("rollout-advance", { rollout, stage: 1, fence });
+            append("rollout-advance", { rollout, stage: 1, fence: fencingToken });
             clock.advance(70_000);
             expect(judge().action).toEqual("finish");
         });
@@ -148,8 +148,8 @@
         // called meanwhile, so most new callers get the version before it as soon as there is a good reason to doubt.
         it("holds a version back soon after its roll-out, and releases it when it proves good", () => {
             const { judgeSettled, isHeld, append, answer, clock } = createFixture();
-            append("rollout-advance", { rollout, stage: 1, fence });
-            append("rollout-finish", { rollout, fence });
+            append("rollout-advance", { rollout, stage: 1, fence: fencingToken });
+            append("rollout-finish", { rollout, fence: fencingToken });
             answer("label@2", 500, 0.03, 1);
             clock.advance(700_000);
             answer("label@2", 100, 0.03, 1);
@@ -168,8 +168,8 @@
 
         it("holds no version back long after its roll-out", () => {
             const { judgeSettled, isHeld, append, answer, clock } = createFixture();
-            append("rollout-advance", { rollout, stage: 1, fence });
-            append("rollout-finish", { rollout, fence });
+            append("rollout-advance", { rollout, stage: 1, fence: fencingToken });
+            append("rollout-finish", { rollout, fence: fencingToken });
             clock.advance(4_000_000);
             answer("label@2", 500, 0.03, 1);
             clock.advance(700_000);
@@ -185,7 +185,7 @@
 function createFixture() {
     const clock = new ManualClock(1_800_000_000_000);
     const random = new RandomSource(5);
-    const fold = new RolloutFold({ isCurrentFence: given => given === fence });
+    const fold = new RolloutFold({ isCurrentFence: given => given === fencingToken });
     const evidence = new Evidence({ clock });
     const exposures = new Exposures();
     const defaults: RolloutRules = {
@@ -199,7 +199,7 @@
         expect(model).toEqual("label");
         return createRolloutPolicy(rules);
     };
-    const judge = new RolloutJudge({ fold, evidence, exposures, clock, getPolicy });
+    const judge = new RolloutEvaluator({ fold, evidence, exposures, clock, getPolicy });
     let offset = 0;
     const append = (kind: string, body: unknown, time = clock.wall()) => {
         fold.apply({ offset, time, record: { id: `${offset}`, kind, format: 1, writer: "test", body } });
@@ -238,8 +238,8 @@
         setRules: (changes: Partial<RolloutRules>) => {
             rules = { ...defaults, ...changes };
         },
-        judge: (): Verdict => judge.judge(rollout, entries, "a"),
-        judgeSettled: (version: string): Verdict => judge.judgeSettled(version),
+        judge: (): RolloutEvaluation => judge.evaluate(rollout, entries, "a"),
+        judgeSettled: (version: string): RolloutEvaluation => judge.evaluateStable(version),
         isHeld: (version: string): boolean => judge.isHeld(version),
         expose: (count: number) => {
             for (let index = 0; index < count; index += 1) {
--- a/test/decisions/exposure/rolloutRouter.test.ts
+++ b/test/decisions/exposure/rolloutRouter.test.ts
@@ -4,7 +4,7 @@
 import { createCallerHash, Exposures, RolloutRouter } from "../../../src/decisions/exposure/index.js";
 
 const rollout = "rollout-1";
-const fence = 1;
+const fencingToken = 1;
 const entries = ["a", "b", "c"];
 
 describe("RolloutRouter", () => {
@@ -18,7 +18,7 @@
         // together would expose several times the budget to what may be a bad version.
         it("keeps the callers of all entries within the budget though they know nothing of each other", async () => {
             const { append, pickMany } = await createFixture();
-            append("rollout-grant", { rollout, fence, grants: { a: 10, b: 10, c: 10 } });
+            append("rollout-grant", { rollout, fence: fencingToken, grants: { a: 10, b: 10, c: 10 } });
             let exposed = 0;
             for (const entry of entries) {
                 exposed += pickMany(entry, 2000);
@@ -28,19 +28,19 @@
 
         it("keeps an exposed caller exposed as stages advance", async () => {
             const { append, routers } = await createFixture();
-            append("rollout-grant", { rollout, fence, grants: { a: 30 } });
+            append("rollout-grant", { rollout, fence: fencingToken, grants: { a: 30 } });
             const router = routers.get("a")!;
             const callers = Array.from({ length: 300 }, (...[, index]) => `caller-${index}`);
             const early = callers.filter(caller => router.pick({ rollout, caller }) === "label@2");
-            append("rollout-advance", { rollout, stage: 1, fence });
-            append("rollout-grant", { rollout, fence, grants: { a: 100 } });
+            append("rollout-advance", { rollout, stage: 1, fence: fencingToken });
+            append("rollout-grant", { rollout, fence: fencingToken, grants: { a: 100 } });
             expect(early.length).toEqual(30);
             expect(early.every(caller => router.pick({ rollout, caller }) === "label@2")).toEqual(true);
         });
 
         it("exposes nobody to a halted candidate and falls back from a halted baseline", async () => {
             const { fold, append, pickMany, routers } = await createFixture();
-            append("rollout-grant", { rollout, fence, grants: { a: 30 } });
+            append("rollout-grant", { rollout, fence: fencingToken, grants: { a: 30 } });
             fold.addHalt({ id: "h1", version: "label@2", reason: "bad", at: 1 });
             expect(pickMany("a", 500)).toEqual(0);
             fold.addHalt({ id: "h2", version: "label@1", reason: "bad", at: 1 });
@@ -53,8 +53,8 @@
     describe("isHeld", () => {
         it("leaves few callers, always the same, with a finished candidate that is held back", async () => {
             const { append, pickMany, held } = await createFixture();
-            append("rollout-advance", { rollout, stage: 1, fence });
-            append("rollout-finish", { rollout, fence });
+            append("rollout-advance", { rollout, stage: 1, fence: fencingToken });
+            append("rollout-finish", { rollout, fence: fencingToken });
             expect(pickMany("a", 1000)).toEqual(1000);
             held.add(rollout);
             const exposed = pickMany("a", 1000);
@@ -68,18 +68,18 @@
             const { fold, append, routers } = await createFixture();
             const second = "rollout-2";
             append("rollout-start", createStart(second, "label@3"));
-            append("rollout-grant", { rollout, fence, grants: { a: 20 } });
-            append("rollout-grant", { rollout: second, fence, grants: { a: 20 } });
+            append("rollout-grant", { rollout, fence: fencingToken, grants: { a: 20 } });
+            append("rollout-grant", { rollout: second, fence: fencingToken, grants: { a: 20 } });
             const router = routers.get("a")!;
             const picked = new Map<string, number>();
             for (let index = 0; index < 500; index += 1) {
-                const version = router.pickOfModel({ model: "label", caller: `caller-${index}` })!;
+                const version = router.pickForModel({ model: "label", caller: `caller-${index}` })!;
                 picked.set(version, (picked.get(version) ?? 0) + 1);
             }
             expect(picked.get("label@2")).toEqual(20);
             expect(picked.get("label@3")).toEqual(20);
             fold.addHalt({ id: "h1", version: "label@3", reason: "bad", at: 1 });
-            expect(router.pickOfModel({ model: "label", caller: "caller-new" })).toEqual("label@1");
+            expect(router.pickForModel({ model: "label", caller: "caller-new" })).toEqual("label@1");
         });
     });
 });
@@ -90,7 +90,7 @@
 }
 
 async function createFixture() {
-    const fold = new RolloutFold({ isCurrentFence: given => given === fence });
+    const fold = new RolloutFold({ isCurrentFence: given => given === fencingToken });
     const hash = await createCallerHash();
     const held = new Set<string>();
     const isHeld = ({ id }: { readonly id: string; }): boolean => held.has(id);
--- a/test/decisions/exposure/sequentialTest.test.ts
+++ b/test/decisions/exposure/sequentialTest.test.ts
@@ -87,7 +87,7 @@
 function createFixture(seed = 1, referenceAnswers = 20_000) {
     const random = new RandomSource(seed);
     const good: Chances = { bad: 0.03, failed: 0.005, slow: 0.05 };
-    const test = new SequentialTest({ threshold: 20, firstStartPart: 0.6, laterStartPart: 0.4 / 200 });
+    const test = new SequentialTest({ threshold: 20, initialChangeWeight: 0.6, laterChangeWeight: 0.4 / 200 });
     const strata = classes.map(requestClass => ({
         requestClass,
         buckets: [] as { start: number; level: number; tally: Tally; }[],
--- a/test/decisions/limits/admissionController.test.ts
+++ b/test/decisions/limits/admissionController.test.ts
@@ -55,9 +55,9 @@
         it("takes a caller that left out of the line", () => {
             const { offer, fill, controller } = createController(2);
             const [first] = fill();
-            const left = new AbortController();
-            const decision = offer({ signal: left.signal });
-            left.abort();
+            const abortController = new AbortController();
+            const decision = offer({ signal: abortController.signal });
+            abortController.abort();
             expect([controller.getQueueLength(), decision()!.isErr()]).toEqual([0, true]);
             release(first);
             expect(controller.getInFlight()).toEqual(1);
@@ -88,11 +88,11 @@
         function getServedRatio(options: { readonly capacity: number; readonly every: number; }): number {
             const { controller, pass } = createController(options.capacity);
             const served = new Map([["large", 0], ["small", 0]]);
-            const atWork: { readonly until: number; readonly ticket: Ticket; }[] = [];
+            const inFlight: { readonly until: number; readonly ticket: Ticket; }[] = [];
             for (let step = 0; step < 20_000; step += 1) {
                 pass(10);
-                while (atWork.length > 0 && atWork[0].until <= step) {
-                    release(atWork.shift()!.ticket);
+                while (inFlight.length > 0 && inFlight[0].until <= step) {
+                    release(inFlight.shift()!.ticket);
                 }
                 if (step % options.every !== 0) {
                     continue;
@@ -103,7 +103,7 @@
                 controller.offer(createRequest({ workspace, share }), result => {
                     if (result.isOk()) {
                         served.set(workspace, served.get(workspace)! + 1);
-                        atWork.push({ until: step + 80, ticket: result.value });
+                        inFlight.push({ until: step + 80, ticket: result.value });
                     }
                 });
             }
@@ -168,14 +168,14 @@
         it("tells a caller that comes too early to wait longer", () => {
             const { offer, fill, pass } = createController(4);
             fill({ workspace: "loud" });
-            const ask = (): number => {
+            const requestRetryAfter = (): number => {
                 const decision = offer({ workspace: "loud", caller: "clerk" });
                 pass(50);
                 return decision()!._unsafeUnwrapErr().retryAfterMilliseconds!;
             };
-            ask();
-            ask();
-            expect(ask() >= 4_000).toEqual(true);
+            requestRetryAfter();
+            requestRetryAfter();
+            expect(requestRetryAfter() >= 4_000).toEqual(true);
         });
 
         it("keeps retries beyond the workspace's budget out of the line", () => {
--- a/test/decisions/limits/fairQueue.test.ts
+++ b/test/decisions/limits/fairQueue.test.ts
@@ -1,23 +1,23 @@
 import { expect } from "earl";
 import { describe, it } from "node:test";
-import { FairQueue, type Waiting } from "../../../src/decisions/limits/fairQueue.js";
+import { FairQueue, type FairQueueItem } from "../../../src/decisions/limits/fairQueue.js";
 
-function createWaiting(workspace: string, options: Partial<Waiting> = {}): Waiting {
+function createItem(workspace: string, options: Partial<FairQueueItem> = {}): FairQueueItem {
     return { workspace, share: 1, priority: 1, tokens: 100, since: 0, ...options };
 }
 
-function shiftWorkspaces(queue: FairQueue<Waiting>, count: number): readonly (string | undefined)[] {
+function shiftWorkspaces(queue: FairQueue<FairQueueItem>, count: number): readonly (string | undefined)[] {
     return Array.from({ length: count }).map(() => queue.shift()?.workspace);
 }
 
 describe("FairQueue", () => {
     describe("shift", () => {
         it("goes by tokens and shares, and by priority within a workspace", () => {
-            const queue = new FairQueue<Waiting>();
-            const urgent = createWaiting("short", { priority: 0 });
+            const queue = new FairQueue<FairQueueItem>();
+            const urgent = createItem("short", { priority: 0 });
             for (let index = 0; index < 6; index += 1) {
-                queue.add(createWaiting("long", { tokens: 300 }));
-                queue.add(createWaiting("short"));
+                queue.add(createItem("long", { tokens: 300 }));
+                queue.add(createItem("short"));
             }
             queue.add(urgent);
             const order = Array.from({ length: 8 }).map(() => queue.shift()!);
@@ -28,27 +28,27 @@
         // A workspace that was away for an hour comes back with many requests. If all it did not use were kept for it,
         // everybody else would stand still until it has caught up.
         it("keeps only a bounded credit for a workspace that was away", () => {
-            const queue = new FairQueue<Waiting>();
+            const queue = new FairQueue<FairQueueItem>();
             for (let index = 0; index < 1_000; index += 1) {
                 queue.start("busy", 1, 100);
             }
             for (let index = 0; index < 20; index += 1) {
-                queue.add(createWaiting("busy"));
-                queue.add(createWaiting("away"));
+                queue.add(createItem("busy"));
+                queue.add(createItem("away"));
             }
             const served = shiftWorkspaces(queue, 16).filter(workspace => workspace === "away").length;
             expect(served >= 8 && served <= 12).toEqual(true);
         });
 
         it("does not hold work done on an idle site against a workspace", () => {
-            const queue = new FairQueue<Waiting>();
+            const queue = new FairQueue<FairQueueItem>();
             queue.start("other", 1, 100);
             for (let index = 0; index < 1_000; index += 1) {
                 queue.start("busy", 1, 100);
             }
             for (let index = 0; index < 20; index += 1) {
-                queue.add(createWaiting("other"));
-                queue.add(createWaiting("busy"));
+                queue.add(createItem("other"));
+                queue.add(createItem("busy"));
             }
             expect(shiftWorkspaces(queue, 16).filter(workspace => workspace === "busy").length >= 4).toEqual(true);
         });
--- a/test/decisions/loading/loadingOrders.test.ts
+++ b/test/decisions/loading/loadingOrders.test.ts
@@ -18,21 +18,21 @@
     return {
         runners: [],
         placed: [],
-        kept: new Set(),
+        evictable: new Set(),
         retiring: new Set(),
         versionsPerRunner: 2,
         loadsAtATime: 100,
-        leastCopies: 2,
+        minCopies: 2,
         ...changes,
     };
 }
 
-function place(...ids: string[]) {
+function createPlacedVersions(...ids: string[]) {
     return ids.map(id => ({ id, demand: 0 }));
 }
 
 /** Obeys the orders of a decision: unloads at once, and loads where the chance says so. */
-function obey(request: LoadingRequest, hasLoaded: () => boolean): LoadingRequest {
+function applyOrders(request: LoadingRequest, hasLoaded: () => boolean): LoadingRequest {
     const orders = new Map(decideLoading(request).orders.map(order => [order.runner, order]));
     const runners = request.runners.map(runner => {
         const order = orders.get(runner.id);
@@ -72,9 +72,10 @@
             for (let step = 0; step < 200; step += 1) {
                 const before = names.filter(name => findHolders(request, name).length > 0);
                 const { orders } = decideLoading(request);
-                expect(orders.filter(order => order.loads !== undefined).length <= request.loadsAtATime).toEqual(true);
+                expect(orders.filter(order => order.loadingVersion !== undefined).length <= request.loadsAtATime)
+                    .toEqual(true);
                 expect(orders.every(order => order.versions.length <= 2)).toEqual(true);
-                request = obey(request, () => random.nextInteger(3) === 0);
+                request = applyOrders(request, () => random.nextInteger(3) === 0);
                 expect(before.filter(name => findHolders(request, name).length === 0)).toEqual([]);
             }
             for (const name of names) {
@@ -89,13 +90,16 @@
     it("keeps a version on its only ready runner while another one loads it", () => {
         const [loading, ready] = createRunners([[], ["a"]]);
         const runners = [{ ...loading, loading: ["a"] }, ready];
-        const request = createRequest({ runners, placed: place("a", "b"), versionsPerRunner: 1 });
+        const request = createRequest({ runners, placed: createPlacedVersions("a", "b"), versionsPerRunner: 1 });
         const loads = decideLoading(request).orders.map(order => [order.runner, order.versions]);
         expect(loads).toEqual([["runner-0", ["a"]]]);
     });
 
     it("orders nothing where every version is loaded as widely as it is needed", () => {
-        const request = createRequest({ runners: createRunners([["a", "b"], ["a", "b"]]), placed: place("a", "b") });
+        const request = createRequest({
+            runners: createRunners([["a", "b"], ["a", "b"]]),
+            placed: createPlacedVersions("a", "b"),
+        });
         expect(decideLoading(request).orders).toEqual([]);
     });
 
@@ -103,33 +107,36 @@
     it("unloads a version that retires on idle runners only, and one that is gone everywhere", () => {
         const [busy, idle] = createRunners([["a", "old"], ["a", "old"]]);
         const runners = [{ ...busy, isIdle: false }, idle];
-        const retiring = createRequest({ runners, placed: place("a"), retiring: new Set(["old"]) });
+        const retiring = createRequest({ runners, placed: createPlacedVersions("a"), retiring: new Set(["old"]) });
         expect(decideLoading(retiring).orders.map(order => order.runner)).toEqual(["runner-1"]);
-        const gone = createRequest({ runners, placed: place("a") });
-        expect(decideLoading(gone).orders.map(order => order.versions)).toEqual([["a"], ["a"]]);
+        const removed = createRequest({ runners, placed: createPlacedVersions("a") });
+        expect(decideLoading(removed).orders.map(order => order.versions)).toEqual([["a"], ["a"]]);
     });
 
     // One engine hangs on its load. Counted on for ever, the version would never reach a second failure domain.
     it("passes over a runner that does not load in time", () => {
         const [first, second, third] = createRunners([["a"], [], ["a"]], 3);
         const runners = [first, { ...second, isStalled: true }, third];
-        const request = createRequest({ runners, placed: [...place("a"), { id: "b", demand: 1 }] });
-        const loads = decideLoading(request).orders.map(order => [order.runner, order.loads]);
+        const request = createRequest({ runners, placed: [...createPlacedVersions("a"), { id: "b", demand: 1 }] });
+        const loads = decideLoading(request).orders.map(order => [order.runner, order.loadingVersion]);
         expect(loads).toEqual([["runner-0", "b"], ["runner-2", "b"]]);
     });
 
     it("keeps what is merely kept until its room is needed", () => {
         const runners = createRunners([["a", "spare"], ["a", "spare"]]);
         const kept = new Set(["spare"]);
-        expect(decideLoading(createRequest({ runners, placed: place("a"), kept })).orders).toEqual([]);
-        const { orders } = decideLoading(createRequest({ runners, placed: place("a", "b"), kept }));
+        expect(decideLoading(createRequest({ runners, placed: createPlacedVersions("a"), evictable: kept })).orders)
+            .toEqual([]);
+        const { orders } = decideLoading(
+            createRequest({ runners, placed: createPlacedVersions("a", "b"), evictable: kept }),
+        );
         expect(orders.map(order => order.versions)).toEqual([["a", "b"], ["a", "b"]]);
     });
 
     it("says which versions there is no room for", () => {
         const request = createRequest({
             runners: createRunners([["a"]]),
-            placed: place("a", "b"),
+            placed: createPlacedVersions("a", "b"),
             versionsPerRunner: 1,
         });
         const { orders, unplaced } = decideLoading(request);
--- a/test/decisions/model/answerTimes.test.ts
+++ b/test/decisions/model/answerTimes.test.ts
@@ -14,21 +14,21 @@
             for (let count = 0; count < 200; count += 1) {
                 times.addRating(50);
             }
-            expect(Math.round(times.getHoldMilliseconds(requestClass, "small", "large") ?? 0)).toEqual(1750);
+            expect(Math.round(times.getCascadeWaitMilliseconds(requestClass, "small", "large") ?? 0)).toEqual(1750);
         });
 
         // An entry has just started, or a class is new: a cascade that is tried blindly may keep its caller for seconds.
         it("knows nothing before the first answer of a class", () => {
             const { times, learn } = createFixture();
             learn("large", 200, 4000);
-            expect(times.getHoldMilliseconds("tags", "small", "large")).toEqual(undefined);
+            expect(times.getCascadeWaitMilliseconds("tags", "small", "large")).toEqual(undefined);
         });
 
         it("takes a version without times to be as slow as the slowest of its class", () => {
             const { times, learn } = createFixture();
             learn("medium", 100, 2000);
             learn("large", 200, 4000);
-            expect(Math.round(times.getHoldMilliseconds(requestClass, "small", "large") ?? 0)).toEqual(4200);
+            expect(Math.round(times.getCascadeWaitMilliseconds(requestClass, "small", "large") ?? 0)).toEqual(4200);
         });
 
         // A version was slow for a while, so no cascade begins with it and nothing new is heard of its times. Kept for good,
@@ -38,7 +38,7 @@
             learn("small", 3000, 60_000);
             clock.advance(61_000);
             learn("large", 100, 400);
-            expect((times.getHoldMilliseconds(requestClass, "small", "large") ?? Infinity) < 600).toEqual(true);
+            expect((times.getCascadeWaitMilliseconds(requestClass, "small", "large") ?? Infinity) < 600).toEqual(true);
         });
 
         // Callers name classes. One that makes up a name for each request must not fill the entry's memory.
@@ -46,10 +46,10 @@
             const { times, learn } = createFixture();
             learn("small", 100, 400);
             for (let index = 0; index < 1024; index += 1) {
-                times.add("small", `class-${index}`, { firstToken: 100, whole: 400 });
+                times.add("small", `class-${index}`, { firstToken: 100, total: 400 });
             }
-            expect(times.getHoldMilliseconds(requestClass, "small", "small")).toEqual(undefined);
-            expect(times.getHoldMilliseconds("class-0", "small", "small") !== undefined).toEqual(true);
+            expect(times.getCascadeWaitMilliseconds(requestClass, "small", "small")).toEqual(undefined);
+            expect(times.getCascadeWaitMilliseconds("class-0", "small", "small") !== undefined).toEqual(true);
         });
     });
 });
@@ -57,9 +57,9 @@
 function createFixture() {
     const clock = new ManualClock();
     const times = new AnswerTimes(clock);
-    const learn = (version: string, firstToken: number, whole: number) => {
+    const learn = (version: string, firstToken: number, total: number) => {
         for (let count = 0; count < 200; count += 1) {
-            times.add(version, requestClass, { firstToken, whole });
+            times.add(version, requestClass, { firstToken, total });
         }
     };
     return { clock, times, learn };
--- a/test/decisions/model/evidence.test.ts
+++ b/test/decisions/model/evidence.test.ts
@@ -41,7 +41,7 @@
             expect(change.series.length).toEqual(1);
             receiver.merge("sender", change);
             expect(describeCounts(receiver).ratings).toEqual(1);
-            expect(receiver.getRecent(version, "other").ratings).toEqual(1);
+            expect(receiver.getDecayedTally(version, "other").ratings).toEqual(1);
         });
     });
 
--- a/test/decisions/model/modelChooser.test.ts
+++ b/test/decisions/model/modelChooser.test.ts
@@ -110,8 +110,8 @@
             addRatings(medium, 400, 0.88, 0.02);
             addRatings(large, 400, 0.95, 0.02);
             expect(choose({ ratingsAvailable: false }).steps[0].version.id).toEqual(medium.id);
-            const dearer = { ...medium, inputPrice: 20, outputPrice: 80 };
-            const plan = choose({ ratingsAvailable: false, candidates: [small, dearer, large] });
+            const moreExpensive = { ...medium, inputPrice: 20, outputPrice: 80 };
+            const plan = choose({ ratingsAvailable: false, candidates: [small, moreExpensive, large] });
             expect(plan.steps[0].version.id).toEqual(large.id);
         });
 
@@ -137,12 +137,12 @@
             const { addRatings, choose } = createFixture();
             addRatings(medium, 500, 0.7, 0.02);
             addRatings(large, 3, 0.6, 0.02);
-            let lateTries = 0;
+            let lateExplorations = 0;
             for (let request = 0; request < 2000; request += 1) {
                 const tried = choose({ candidates: [medium, large] }).steps[0].version === large;
-                lateTries += tried && request >= 1000 ? 1 : 0;
+                lateExplorations += tried && request >= 1000 ? 1 : 0;
             }
-            expect(lateTries > 0).toEqual(true);
+            expect(lateExplorations > 0).toEqual(true);
         });
 
         // Forming plans takes longer than callers may wait for their next token. It runs in steps after the request, and
@@ -189,12 +189,12 @@
             const { evidence, choose, clock, random } = createFixture();
             const qualities = new Map([[small.id, 0.55], [medium.id, 0.86], [large.id, 0.94]]);
             let sum = 0;
-            let tries = 0;
+            let explorations = 0;
             const count = 5000;
             for (let request = 0; request < count; request += 1) {
                 clock.advance(100);
                 const plan = choose({});
-                tries += plan.exploring ? 1 : 0;
+                explorations += plan.exploring ? 1 : 0;
                 for (const { version, acceptScore } of plan.steps) {
                     const score = clamp(qualities.get(version.id)! + 0.15 * random.nextNormal());
                     evidence.addRating({ version: version.id, requestClass, score });
@@ -204,7 +204,7 @@
                     }
                 }
             }
-            expect(tries > 0).toEqual(true);
+            expect(explorations > 0).toEqual(true);
             expect(sum / count >= 0.8).toEqual(true);
         });
     });
--- a/test/decisions/placement/fixtures.ts
+++ b/test/decisions/placement/fixtures.ts
@@ -101,6 +101,6 @@
 /** Lets a runner fail a number of requests in a row. */
 export function failTimes(chooser: RunnerChooser, vm: Vm, times: number): void {
     for (let index = 0; index < times; index += 1) {
-        chooser.begin(createPlacement(vm)).finish({ outcome: "failed", milliseconds: 3 });
+        chooser.start(createPlacement(vm)).finish({ outcome: "failed", milliseconds: 3 });
     }
 }
--- a/test/decisions/placement/runnerChooser.test.ts
+++ b/test/decisions/placement/runnerChooser.test.ts
@@ -214,7 +214,7 @@
             chooser.addLoadReport(createReport("runner-0", { measuredAt: 900 }));
             chooser.addLoadReport(createReport("runner-1", { measuredAt: 900, running: 4 }));
             clock.advance(200);
-            const work = chooser.begin(createPlacement(vms[0]));
+            const work = chooser.start(createPlacement(vms[0]));
             work.finish({ outcome: "ok", milliseconds: 0, loadHeader: "8/20/8" });
             chooser.addLoadReport(createReport("runner-0", { measuredAt: 950 }));
             expect([...countChoices(chooser).keys()]).toEqual(["runner-1"]);
@@ -224,7 +224,7 @@
             const vms = createVms(2);
             const { chooser, clock } = createChooser(vms);
             for (let index = 0; index < 4; index += 1) {
-                chooser.begin(createPlacement(vms[0]));
+                chooser.start(createPlacement(vms[0]));
             }
             clock.advance(10);
             chooser.addLoadReport(createReport("runner-0", { measuredAt: clock.wall(), running: 4 }));
@@ -239,7 +239,7 @@
             const vms = createVms(2);
             const { chooser } = createChooser(vms);
             for (let index = 0; index < 12; index += 1) {
-                chooser.begin(createPlacement(vms[0]));
+                chooser.start(createPlacement(vms[0]));
             }
             expect([...countChoices(chooser).keys()]).toEqual(["runner-1"]);
         });
@@ -247,11 +247,11 @@
         it("counts the end of work once", () => {
             const vms = createVms(2);
             const { chooser } = createChooser(vms);
-            const work = [1, 2, 3].map(() => chooser.begin(createPlacement(vms[0])));
+            const work = [1, 2, 3].map(() => chooser.start(createPlacement(vms[0])));
             for (let index = 0; index < 3; index += 1) {
                 work[0].finish({ outcome: "cancelled", milliseconds: 5 });
             }
-            chooser.begin(createPlacement(vms[1]));
+            chooser.start(createPlacement(vms[1]));
             // Runner 0 has two left, not none.
             expect([...countChoices(chooser).keys()]).toEqual(["runner-1"]);
         });
@@ -260,7 +260,7 @@
         it("turns away from a runner that stays silent", () => {
             const vms = createVms(2);
             const { chooser, clock } = createChooser(vms);
-            chooser.begin(createPlacement(vms[0]));
+            chooser.start(createPlacement(vms[0]));
             clock.advance(4_000);
             chooser.addLoadReport(createReport("runner-1", { measuredAt: clock.wall(), running: 5 }));
             expect([...countChoices(chooser).keys()]).toEqual(["runner-1"]);
@@ -272,8 +272,8 @@
             const { chooser, clock } = createChooser(vms);
             for (let index = 0; index < 6; index += 1) {
                 for (const vm of vms) {
-                    const work = chooser.begin(createPlacement(vm));
-                    work.firstToken(vm.id === "runner-0" ? 400 : 60);
+                    const work = chooser.start(createPlacement(vm));
+                    work.addFirstToken(vm.id === "runner-0" ? 400 : 60);
                     work.finish({ outcome: "ok", milliseconds: 500, loadHeader: "0/0/8" });
                 }
                 clock.advance(100);
@@ -301,7 +301,7 @@
             const vms = createVms(4);
             const { chooser } = createChooser(vms);
             for (const outcome of ["failed", "failed", "ok", "failed", "refused", "cancelled", "failed"] as const) {
-                chooser.begin(createPlacement(vms[0])).finish({ outcome, milliseconds: 60 });
+                chooser.start(createPlacement(vms[0])).finish({ outcome, milliseconds: 60 });
             }
             expect(countChoices(chooser).has("runner-0")).toEqual(true);
         });
--- a/test/decisions/retries/windowedBudget.test.ts
+++ b/test/decisions/retries/windowedRetryBudget.test.ts
@@ -1,13 +1,13 @@
 import { expect } from "earl";
 import { describe, it } from "node:test";
 import { ManualClock } from "../../../src/common/index.js";
-import { WindowedBudget } from "../../../src/decisions/index.js";
+import { WindowedRetryBudget } from "../../../src/decisions/index.js";
 
 const windowMilliseconds = 10_000;
 
 function createBudget(options: { readonly extra?: number; readonly nodes?: number; } = {}) {
     const clock = new ManualClock(100_000);
-    const budget = new WindowedBudget({
+    const budget = new WindowedRetryBudget({
         clock,
         windowMilliseconds,
         getAllowance: () => ({ ratio: 0.9, extra: options.extra ?? 0 }),
