--- a/src/command/controlSession.ts
+++ b/src/command/controlSession.ts
@@ -32,7 +32,9 @@
     constructor(options: ControlSessionOptions) {
         this.#options = options;
         this.#client = new LogClient({ url: options.logUrl, clock: options.clock });
-        this.rollouts = new RolloutFold({ isCurrentFence: fence => this.leases.isCurrentFence("control", fence) });
+        this.rollouts = new RolloutFold({
+            isCurrentFencingToken: fence => this.leases.isCurrentFencingToken("control", fence),
+        });
         this.#reader = new ControlReader({
             follow: follow =>
                 new LogFollower({
--- a/src/control/controlReader.ts
+++ b/src/control/controlReader.ts
@@ -12,7 +12,7 @@
 export const controlSnapshotKind = "control-snapshot";
 
 /** Records kept while a snapshot is awaited, at most. */
-const pendingLimit = 4096;
+const maxPendingEntries = 4096;
 
 const snapshotSchema = z.object({
     covers: z.number().int(),
@@ -37,8 +37,8 @@
     readonly #stream: StreamReader;
     /** Records after a hole; they are folded once a snapshot covers the hole. */
     #pending: LogEntry[] = [];
-    #hasHole = false;
-    #next = 0;
+    #hasGap = false;
+    #nextOffset = 0;
 
     constructor(options: ControlReaderOptions) {
         this.#leases = options.leases;
@@ -46,9 +46,9 @@
         this.#stream = options.follow({
             stream: "control",
             from: 0,
-            onEntry: entry => this.#take(entry),
+            onEntry: entry => this.#applyEntry(entry),
             onGap: () => {
-                this.#hasHole = true;
+                this.#hasGap = true;
             },
         });
     }
@@ -65,13 +65,13 @@
 
     /** Returns the offset to fold next. */
     getOffset(): number {
-        return this.#next;
+        return this.#nextOffset;
     }
 
     /** Returns the state, for a snapshot or a peer. */
     exportState(): ControlState {
         return {
-            covers: this.#next,
+            covers: this.#nextOffset,
             leases: [...this.#leases.getSnapshot()],
             rollouts: this.#rollouts.exportState(),
         };
@@ -83,45 +83,45 @@
      * @param state - The state, from a snapshot or a peer.
      * @returns Whether it was taken over.
      */
-    offer(state: unknown): boolean {
+    importState(state: unknown): boolean {
         const parsed = snapshotSchema.safeParse(state);
-        if (!parsed.success || parsed.data.covers <= this.#next) {
+        if (!parsed.success || parsed.data.covers <= this.#nextOffset) {
             return false;
         }
         const { covers, leases, rollouts } = parsed.data;
         this.#leases.restore(covers - 1, leases);
         this.#rollouts.importState(rollouts);
-        this.#next = covers;
-        this.#hasHole = false;
+        this.#nextOffset = covers;
+        this.#hasGap = false;
         const pending = this.#pending;
         this.#pending = [];
         for (const entry of pending) {
-            this.#take(entry);
+            this.#applyEntry(entry);
         }
         return true;
     }
 
-    #take(entry: LogEntry): void {
+    #applyEntry(entry: LogEntry): void {
         if (entry.record.kind === controlSnapshotKind) {
-            this.offer(entry.record.body);
+            this.importState(entry.record.body);
         }
-        if (entry.offset < this.#next) {
+        if (entry.offset < this.#nextOffset) {
             return;
         }
-        if (this.#hasHole || entry.offset > this.#next) {
-            this.#hasHole = true;
-            this.#hold(entry);
+        if (this.#hasGap || entry.offset > this.#nextOffset) {
+            this.#hasGap = true;
+            this.#addPending(entry);
             return;
         }
         // Leases first: whether a roll-out's record counts depends on the fence in force at its place.
         this.#leases.apply(entry);
         this.#rollouts.apply(entry);
-        this.#next = entry.offset + 1;
+        this.#nextOffset = entry.offset + 1;
     }
 
-    #hold(entry: LogEntry): void {
+    #addPending(entry: LogEntry): void {
         this.#pending.push(entry);
-        if (this.#pending.length > pendingLimit) {
+        if (this.#pending.length > maxPendingEntries) {
             this.#pending.shift();
         }
     }
--- a/src/control/leaseFold.ts
+++ b/src/control/leaseFold.ts
@@ -55,10 +55,10 @@
     /**
      * Tells whether a fencing number is the newest of its lease. Orders under an older one come from a former holder.
      * @param lease - The lease's name.
-     * @param fence - The fencing number.
+     * @param fencingToken - The fencing number.
      */
-    isCurrentFence(lease: string, fence: number): boolean {
-        return this.#leases.get(lease)?.fence === fence;
+    isCurrentFencingToken(lease: string, fencingToken: number): boolean {
+        return this.#leases.get(lease)?.fence === fencingToken;
     }
 
     /**
@@ -103,17 +103,17 @@
     #fold(entry: LogEntry): LeaseState | undefined {
         switch (entry.record.kind) {
             case leaseTakeKind:
-                return this.#take(entry);
+                return this.#applyTake(entry);
             case leaseRenewKind:
-                return this.#renew(entry, false);
+                return this.#applyRenewal(entry, false);
             case leaseReleaseKind:
-                return this.#renew(entry, true);
+                return this.#applyRenewal(entry, true);
             default:
                 return undefined;
         }
     }
 
-    #take({ offset, record }: LogEntry): LeaseState | undefined {
+    #applyTake({ offset, record }: LogEntry): LeaseState | undefined {
         const take = leaseTakeSchema.safeParse(record.body);
         if (!take.success || take.data.supersedes !== this.#leases.get(take.data.lease)?.lastOffset) {
             return undefined;
@@ -130,7 +130,7 @@
         };
     }
 
-    #renew({ offset, record }: LogEntry, isReleased: boolean): LeaseState | undefined {
+    #applyRenewal({ offset, record }: LogEntry, isReleased: boolean): LeaseState | undefined {
         const renewal = leaseRenewSchema.safeParse(record.body);
         const state = renewal.success ? this.#leases.get(renewal.data.lease) : undefined;
         if (!renewal.success || state === undefined || state.fence !== renewal.data.fence || state.isReleased) {
--- a/src/control/leaseHolder.ts
+++ b/src/control/leaseHolder.ts
@@ -19,7 +19,7 @@
 
 /** A holder renews when this share of its term has passed. */
 const renewShare = 1 / 3;
-const checkShare = 1 / 10;
+const checkIntervalShare = 1 / 10;
 
 /** Options of a holder. */
 export interface LeaseHolderOptions {
@@ -50,25 +50,25 @@
     readonly #options: LeaseHolderOptions;
     #timer: NodeJS.Timeout | undefined;
     #validUntil = Number.NEGATIVE_INFINITY;
-    #fence: number | undefined;
+    #fencingToken: number | undefined;
     /** When this node last read a record about the lease, and which: others' validity is judged from then. */
-    #watched: { readonly offset: number | undefined; readonly since: number; };
+    #lastObserved: { readonly offset: number | undefined; readonly since: number; };
     #sent: SentRecord[] = [];
     #isAppending = false;
 
     constructor(options: LeaseHolderOptions) {
         this.#options = options;
-        this.#watched = { offset: undefined, since: options.clock.monotonic() };
+        this.#lastObserved = { offset: undefined, since: options.clock.monotonic() };
         options.fold.onChange(state => this.#handleChange(state));
     }
 
     /** Begins to take and renew the lease. */
     start(): void {
-        this.#watched = {
+        this.#lastObserved = {
             offset: this.#options.fold.get(this.#options.name)?.lastOffset,
             since: this.#options.clock.monotonic(),
         };
-        this.#timer ??= setInterval(() => void this.check(), this.#options.termMilliseconds * checkShare);
+        this.#timer ??= setInterval(() => void this.check(), this.#options.termMilliseconds * checkIntervalShare);
         this.#timer.unref();
     }
 
@@ -76,16 +76,16 @@
     async stop(): Promise<void> {
         clearInterval(this.#timer);
         this.#timer = undefined;
-        const fence = this.getFence();
-        this.#fence = undefined;
-        if (fence !== undefined) {
-            await this.#append(leaseReleaseKind, { lease: this.#options.name, fence });
+        const fencingToken = this.getFencingToken();
+        this.#fencingToken = undefined;
+        if (fencingToken !== undefined) {
+            await this.#append(leaseReleaseKind, { lease: this.#options.name, fence: fencingToken });
         }
     }
 
     /** Returns the fencing number while the lease is held, or undefined as soon as it may have lapsed. */
-    getFence(): number | undefined {
-        return this.#options.clock.monotonic() < this.#validUntil ? this.#fence : undefined;
+    getFencingToken(): number | undefined {
+        return this.#options.clock.monotonic() < this.#validUntil ? this.#fencingToken : undefined;
     }
 
     /** Takes or renews the lease if it is time to. Runs by itself after `start`. */
@@ -94,22 +94,22 @@
             return;
         }
         const { name, termMilliseconds } = this.#options;
-        const fence = this.getFence();
-        if (fence === undefined) {
-            this.#noteLapse();
+        const fencingToken = this.getFencingToken();
+        if (fencingToken === undefined) {
+            this.#handleExpiry();
             await this.#takeIfFree();
             return;
         }
         const age = this.#options.clock.monotonic() - (this.#validUntil - termMilliseconds);
         if (age >= termMilliseconds * renewShare) {
-            await this.#append(leaseRenewKind, { lease: name, fence });
+            await this.#append(leaseRenewKind, { lease: name, fence: fencingToken });
         }
     }
 
-    #noteLapse(): void {
-        if (this.#fence !== undefined) {
-            this.#options.journal.write(events.leaseLapsed, { lease: this.#options.name, fence: this.#fence });
-            this.#fence = undefined;
+    #handleExpiry(): void {
+        if (this.#fencingToken !== undefined) {
+            this.#options.journal.write(events.leaseLapsed, { lease: this.#options.name, fence: this.#fencingToken });
+            this.#fencingToken = undefined;
         }
     }
 
@@ -128,12 +128,12 @@
         if (state === undefined || state.isReleased) {
             return true;
         }
-        if (this.#watched.offset !== state.lastOffset) {
+        if (this.#lastObserved.offset !== state.lastOffset) {
             // A snapshot brought the record: nobody knows how old it is, so the watch begins now.
-            this.#watched = { offset: state.lastOffset, since: this.#options.clock.monotonic() };
+            this.#lastObserved = { offset: state.lastOffset, since: this.#options.clock.monotonic() };
         }
-        const watchedFor = this.#options.clock.monotonic() - this.#watched.since;
-        return watchedFor > state.termMilliseconds + this.#options.driftMilliseconds;
+        const observedMilliseconds = this.#options.clock.monotonic() - this.#lastObserved.since;
+        return observedMilliseconds > state.termMilliseconds + this.#options.driftMilliseconds;
     }
 
     #handleChange(state: LeaseState): void {
@@ -141,24 +141,28 @@
             return;
         }
         const now = this.#options.clock.monotonic();
-        this.#watched = { offset: state.lastOffset, since: now };
+        this.#lastObserved = { offset: state.lastOffset, since: now };
         const sent = this.#sent.find(record => record.id === state.lastRecordId);
         if (sent === undefined || state.isReleased) {
-            this.#loseTo(state);
+            this.#handleLoss(state);
             return;
         }
         this.#sent = this.#sent.filter(record => record.sentAt > sent.sentAt);
-        if (this.#fence !== state.fence) {
+        if (this.#fencingToken !== state.fence) {
             this.#options.journal.write(events.leaseTaken, { lease: state.lease, fence: state.fence });
         }
-        this.#fence = state.fence;
+        this.#fencingToken = state.fence;
         this.#validUntil = sent.sentAt + state.termMilliseconds;
     }
 
-    #loseTo(state: LeaseState): void {
-        if (this.#fence !== undefined && this.#fence !== state.fence) {
-            this.#options.journal.write(events.leaseLost, { lease: state.lease, fence: this.#fence, to: state.holder });
-            this.#fence = undefined;
+    #handleLoss(state: LeaseState): void {
+        if (this.#fencingToken !== undefined && this.#fencingToken !== state.fence) {
+            this.#options.journal.write(events.leaseLost, {
+                lease: state.lease,
+                fence: this.#fencingToken,
+                to: state.holder,
+            });
+            this.#fencingToken = undefined;
             this.#validUntil = Number.NEGATIVE_INFINITY;
         }
     }
--- a/src/control/orderChannel.ts
+++ b/src/control/orderChannel.ts
@@ -11,7 +11,7 @@
 import { events, type Journal } from "../events/index.js";
 
 const defaultDeadlineMilliseconds = 2_000;
-const readBackPauseMilliseconds = 200;
+const readBackDelayMilliseconds = 200;
 const defaultAttempts = 5;
 
 /** What an engine is to run. */
@@ -37,7 +37,7 @@
 /** Options of a channel. */
 export interface OrderChannelOptions {
     /** Gives the fencing number of the lease that orders are sent under; undefined when it is not held. */
-    readonly getFence: () => number | undefined;
+    readonly getFencingToken: () => number | undefined;
     readonly clock: Clock;
     readonly journal: Journal;
     readonly deadlineMilliseconds?: number;
@@ -47,7 +47,7 @@
 }
 
 /** What is wanted of an engine. */
-export interface WantedState {
+export interface DesiredState {
     /** Identifier of the engine, for events. */
     readonly engine: string;
     readonly versions: readonly string[];
@@ -65,18 +65,18 @@
     /**
      * Sends one order, if the lease is held at this moment. Whether the engine obeyed shows in its report only.
      * @param order - Reaches the engine.
-     * @param wanted - What it is to run.
+     * @param desired - What it is to run.
      */
-    async send(order: EngineControl["order"], wanted: WantedState): Promise<Result<void, Failure>> {
-        const { getFence, journal, deadlineMilliseconds } = this.#options;
-        const fence = getFence();
-        if (fence === undefined) {
-            return err(createNotHeldFailure(wanted.engine));
+    async send(order: EngineControl["order"], desired: DesiredState): Promise<Result<void, Failure>> {
+        const { getFencingToken, journal, deadlineMilliseconds } = this.#options;
+        const fencingToken = getFencingToken();
+        if (fencingToken === undefined) {
+            return err(createLeaseNotHeldFailure(desired.engine));
         }
-        const state = { fence, versions: wanted.versions, role: wanted.role };
+        const state = { fence: fencingToken, versions: desired.versions, role: desired.role };
         const ordered = await order(state, deadlineMilliseconds ?? defaultDeadlineMilliseconds);
         if (ordered.isErr() && ordered.error.kind === "stale") {
-            journal.write(events.orderRefused, { engine: wanted.engine, fence });
+            journal.write(events.orderRefused, { engine: desired.engine, fence: fencingToken });
         }
         return ordered;
     }
@@ -87,41 +87,41 @@
      * Ordering again is harmless: an order is the whole wanted state. It is also what mends an engine without fencing
      * checks after a former holder's late order: the next look sees the wrong versions and orders once more.
      * @param control - Reaches the engine.
-     * @param wanted - What it is to run.
+     * @param desired - What it is to run.
      * @returns What the engine reports, or why it could not be brought there.
      */
-    async bring(control: EngineControl, wanted: WantedState): Promise<Result<EngineState, Failure>> {
+    async reconcile(control: EngineControl, desired: DesiredState): Promise<Result<EngineState, Failure>> {
         const deadline = this.#options.deadlineMilliseconds ?? defaultDeadlineMilliseconds;
-        let last: Result<EngineState, Failure> = await control.read(deadline);
+        let reported: Result<EngineState, Failure> = await control.read(deadline);
         for (let attempt = 0; attempt < (this.#options.attempts ?? defaultAttempts); attempt += 1) {
-            if (last.isOk() && isSame(last.value.versions, wanted.versions)) {
-                return last;
+            if (reported.isOk() && hasSameVersions(reported.value.versions, desired.versions)) {
+                return reported;
             }
-            const ordered = await this.send(control.order, wanted);
+            const ordered = await this.send(control.order, desired);
             if (ordered.isErr() && ordered.error.kind === "stale") {
                 return err(ordered.error);
             }
-            await (this.#options.sleep ?? pause)(readBackPauseMilliseconds);
-            last = await control.read(deadline);
+            await (this.#options.sleep ?? delay)(readBackDelayMilliseconds);
+            reported = await control.read(deadline);
         }
-        if (last.isOk() && isSame(last.value.versions, wanted.versions)) {
-            return ok(last.value);
+        if (reported.isOk() && hasSameVersions(reported.value.versions, desired.versions)) {
+            return ok(reported.value);
         }
-        this.#options.journal.write(events.orderNotReached, { engine: wanted.engine });
-        return err(last.isErr() ? last.error : createNotReachedFailure(wanted, last.value));
+        this.#options.journal.write(events.orderNotReached, { engine: desired.engine });
+        return err(reported.isErr() ? reported.error : createStateNotReachedFailure(desired, reported.value));
     }
 }
 
-function pause(milliseconds: number): Promise<void> {
+function delay(milliseconds: number): Promise<void> {
     return new Promise(resolve => setTimeout(resolve, milliseconds));
 }
 
-function isSame(left: readonly string[], right: readonly string[]): boolean {
-    const wanted = new Set(right);
-    return new Set(left).size === wanted.size && left.every(version => wanted.has(version));
+function hasSameVersions(left: readonly string[], right: readonly string[]): boolean {
+    const rightVersions = new Set(right);
+    return new Set(left).size === rightVersions.size && left.every(version => rightVersions.has(version));
 }
 
-function createNotHeldFailure(engine: string): Failure {
+function createLeaseNotHeldFailure(engine: string): Failure {
     return new Failure({
         kind: "stale",
         message: `The lease for orders is not held here, so the engine ${engine} was not ordered.`,
@@ -129,11 +129,11 @@
     });
 }
 
-function createNotReachedFailure(wanted: WantedState, state: EngineState): Failure {
+function createStateNotReachedFailure(desired: DesiredState, state: EngineState): Failure {
     return new Failure({
         kind: "upstream-failed",
-        message: `The engine ${wanted.engine} reports ${state.versions.join(", ")} in place of ${
-            wanted.versions.join(", ")
+        message: `The engine ${desired.engine} reports ${state.versions.join(", ")} in place of ${
+            desired.versions.join(", ")
         }.`,
         remedy: "Try again later; keep routing by what the engine reports.",
     });
--- a/src/control/rollout.ts
+++ b/src/control/rollout.ts
@@ -14,8 +14,8 @@
     lift: "lift",
 } as const;
 
-const share = z.number().gt(0).lte(1);
-const count = z.number().int().nonnegative();
+const shareSchema = z.number().gt(0).lte(1);
+const countSchema = z.number().int().nonnegative();
 
 /** Checks the body of `rollout-start`. */
 export const rolloutStartBody = z.object({
@@ -24,11 +24,11 @@
     candidate: z.string().min(1),
     baseline: z.string().min(1),
     /** Share of callers at each stage, ascending; the last one is 1. */
-    stages: z.array(share).min(1).refine(stages =>
+    stages: z.array(shareSchema).min(1).refine(stages =>
         stages.every((value, index) => index === 0 || value > stages[index - 1])
     ),
     /** Callers exposed in the whole system up to the end of each stage. A stage without a number has no such bound. */
-    budget: z.union([count, z.array(count)]),
+    budget: z.union([countSchema, z.array(countSchema)]),
     startedBy: z.string(),
 });
 
@@ -37,11 +37,11 @@
     rollout: z.string(),
     fence: z.number().int(),
     /** For each entry, how many callers it may have exposed altogether. */
-    grants: z.record(z.string(), count),
+    grants: z.record(z.string(), countSchema),
 });
 
 /** Checks the body of `rollout-advance`. */
-export const rolloutAdvanceBody = z.object({ rollout: z.string(), stage: count, fence: z.number().int() });
+export const rolloutAdvanceBody = z.object({ rollout: z.string(), stage: countSchema, fence: z.number().int() });
 
 /** Checks the body of `rollout-finish`. */
 export const rolloutFinishBody = z.object({ rollout: z.string(), fence: z.number().int() });
--- a/src/control/rolloutFold.ts
+++ b/src/control/rolloutFold.ts
@@ -18,27 +18,27 @@
     rolloutStartBody,
 } from "./rollout.js";
 import { RolloutHalts } from "./rolloutHalts.js";
-import { SettledVersions } from "./rolloutSettled.js";
+import { StableVersions } from "./stableVersions.js";
 
 /** Ended roll-outs that are remembered. */
-const rememberedRollouts = 64;
+const maxRetainedRollouts = 64;
 
 /** Options of `RolloutFold`. */
 export interface RolloutFoldOptions {
     /** Tells whether a fence is that of the lease in force at this point of the stream. */
-    readonly isCurrentFence: (fence: number) => boolean;
+    readonly isCurrentFencingToken: (fence: number) => boolean;
 }
 
 /** The state of all roll-outs and halts. */
 export class RolloutFold {
-    readonly #isCurrentFence: (fence: number) => boolean;
+    readonly #isCurrentFencingToken: (fence: number) => boolean;
     readonly #rollouts = new Map<string, Rollout>();
     readonly #halts = new RolloutHalts();
-    readonly #settled = new SettledVersions();
+    readonly #stableVersions = new StableVersions();
     #offset = -1;
 
     constructor(options: RolloutFoldOptions) {
-        this.#isCurrentFence = options.isCurrentFence;
+        this.#isCurrentFencingToken = options.isCurrentFencingToken;
     }
 
     /** The offset of the newest entry taken in; -1 before the first. */
@@ -134,8 +134,8 @@
     }
 
     /** Gets the newest version of a model that was fully rolled out and isn't halted, or `undefined`. */
-    getSettled(model: string): string | undefined {
-        return this.#settled.get(model).findLast(version => !this.isHalted(version));
+    getStableVersion(model: string): string | undefined {
+        return this.#stableVersions.get(model).findLast(version => !this.isHalted(version));
     }
 
     /**
@@ -144,10 +144,10 @@
      * @param isAllowed - Tells whether a version may be used; any by default.
      */
     getFallback(version: string, isAllowed: (version: string) => boolean = () => true): string | undefined {
-        const before = this.#settled.getBefore(version);
-        const settled = before.findLast(other => !this.isHalted(other) && isAllowed(other));
-        if (settled !== undefined) {
-            return settled;
+        const earlierVersions = this.#stableVersions.getBefore(version);
+        const stableVersion = earlierVersions.findLast(other => !this.isHalted(other) && isAllowed(other));
+        if (stableVersion !== undefined) {
+            return stableVersion;
         }
         const rollout = this.getRollouts().findLast(({ candidate }) => candidate === version);
         if (rollout === undefined || rollout.baseline === version) {
@@ -165,7 +165,7 @@
             halts: this.#halts.getFromLog(),
             lifted: this.#halts.getLifted(),
             liftedAt: this.#halts.getLiftTimes(),
-            settled: this.#settled.getAll(),
+            settled: this.#stableVersions.getAll(),
         };
     }
 
@@ -182,8 +182,8 @@
         for (const rollout of snapshot.rollouts) {
             this.#rollouts.set(rollout.id, rollout);
         }
-        this.#halts.replaceLog(snapshot.halts, snapshot.lifted, snapshot.liftedAt);
-        this.#settled.replace(snapshot.settled);
+        this.#halts.replaceFromLog(snapshot.halts, snapshot.lifted, snapshot.liftedAt);
+        this.#stableVersions.replace(snapshot.settled);
         return true;
     }
 
@@ -206,7 +206,7 @@
             return reject("The candidate is being rolled out already.");
         }
         const budgets = body.stages.map((...[, stage]) => typeof budget === "number" ? budget : budget.at(stage));
-        this.#settled.add(body.model, body.baseline);
+        this.#stableVersions.add(body.model, body.baseline);
         this.#rollouts.set(id, {
             ...body,
             id,
@@ -226,7 +226,7 @@
         if (!parsed.success) {
             return reject("The body is malformed.");
         }
-        const rollout = this.#getActiveUnder(parsed.data);
+        const rollout = this.#getActiveForLeasedRecord(parsed.data);
         if (typeof rollout === "string") {
             return reject(rollout);
         }
@@ -247,7 +247,7 @@
         if (!parsed.success) {
             return reject("The body is malformed.");
         }
-        const rollout = this.#getActiveUnder(parsed.data);
+        const rollout = this.#getActiveForLeasedRecord(parsed.data);
         if (typeof rollout === "string") {
             return reject(rollout);
         }
@@ -264,7 +264,7 @@
         if (!parsed.success) {
             return reject("The body is malformed.");
         }
-        const rollout = this.#getActiveUnder(parsed.data);
+        const rollout = this.#getActiveForLeasedRecord(parsed.data);
         if (typeof rollout === "string") {
             return reject(rollout);
         }
@@ -272,7 +272,7 @@
             return reject("The roll-out isn't at its last stage.");
         }
         this.#rollouts.set(rollout.id, { ...rollout, state: "finished", finishedAt: entry.time });
-        this.#settled.add(rollout.model, rollout.candidate);
+        this.#stableVersions.add(rollout.model, rollout.candidate);
         return accept();
     }
 
@@ -314,10 +314,10 @@
     }
 
     /** Gets the active roll-out that a leased record is about, or the reason why it is refused. */
-    #getActiveUnder(body: { readonly rollout: string; readonly fence: number; }): Rollout | string {
+    #getActiveForLeasedRecord(body: { readonly rollout: string; readonly fence: number; }): Rollout | string {
         // A node that was paused while its lease lapsed may still write; its fence is then no longer the current one.
         // Without this check two holders could each advance the same roll-out.
-        if (!this.#isCurrentFence(body.fence)) {
+        if (!this.#isCurrentFencingToken(body.fence)) {
             return "The fence isn't that of the lease in force.";
         }
         const rollout = this.#rollouts.get(body.rollout);
@@ -326,7 +326,7 @@
 
     #dropOldRollouts(): void {
         for (const rollout of this.getRollouts()) {
-            if (this.#rollouts.size <= rememberedRollouts) {
+            if (this.#rollouts.size <= maxRetainedRollouts) {
                 return;
             }
             if (rollout.state !== "active") {
--- a/src/control/rolloutHalts.ts
+++ b/src/control/rolloutHalts.ts
@@ -5,7 +5,7 @@
 import type { Halt } from "./rollout.js";
 
 /** Lifted halts that are remembered, so that a late message can't raise them again. */
-const rememberedLifts = 4096;
+const maxRetainedLifts = 4096;
 
 /** Holds the halts of one node. */
 export class RolloutHalts {
@@ -100,7 +100,11 @@
     }
 
     /** Takes over the halts of a snapshot; halts from gossip stay, unless the snapshot says they were lifted. */
-    replaceLog(halts: readonly Halt[], lifted: readonly string[], liftTimes: Readonly<Record<string, number>>): void {
+    replaceFromLog(
+        halts: readonly Halt[],
+        lifted: readonly string[],
+        liftTimes: Readonly<Record<string, number>>,
+    ): void {
         this.#fromLog.clear();
         for (const id of lifted) {
             this.#lifted.add(id);
@@ -121,7 +125,7 @@
 
     #trimLifted(): void {
         for (const id of this.#lifted) {
-            if (this.#lifted.size <= rememberedLifts) {
+            if (this.#lifted.size <= maxRetainedLifts) {
                 return;
             }
             this.#lifted.delete(id);
--- a/src/control/rolloutSettled.ts
+++ b/src/control/stableVersions.ts
@@ -3,17 +3,17 @@
  */
 
 /** Settled versions of a model that are remembered. */
-const rememberedVersions = 16;
+const maxRetainedVersions = 16;
 
 /** Holds the settled versions of all models. */
-export class SettledVersions {
+export class StableVersions {
     /** The newest last. */
     readonly #models = new Map<string, readonly string[]>();
 
     /** Adds a version as the newest of its model. */
     add(model: string, version: string): void {
         const others = this.get(model).filter(other => other !== version);
-        this.#models.set(model, [...others, version].slice(-rememberedVersions));
+        this.#models.set(model, [...others, version].slice(-maxRetainedVersions));
     }
 
     /** Gets the versions of a model, the newest last. */
--- a/src/decisions/exposure/rolloutRouter.ts
+++ b/src/decisions/exposure/rolloutRouter.ts
@@ -70,7 +70,7 @@
                 return rollout.candidate;
             }
         }
-        return this.#fold.getSettled(choice.model);
+        return this.#fold.getStableVersion(choice.model);
     }
 
     /** Drops what is remembered of roll-outs that have ended. */
--- a/src/entry/controlSnapshots.ts
+++ b/src/entry/controlSnapshots.ts
@@ -46,7 +46,7 @@
 
     async #writeDue(): Promise<void> {
         const { clock, lease, intervalMilliseconds, configurationSnapshots } = this.#options;
-        if (lease.getFence() === undefined) {
+        if (lease.getFencingToken() === undefined) {
             return;
         }
         await configurationSnapshots.writeIfDue();
--- a/src/entry/orders/orderDriver.ts
+++ b/src/entry/orders/orderDriver.ts
@@ -85,7 +85,7 @@
 
     async #arrangeAll(): Promise<void> {
         const { lease, configuration, clock } = this.#options;
-        if (lease.getFence() === undefined) {
+        if (lease.getFencingToken() === undefined) {
             this.#pools.clear();
             return;
         }
--- a/src/entry/parts/decisionParts.ts
+++ b/src/entry/parts/decisionParts.ts
@@ -62,7 +62,8 @@
                 && runners.countRunners(baseline) >= leastRunnerPart * runners.countRunners(candidate),
         }),
     engineOrders: ({ upstreamAgent }) => new EngineOrders(upstreamAgent),
-    orderChannel: ({ lease, clock, journal }) => new OrderChannel({ getFence: () => lease.getFence(), clock, journal }),
+    orderChannel: ({ lease, clock, journal }) =>
+        new OrderChannel({ getFencingToken: () => lease.getFencingToken(), clock, journal }),
     orders: cradle =>
         new OrderDriver({
             clock: cradle.clock,
@@ -118,7 +119,7 @@
             headersTimeoutMilliseconds: settings.timing.upstreamConnectTimeoutMilliseconds,
         }),
     services: ({ upstreamAgent, settings }) =>
-        new ServiceClient({ dispatcher: upstreamAgent, maximumAnswerBytes: settings.limits.bodyBytes }),
+        new ServiceClient({ dispatcher: upstreamAgent, maxAnswerBytes: settings.limits.bodyBytes }),
     poller: cradle =>
         new LoadPoller({
             clock: cradle.clock,
--- a/src/entry/parts/platformParts.ts
+++ b/src/entry/parts/platformParts.ts
@@ -90,7 +90,8 @@
             journal,
         }),
     leases: () => new LeaseFold(),
-    rollouts: ({ leases }) => new RolloutFold({ isCurrentFence: fence => leases.isCurrentFence(controlLease, fence) }),
+    rollouts: ({ leases }) =>
+        new RolloutFold({ isCurrentFencingToken: fence => leases.isCurrentFencingToken(controlLease, fence) }),
     control: ({ follow, leases, rollouts }) => new ControlReader({ follow, leases, rollouts }),
     lease: ({ settings, log, leases, clock, journal, membership }) =>
         new LeaseHolder({
--- a/src/entry/rolloutDriver.ts
+++ b/src/entry/rolloutDriver.ts
@@ -68,7 +68,7 @@
     /** Returns the roll-outs that this entry, as holder of the lease, holds back until their candidate is loaded. */
     getWaiting(): readonly string[] {
         const { lease, rollouts } = this.#options;
-        if (lease.getFence() === undefined) {
+        if (lease.getFencingToken() === undefined) {
             return [];
         }
         return [...this.#waiting].filter(id => rollouts.getRollout(id)?.state === "active");
@@ -92,7 +92,7 @@
         const { judge, entry, lease } = this.#options;
         const verdict = judge.evaluate(rollout.id, this.#options.getEntries(), entry);
         this.#act(rollout, verdict);
-        const fence = lease.getFence();
+        const fence = lease.getFencingToken();
         if (fence === undefined || this.#isWaiting(rollout)) {
             return;
         }
--- a/src/entry/stateFetcher.ts
+++ b/src/entry/stateFetcher.ts
@@ -25,7 +25,7 @@
         ConfigurationReader,
         "confirm" | "exportState" | "getAge" | "getFormat" | "getOffset" | "offer"
     >;
-    readonly control: Pick<ControlReader, "exportState" | "getOffset" | "offer">;
+    readonly control: Pick<ControlReader, "exportState" | "getOffset" | "importState">;
     readonly membership: Pick<Membership, "getMembers">;
     readonly client: Pick<PeerClient, "fetchState">;
     /** Name of this entry. */
@@ -131,7 +131,7 @@
         const { control } = this.#options;
         const reply = await this.#ask(peer, controlStream, control.getOffset());
         if (reply?.newer === true) {
-            control.offer(decode(reply.state));
+            control.importState(decode(reply.state));
         }
     }
 
--- a/src/entry/status.ts
+++ b/src/entry/status.ts
@@ -28,7 +28,7 @@
             failureDomain,
         })),
         lease: { holder: leases.get(controlLease)?.holder, fence: leases.get(controlLease)?.fence },
-        holdsLease: lease.getFence() !== undefined,
+        holdsLease: lease.getFencingToken() !== undefined,
         versions: configuration.getConfiguration().getVersions().map(version => ({
             id: version.id,
             status: version.status,
--- a/src/fleet/upstreamRegistry.ts
+++ b/src/fleet/upstreamRegistry.ts
@@ -12,8 +12,8 @@
     readonly #clock: Clock;
     readonly #upstreams = new Map<string, RegisteredUpstream>();
     /** Monotonic times until which removed upstreams still count. */
-    readonly #lapsing = new Map<string, number>();
-    readonly #goneListeners: UpstreamListener[] = [];
+    readonly #expiring = new Map<string, number>();
+    readonly #removalListeners: UpstreamListener[] = [];
     #byPool: ReadonlyMap<string, readonly RegisteredUpstream[]> | undefined;
 
     constructor(clock: Clock) {
@@ -24,8 +24,8 @@
      * Adds a listener for upstreams that are gone or were started anew; what was learned of them is void.
      * @param listener - Called once for each.
      */
-    onGone(listener: UpstreamListener): void {
-        this.#goneListeners.push(listener);
+    onRemoved(listener: UpstreamListener): void {
+        this.#removalListeners.push(listener);
     }
 
     /**
@@ -34,11 +34,11 @@
      */
     set(upstream: RegisteredUpstream): void {
         const known = this.#upstreams.get(upstream.id);
-        if (known !== undefined && isAnotherStart(known, upstream)) {
-            this.#tellGone(known);
+        if (known !== undefined && wasRestarted(known, upstream)) {
+            this.#notifyRemoved(known);
         }
         this.#upstreams.set(upstream.id, upstream);
-        this.#lapsing.delete(upstream.id);
+        this.#expiring.delete(upstream.id);
         this.#byPool = undefined;
     }
 
@@ -54,10 +54,10 @@
             return;
         }
         if (graceMilliseconds > 0 && !known.isLeaving) {
-            this.#lapsing.set(id, this.#clock.monotonic() + graceMilliseconds);
+            this.#expiring.set(id, this.#clock.monotonic() + graceMilliseconds);
             return;
         }
-        this.#forget(known);
+        this.#delete(known);
     }
 
     /**
@@ -89,36 +89,36 @@
      * Returns the upstreams of a pool that take work.
      * @param pool - Name of the pool.
      */
-    getTaking(pool: string): readonly RegisteredUpstream[] {
-        this.#expireLapsing();
-        this.#byPool ??= this.#group();
+    getAvailable(pool: string): readonly RegisteredUpstream[] {
+        this.#removeExpired();
+        this.#byPool ??= this.#groupByPool();
         return this.#byPool.get(pool) ?? [];
     }
 
-    #expireLapsing(): void {
+    #removeExpired(): void {
         const now = this.#clock.monotonic();
-        for (const [id, until] of this.#lapsing) {
+        for (const [id, until] of this.#expiring) {
             const known = this.#upstreams.get(id);
             if (now >= until && known !== undefined) {
-                this.#forget(known);
+                this.#delete(known);
             }
         }
     }
 
-    #forget(upstream: RegisteredUpstream): void {
+    #delete(upstream: RegisteredUpstream): void {
         this.#upstreams.delete(upstream.id);
-        this.#lapsing.delete(upstream.id);
+        this.#expiring.delete(upstream.id);
         this.#byPool = undefined;
-        this.#tellGone(upstream);
+        this.#notifyRemoved(upstream);
     }
 
-    #tellGone(upstream: RegisteredUpstream): void {
-        for (const listener of this.#goneListeners) {
+    #notifyRemoved(upstream: RegisteredUpstream): void {
+        for (const listener of this.#removalListeners) {
             listener(upstream);
         }
     }
 
-    #group(): ReadonlyMap<string, readonly RegisteredUpstream[]> {
+    #groupByPool(): ReadonlyMap<string, readonly RegisteredUpstream[]> {
         const byPool = new Map<string, RegisteredUpstream[]>();
         for (const upstream of this.#upstreams.values()) {
             if (upstream.isLeaving) {
@@ -136,6 +136,6 @@
     }
 }
 
-function isAnotherStart(known: RegisteredUpstream, upstream: RegisteredUpstream): boolean {
+function wasRestarted(known: RegisteredUpstream, upstream: RegisteredUpstream): boolean {
     return known.address !== upstream.address || known.startedAt !== upstream.startedAt;
 }
--- a/src/forwarding/attempts.ts
+++ b/src/forwarding/attempts.ts
@@ -9,7 +9,7 @@
 import type { VersionSelection } from "../rollouts/index.js";
 import type { Exchange } from "./exchange.js";
 import type { ForwardingMetrics } from "./metrics.js";
-import type { UpstreamAnswer, UpstreamCaller, UpstreamCallFailure } from "./upstreamCall.js";
+import type { UpstreamAnswer, UpstreamCallFailure, UpstreamTransport } from "./upstreamCall.js";
 
 /** What attempts are made with. */
 export interface AttemptsOptions {
@@ -18,13 +18,13 @@
     readonly metrics: ForwardingMetrics;
     readonly registry: UpstreamRegistry;
     readonly picker: UpstreamPicker;
-    readonly caller: UpstreamCaller;
+    readonly transport: UpstreamTransport;
     /** Returns the budget of repeats of a pool. */
     readonly getBudget: (pool: string) => WindowedRetryBudget;
     /** Returns the upstreams that may serve an exchange, by the roll-out under way. */
     readonly selectVersion: (exchange: Exchange, candidates: readonly RegisteredUpstream[]) => VersionSelection;
     /** Takes an attempt that begins; what it returns takes how the attempt ended. */
-    readonly onBegin: (exchange: Exchange, upstream: RegisteredUpstream) => (attempt: EndedAttempt) => void;
+    readonly onStart: (exchange: Exchange, upstream: RegisteredUpstream) => (attempt: EndedAttempt) => void;
 }
 
 /** How an attempt ended. */
@@ -53,11 +53,11 @@
 }
 
 /** Why no attempt was made. */
-export type NoAttempt = "nobody" | "budget" | "attempts" | "ended";
+export type NotMadeReason = "nobody" | "budget" | "attempts" | "ended";
 
 /** An attempt that failed, or was not made. */
 export type AttemptFailure =
-    | { readonly kind: "not-made"; readonly reason: NoAttempt; }
+    | { readonly kind: "not-made"; readonly reason: NotMadeReason; }
     | { readonly kind: "failed"; readonly failure: UpstreamCallFailure; };
 
 /** An attempt whose answer has begun. */
@@ -67,13 +67,13 @@
     /** Ends the attempt and notes how. Everything after the first call is passed over. */
     readonly finish: (outcome: CallOutcome, reason: string) => void;
     /** Notes that a piece of the answer came. */
-    readonly markHeard: () => void;
+    readonly markSeen: () => void;
     /** Ends the upstream's work. */
     readonly cancel: () => void;
 }
 
 /** Urgency of the least urgent priority. */
-const leastUrgent = 8;
+const maxUrgencyValue = 8;
 
 /** Makes attempts. */
 export class Attempts {
@@ -108,7 +108,7 @@
         if (exchange.ended.aborted) {
             return err({ kind: "not-made", reason: "ended" });
         }
-        if (exchange.attempts >= exchange.route.maximumAttempts) {
+        if (exchange.attempts >= exchange.route.maxAttempts) {
             return err({ kind: "not-made", reason: "attempts" });
         }
         const { upstreams, reason } = this.#select(exchange);
@@ -122,8 +122,8 @@
             return err({ kind: "not-made", reason: "nobody" });
         }
         const budget = this.#options.getBudget(exchange.pool);
-        if (!exchange.isCounted) {
-            exchange.isCounted = true;
+        if (!exchange.isCountedInBudget) {
+            exchange.isCountedInBudget = true;
             budget.addRequest();
         }
         else if (exchange.attempts > 0 && !budget.take()) {
@@ -134,7 +134,7 @@
     }
 
     #select(exchange: Exchange): VersionSelection {
-        return this.#options.selectVersion(exchange, this.#options.registry.getTaking(exchange.pool));
+        return this.#options.selectVersion(exchange, this.#options.registry.getAvailable(exchange.pool));
     }
 
     async #send(
@@ -147,19 +147,19 @@
         const choice = `${pick.reason} at load ${pick.load.toFixed(2)}, ${
             Math.round(pick.expectedMilliseconds)
         } ms expected`;
-        const { clock, picker, caller } = this.#options;
+        const { clock, picker, transport } = this.#options;
         const controller = new AbortController();
         const cancel = (): void => controller.abort();
         exchange.ended.addEventListener("abort", cancel);
-        let isSilent = false;
-        const giveUp = (): void => {
-            isSilent = true;
+        let isHeadTimedOut = false;
+        const handleHeadTimeout = (): void => {
+            isHeadTimedOut = true;
             cancel();
         };
         const headTimeout = request.getHeadTimeout(pick.expectedMilliseconds * picker.getWaitRatio());
         const timer = headTimeout === undefined || headTimeout >= exchange.getTimeLeft()
             ? undefined
-            : setTimeout(giveUp, headTimeout);
+            : setTimeout(handleHeadTimeout, headTimeout);
         const startedAt = clock.monotonic();
         let headMilliseconds: number | undefined = undefined;
         let confidence: number | undefined = undefined;
@@ -175,46 +175,49 @@
             const promptTokens = prompt?.tokens;
             this.#finish(ended, { choice, versionReason, reason, startedAt, promptTokens, confidence });
         };
-        const onEnd = this.#options.onBegin(exchange, upstream);
+        const onEnd = this.#options.onStart(exchange, upstream);
         picker.start(upstream.id);
         picker.addPendingPrefill(upstream.id, prefillMilliseconds);
-        const called = await caller.call(upstream, {
+        const result = await transport.call(upstream, {
             request: exchange.request,
             deadlineMilliseconds: exchange.getTimeLeft(),
             workspace: exchange.workspace,
             model: request.model,
-            urgency: Math.min(leastUrgent, 1 + 2 * exchange.priority),
+            urgency: Math.min(maxUrgencyValue, 1 + 2 * exchange.priority),
             lastEventId: request.lastEventId,
             signal: controller.signal,
         });
         clearTimeout(timer);
         picker.addPendingPrefill(upstream.id, -prefillMilliseconds);
-        if (called.isErr()) {
-            if (called.error.kind === "not-sent") {
-                exchange.takeBackAttempt();
+        if (result.isErr()) {
+            if (result.error.kind === "not-sent") {
+                exchange.removeAttempt();
             }
-            finish(this.#judge(exchange, called.error, isSilent), isSilent ? "no answer in time" : called.error.reason);
-            this.#learn(upstream, called.error, isSilent);
-            return err({ kind: "failed", failure: called.error });
+            finish(
+                this.#classifyFailure(exchange, result.error, isHeadTimedOut),
+                isHeadTimedOut ? "no answer in time" : result.error.reason,
+            );
+            this.#applyFailure(upstream, result.error, isHeadTimedOut);
+            return err({ kind: "failed", failure: result.error });
         }
         headMilliseconds = clock.monotonic() - startedAt;
-        confidence = called.value.confidence;
+        confidence = result.value.confidence;
         picker.markSeen(upstream.id);
         if (prompt !== undefined) {
             picker.addHeadTime(prompt.model, headMilliseconds, pick);
         }
-        const { load } = called.value;
+        const { load } = result.value;
         if (load !== undefined) {
             picker.addLoadReport(upstream, { requests: load.running + load.waiting, slots: load.slots });
         }
-        return ok({ upstream, answer: called.value, finish, cancel, markHeard: () => picker.markSeen(upstream.id) });
+        return ok({ upstream, answer: result.value, finish, cancel, markSeen: () => picker.markSeen(upstream.id) });
     }
 
-    #judge(exchange: Exchange, failure: UpstreamCallFailure, isSilent: boolean): CallOutcome {
+    #classifyFailure(exchange: Exchange, failure: UpstreamCallFailure, isHeadTimedOut: boolean): CallOutcome {
         if (failure.kind === "refused" || failure.kind === "replaced") {
             return "refused";
         }
-        if (isSilent) {
+        if (isHeadTimedOut) {
             return "silent";
         }
         if (exchange.ended.aborted) {
@@ -223,10 +226,10 @@
         return "silent";
     }
 
-    #learn(upstream: RegisteredUpstream, failure: UpstreamCallFailure, isSilent: boolean): void {
-        const { picker, registry, caller } = this.#options;
-        if (isSilent) {
-            caller.renewConnections(upstream);
+    #applyFailure(upstream: RegisteredUpstream, failure: UpstreamCallFailure, isHeadTimedOut: boolean): void {
+        const { picker, registry, transport } = this.#options;
+        if (isHeadTimedOut) {
+            transport.renewConnections(upstream);
         }
         if (failure.kind === "replaced") {
             // Its entry outlived it; until the entry goes, nothing more is sent to that address under its name.
@@ -255,7 +258,7 @@
         if (headMilliseconds !== undefined) {
             metrics.heads.observe({ pool: upstream.pool, model: ended.model ?? "" }, headMilliseconds / 1_000);
         }
-        picker.finish(upstream, outcome, registry.getTaking(upstream.pool));
+        picker.finish(upstream, outcome, registry.getAvailable(upstream.pool));
         journal.write(events.attemptEnded, {
             request: exchange.request.id,
             attempt: exchange.attempts,
--- a/src/forwarding/callerReply.ts
+++ b/src/forwarding/callerReply.ts
@@ -6,14 +6,14 @@
 /** The caller's side of one request. */
 export interface CallerReply {
     /** Whether a byte of an answer may have reached the caller. */
-    readonly hasBegun: boolean;
+    readonly hasStarted: boolean;
     /** Is aborted when the caller left. */
-    readonly gone: AbortSignal;
+    readonly disconnected: AbortSignal;
     /**
      * Begins an answer whose body follows piece by piece.
      * @param options - Without a known end, the answer ends with its connection and does not claim to be whole.
      */
-    begin(status: number, headers: readonly string[], options?: { readonly hasKnownEnd: boolean; }): void;
+    start(status: number, headers: readonly string[], options?: { readonly hasKnownEnd: boolean; }): void;
     /** Writes a piece. Resolves at once unless the caller reads more slowly than it is written. */
     write(piece: Buffer): Promise<void>;
     /** Ends an answer that was begun. */
--- a/src/forwarding/callerRequest.ts
+++ b/src/forwarding/callerRequest.ts
@@ -13,7 +13,7 @@
     /** Undefined when the caller leaves the choice to the router. */
     readonly model: string | undefined;
     readonly promptTokens: number;
-    readonly mostOutputTokens: number;
+    readonly maxOutputTokens: number;
     /** The caller's guess at the output, right in the median and often far off. */
     readonly expectedOutputTokens: number | undefined;
     /** The parts of the prompt in order; the last belongs to the request or its session alone. */
--- a/src/forwarding/eventSplitter.ts
+++ b/src/forwarding/eventSplitter.ts
@@ -19,7 +19,7 @@
  * read a spoilt one. So only whole events leave.
  */
 export class EventSplitter {
-    #rest: Buffer = Buffer.alloc(0);
+    #remainder: Buffer = Buffer.alloc(0);
     #id: string | undefined;
     readonly #parser = createParser({ onEvent: event => this.#id = event.id });
 
@@ -28,8 +28,8 @@
      * @returns The events that are whole by now.
      */
     push(bytes: Buffer): readonly StreamEvent[] {
-        const data = this.#rest.length === 0 ? bytes : Buffer.concat([this.#rest, bytes]);
-        const found: StreamEvent[] = [];
+        const data = this.#remainder.length === 0 ? bytes : Buffer.concat([this.#remainder, bytes]);
+        const events: StreamEvent[] = [];
         let start = 0;
         for (;;) {
             const end = findEnd(data, start);
@@ -37,21 +37,21 @@
                 break;
             }
             const event = data.subarray(start, end);
-            found.push({ bytes: event, id: this.#readId(event) });
+            events.push({ bytes: event, id: this.#readId(event) });
             start = end;
         }
-        this.#rest = data.subarray(start);
-        return found;
+        this.#remainder = data.subarray(start);
+        return events;
     }
 
     /** Returns the bytes after the last whole event. */
-    getRest(): Buffer {
-        return this.#rest;
+    getRemainder(): Buffer {
+        return this.#remainder;
     }
 
     /** Forgets the unfinished event of a stream that goes on elsewhere. */
     reset(): void {
-        this.#rest = Buffer.alloc(0);
+        this.#remainder = Buffer.alloc(0);
     }
 
     #readId(event: Buffer): string | undefined {
--- a/src/forwarding/exchange.ts
+++ b/src/forwarding/exchange.ts
@@ -36,14 +36,14 @@
     /** Upstreams that the request was sent to. */
     attempts = 0;
     /** Whether the pool's budget has counted the request. */
-    isCounted = false;
+    isCountedInBudget = false;
     /** What is known of whether it ran. */
     outcome: Outcome = "not-run";
     readonly #clock: Clock;
     readonly #endsAt: number;
-    readonly #ending = new AbortController();
+    readonly #endController = new AbortController();
     readonly #timer: NodeJS.Timeout;
-    readonly #leave: () => void;
+    readonly #handleDisconnect: () => void;
     #isTimedOut = false;
 
     constructor(options: ExchangeOptions) {
@@ -55,25 +55,25 @@
         this.priority = options.priority;
         this.configurationVersion = options.configurationVersion;
         this.#clock = options.clock;
-        const longest = Math.min(
+        const timeoutMilliseconds = Math.min(
             options.route.timeoutMilliseconds,
             options.request.deadlineMilliseconds ?? Number.POSITIVE_INFINITY,
         );
-        this.#endsAt = options.request.arrivedAt + longest;
+        this.#endsAt = options.request.arrivedAt + timeoutMilliseconds;
         this.#timer = setTimeout(() => {
             this.#isTimedOut = true;
-            this.#ending.abort();
+            this.#endController.abort();
         }, Math.max(0, this.#endsAt - this.#clock.monotonic()));
-        this.#leave = () => this.#ending.abort();
-        this.reply.gone.addEventListener("abort", this.#leave);
-        if (this.reply.gone.aborted) {
-            this.#leave();
+        this.#handleDisconnect = () => this.#endController.abort();
+        this.reply.disconnected.addEventListener("abort", this.#handleDisconnect);
+        if (this.reply.disconnected.aborted) {
+            this.#handleDisconnect();
         }
     }
 
     /** Is aborted when the caller left or the time is over. */
     get ended(): AbortSignal {
-        return this.#ending.signal;
+        return this.#endController.signal;
     }
 
     /** Whether the time was over before the answer was complete. */
@@ -98,7 +98,7 @@
     }
 
     /** Notes that an attempt never reached its upstream: no connection came about. */
-    takeBackAttempt(): void {
+    removeAttempt(): void {
         this.attempts -= 1;
     }
 
@@ -112,7 +112,7 @@
     /** Stops the timer and lets go of the caller. */
     dispose(): void {
         clearTimeout(this.#timer);
-        this.reply.gone.removeEventListener("abort", this.#leave);
+        this.reply.disconnected.removeEventListener("abort", this.#handleDisconnect);
     }
 }
 
--- a/src/forwarding/forwarder.ts
+++ b/src/forwarding/forwarder.ts
@@ -11,12 +11,12 @@
 import { type CallerRequest, getPath } from "./callerRequest.js";
 import { Exchange } from "./exchange.js";
 import type { ForwardingMetrics } from "./metrics.js";
-import { getReturnMilliseconds } from "./refusals.js";
+import { drawRetryAfterMilliseconds } from "./refusals.js";
 import { StreamExchange } from "./streamExchange.js";
 import { runUnary } from "./unaryExchange.js";
 
 /** Callers whose request says no deadline are taken to wait this long when they are asked back, in milliseconds. */
-const assumedDeadlineMilliseconds = 2_000;
+const defaultDeadlineMilliseconds = 2_000;
 
 /** What requests are forwarded with. */
 export interface ForwarderOptions {
@@ -27,13 +27,13 @@
     /** Returns the route table in force, or undefined before the first one. */
     readonly getRoutes: () => RouteTable | undefined;
     /** Waits for the first route table and upstreams, for a short while after the start only; undefined when there is no need. */
-    readonly waitFirstRead: () => Promise<unknown> | undefined;
+    readonly waitForFirstRead: () => Promise<unknown> | undefined;
     /** Returns how long ago the route table was last known to be the newest, in milliseconds. */
     readonly getConfigurationAge: () => number;
     /** Returns the age of the configuration up to which keys are accepted, in milliseconds. */
-    readonly getLongestKeyAge: () => number;
+    readonly getMaxKeyAge: () => number;
     /** Returns the age up to which a route or key that is missing is believed to be missing, in milliseconds. */
-    readonly getLongestDenialAge: () => number;
+    readonly getMaxDenialAge: () => number;
     readonly getBudget: (pool: string) => WindowedRetryBudget;
     /** Tells why nothing new is taken on, such as a shutdown that leaves too little time. */
     readonly checkCapacity: (route: Route) => Failure | undefined;
@@ -66,7 +66,7 @@
      * @param reply - Where the answer goes.
      */
     async handle(request: CallerRequest, reply: CallerReply): Promise<void> {
-        await this.#options.waitFirstRead();
+        await this.#options.waitForFirstRead();
         const admitted = this.#admit(request);
         if (admitted.isErr()) {
             this.#options.metrics.refusals.inc({ kind: admitted.error.failure.kind });
@@ -90,7 +90,7 @@
             priority,
             configurationVersion: version,
         });
-        this.#noteRouted(exchange);
+        this.#logRouted(exchange);
         this.#inFlight += 1;
         try {
             await (route.kind === "stream"
@@ -100,64 +100,64 @@
         finally {
             this.#inFlight -= 1;
             exchange.dispose();
-            this.#noteEnded(exchange);
+            this.#recordEnded(exchange);
         }
     }
 
     #admit(request: CallerRequest): Result<Admission, Refusal> {
         const routes = this.#options.getRoutes();
         if (routes === undefined) {
-            return err(this.#refuseStale(request, "No configuration has been read yet."));
+            return err(this.#createStaleRefusal(request, "No configuration has been read yet."));
         }
         const age = this.#options.getConfigurationAge();
         const route = routes.findRoute(request.host, getPath(request));
         if (route === undefined) {
-            return err(this.#deny(request, age, "not-found", "No route leads there."));
+            return err(this.#createDenial(request, age, "not-found", "No route leads there."));
         }
         if (request.body.length > routes.limits.bodyBytes) {
-            return err(refuse("too-large", "The body is larger than the configured limit.", "Send less."));
+            return err(createRefusal("too-large", "The body is larger than the configured limit.", "Send less."));
         }
-        const lacking = this.#options.checkCapacity(route);
-        if (lacking !== undefined) {
-            return err({ outcome: "not-run", failure: lacking });
+        const capacityFailure = this.#options.checkCapacity(route);
+        if (capacityFailure !== undefined) {
+            return err({ outcome: "not-run", failure: capacityFailure });
         }
         if (!routes.needsKeys() || route.isPublic) {
             return ok({ route, workspace: undefined, priority: route.priority, version: routes.version });
         }
-        if (age > this.#options.getLongestKeyAge()) {
+        if (age > this.#options.getMaxKeyAge()) {
             // The key may have been taken away since; accepting it would let a stranger in.
-            return err(this.#refuseStale(request, "The configuration is too old to accept keys."));
+            return err(this.#createStaleRefusal(request, "The configuration is too old to accept keys."));
         }
         const workspace = request.apiKey === undefined ? undefined : routes.findWorkspace(request.apiKey);
         if (workspace === undefined) {
-            return err(this.#deny(request, age, "unauthorized", "The API key is missing or unknown."));
+            return err(this.#createDenial(request, age, "unauthorized", "The API key is missing or unknown."));
         }
         const priority = workspace.priority ?? route.priority;
         return ok({ route, workspace: workspace.name, priority, version: routes.version });
     }
 
     /** A final "no" from a configuration that may be outdated would turn away a caller whose route or key is new. */
-    #deny(request: CallerRequest, age: number, kind: "not-found" | "unauthorized", message: string): Refusal {
-        if (age > this.#options.getLongestDenialAge()) {
-            return this.#refuseStale(request, "The configuration may be outdated.");
+    #createDenial(request: CallerRequest, age: number, kind: "not-found" | "unauthorized", message: string): Refusal {
+        if (age > this.#options.getMaxDenialAge()) {
+            return this.#createStaleRefusal(request, "The configuration may be outdated.");
         }
-        return refuse(kind, message, "Check the address and the key of the request.");
+        return createRefusal(kind, message, "Check the address and the key of the request.");
     }
 
-    #refuseStale(request: CallerRequest, message: string): Refusal {
-        const timeLeft = request.deadlineMilliseconds ?? assumedDeadlineMilliseconds;
+    #createStaleRefusal(request: CallerRequest, message: string): Refusal {
+        const timeLeft = request.deadlineMilliseconds ?? defaultDeadlineMilliseconds;
         return {
             outcome: "not-run",
             failure: new Failure({
                 kind: "stale",
                 message,
                 remedy: "Come back after the given time, or ask another address.",
-                retryAfterMilliseconds: getReturnMilliseconds(timeLeft, Math.random()),
+                retryAfterMilliseconds: drawRetryAfterMilliseconds(timeLeft, Math.random()),
             }),
         };
     }
 
-    #noteRouted(exchange: Exchange): void {
+    #logRouted(exchange: Exchange): void {
         const { request, route, pool, workspace, priority, configurationVersion } = exchange;
         this.#options.journal.write(events.requestRouted, {
             request: request.id,
@@ -172,7 +172,7 @@
         });
     }
 
-    #noteEnded(exchange: Exchange): void {
+    #recordEnded(exchange: Exchange): void {
         const { metrics } = this.#options;
         metrics.requests.inc({ route: exchange.route.name, ran: exchange.outcome });
         metrics.answers.observe({ route: exchange.route.name }, exchange.getElapsed() / 1_000);
@@ -182,7 +182,7 @@
             attempts: exchange.attempts,
             ran: exchange.outcome,
             timedOut: exchange.isTimedOut || undefined,
-            callerGone: exchange.reply.gone.aborted || undefined,
+            callerGone: exchange.reply.disconnected.aborted || undefined,
             wholeMs: Math.round(exchange.getElapsed()),
         });
     }
@@ -200,16 +200,16 @@
     for (const share of route.pools) {
         total += share.weight;
     }
-    let point = getUnitRank(route.name, session ?? id) * total;
+    let remainingWeight = getUnitRank(route.name, session ?? id) * total;
     for (const share of route.pools) {
-        point -= share.weight;
-        if (point < 0) {
+        remainingWeight -= share.weight;
+        if (remainingWeight < 0) {
             return share.pool;
         }
     }
     return route.pools[route.pools.length - 1].pool;
 }
 
-function refuse(kind: "not-found" | "unauthorized" | "too-large", message: string, remedy: string): Refusal {
+function createRefusal(kind: "not-found" | "unauthorized" | "too-large", message: string, remedy: string): Refusal {
     return { outcome: "not-run", failure: new Failure({ kind, message, remedy }) };
 }
--- a/src/forwarding/refusals.ts
+++ b/src/forwarding/refusals.ts
@@ -10,20 +10,20 @@
  * A refused caller comes back within this part of its time, spread evenly: later, it would have too little time left to be
  * served; all at once, they would meet the same full upstreams again.
  */
-const earliestReturnShare = 0.04;
-const latestReturnShare = 0.16;
+const minRetryShare = 0.04;
+const maxRetryShare = 0.16;
 /** No caller is asked back sooner or later than this, in milliseconds. */
-const leastReturnMilliseconds = 60;
-const mostReturnMilliseconds = 1_500;
+const minRetryAfterMilliseconds = 60;
+const maxRetryAfterMilliseconds = 1_500;
 
 /**
  * Draws when the caller of a refused request should come back.
  * @param timeLeftMilliseconds - What is left of its time.
  * @param random - From 0 to 1.
  */
-export function getReturnMilliseconds(timeLeftMilliseconds: number, random: number): number {
-    const share = earliestReturnShare + random * (latestReturnShare - earliestReturnShare);
-    return Math.min(mostReturnMilliseconds, Math.max(leastReturnMilliseconds, timeLeftMilliseconds * share));
+export function drawRetryAfterMilliseconds(timeLeftMilliseconds: number, random: number): number {
+    const share = minRetryShare + random * (maxRetryShare - minRetryShare);
+    return Math.min(maxRetryAfterMilliseconds, Math.max(minRetryAfterMilliseconds, timeLeftMilliseconds * share));
 }
 
 /**
@@ -31,7 +31,7 @@
  * @param exchange - The request.
  * @param error - Why the last attempt failed or was not made.
  */
-export function refuseUnsent(exchange: Exchange, error: AttemptFailure): Refusal {
+export function createNotRunRefusal(exchange: Exchange, error: AttemptFailure): Refusal {
     const reason = error.kind === "not-made" ? error.reason : error.failure.kind;
     return {
         outcome: "not-run",
@@ -39,12 +39,12 @@
             kind: reason === "nobody" ? "unavailable" : "overloaded",
             message: `No upstream of the pool ${exchange.pool} took the request (${reason}).`,
             remedy: "Come back after the given time.",
-            retryAfterMilliseconds: getReturnMilliseconds(exchange.getTimeLeft(), Math.random()),
+            retryAfterMilliseconds: drawRetryAfterMilliseconds(exchange.getTimeLeft(), Math.random()),
         }),
     };
 }
 
 /** Creates the failure of an attempt whose answer broke off. */
-export function createBroken(reason: string): Err<never, AttemptFailure> {
+export function createBrokenFailure(reason: string): Err<never, AttemptFailure> {
     return err({ kind: "failed", failure: { kind: "broken", reason } });
 }
--- a/src/forwarding/departure.ts
+++ b/src/forwarding/shutdown.ts
@@ -8,16 +8,16 @@
 import type { Route } from "../routing/index.js";
 
 /** Streams are taken on in this first part of the time to stop; most take a few seconds. */
-const streamShare = 0.34;
+const streamAdmissionShare = 0.34;
 /** At this part of the time what is still at work is broken off, so that the process ends by itself. */
-const endShare = 0.95;
+const abortShare = 0.95;
 /** A refused caller finds another node at once. */
-const returnMilliseconds = 50;
+const refusalRetryMilliseconds = 50;
 
 /** Decides from the signal to stop on. */
-export class Departure {
+export class Shutdown {
     readonly #clock: Clock;
-    #since: number | undefined;
+    #startedAt: number | undefined;
     #stopMilliseconds = 0;
 
     /** @param clock - Tells how long ago the signal came. */
@@ -26,23 +26,23 @@
     }
 
     /** Whether the node was told to stop. */
-    get hasBegun(): boolean {
-        return this.#since !== undefined;
+    get hasStarted(): boolean {
+        return this.#startedAt !== undefined;
     }
 
     /**
      * Notes the signal to stop.
      * @param stopMilliseconds - Time until the process is killed.
      */
-    begin(stopMilliseconds: number): void {
-        this.#since = this.#clock.monotonic();
+    start(stopMilliseconds: number): void {
+        this.#startedAt = this.#clock.monotonic();
         this.#stopMilliseconds = stopMilliseconds;
     }
 
     /** Returns the milliseconds until what is still at work has to be broken off. */
     getTimeLeft(): number {
-        const elapsed = this.#since === undefined ? 0 : this.#clock.monotonic() - this.#since;
-        return this.#stopMilliseconds * endShare - elapsed;
+        const elapsed = this.#startedAt === undefined ? 0 : this.#clock.monotonic() - this.#startedAt;
+        return this.#stopMilliseconds * abortShare - elapsed;
     }
 
     /**
@@ -50,21 +50,21 @@
      * @param route - Its route.
      */
     check(route: Route): Failure | undefined {
-        if (this.#since === undefined || this.#mayEnd(route)) {
+        if (this.#startedAt === undefined || this.#canFinish(route)) {
             return undefined;
         }
         return new Failure({
             kind: "unavailable",
             message: "The node is stopping, and the request might not end in time.",
             remedy: "Ask for other addresses and send the request there.",
-            retryAfterMilliseconds: returnMilliseconds,
+            retryAfterMilliseconds: refusalRetryMilliseconds,
         });
     }
 
-    #mayEnd(route: Route): boolean {
-        const left = this.getTimeLeft();
+    #canFinish(route: Route): boolean {
+        const remainingMilliseconds = this.getTimeLeft();
         return route.kind === "stream"
-            ? left > this.#stopMilliseconds * (endShare - streamShare)
-            : left > route.timeoutMilliseconds;
+            ? remainingMilliseconds > this.#stopMilliseconds * (abortShare - streamAdmissionShare)
+            : remainingMilliseconds > route.timeoutMilliseconds;
     }
 }
--- a/src/forwarding/streamExchange.ts
+++ b/src/forwarding/streamExchange.ts
@@ -6,31 +6,31 @@
 import type { Attempt, AttemptFailure, Attempts } from "./attempts.js";
 import { EventSplitter } from "./eventSplitter.js";
 import { createTimeoutRefusal, type Exchange } from "./exchange.js";
-import { refuseUnsent } from "./refusals.js";
+import { createNotRunRefusal } from "./refusals.js";
 import { isCertainlyNotRun } from "./upstreamCall.js";
 
 /** Status codes from here on are failures of the upstream. */
-const firstServerError = 500;
+const minServerErrorStatus = 500;
 /**
  * A resumable stream whose runner is silent goes on elsewhere after so many times the pause at which it is late anyway;
  * callers give up after eight times.
  */
-const silentPauseFactor = 2;
+const pauseTimeoutFactor = 2;
 /**
  * A runner is taken for silent when its answer does not begin in so many times the expected time and a bit more, and never
  * sooner than the least, in milliseconds. Given up sooner, crowded runners look dead: their work is thrown away and done
  * again elsewhere, which crowds the others.
  */
-const silentHeadFactor = 3;
-const silentHeadMilliseconds = 700;
-const leastHeadMilliseconds = 1_400;
+const headTimeoutFactor = 3;
+const headTimeoutMarginMilliseconds = 700;
+const minHeadTimeoutMilliseconds = 1_400;
 /** Nor before the answer is late by so much: on time at the first runner beats late at the second. */
 const lateHeadFactor = 1.2;
 /** Without an objective, a pause is silence from here on, in milliseconds. */
 const defaultPauseMilliseconds = 1_000;
 
 /** How relaying an answer ended. */
-type RelayEnd =
+type RelayResult =
     | { readonly kind: "complete"; }
     | { readonly kind: "broken"; readonly reason: string; };
 
@@ -68,7 +68,7 @@
                 getHeadTimeout: expected => this.#getHeadTimeout(expected),
             });
             if (made.isErr()) {
-                if (this.#mayTryAgain(made.error)) {
+                if (this.#canRetry(made.error)) {
                     continue;
                 }
                 this.#fail(made.error);
@@ -98,17 +98,17 @@
         return chooseFirstModel({
             models: route.models,
             retriesLeft: this.#budget.getLeft(),
-            attemptsLeft: route.maximumAttempts - attempts,
+            attemptsLeft: route.maxAttempts - attempts,
             isContinued: request.lastEventId !== undefined,
         });
     }
 
     #chooseNextModel({ answer }: Attempt): string | undefined {
         const { route, reply, attempts } = this.#exchange;
-        if (this.#model === undefined || reply.hasBegun || answer.status !== 200) {
+        if (this.#model === undefined || reply.hasStarted || answer.status !== 200) {
             return undefined;
         }
-        if (attempts >= route.maximumAttempts || this.#budget.getLeft() < 1) {
+        if (attempts >= route.maxAttempts || this.#budget.getLeft() < 1) {
             return undefined;
         }
         return chooseNextModel({
@@ -142,12 +142,12 @@
 
     #getHeadTimeout(expectedMilliseconds: number): number | undefined {
         const { route, attempts } = this.#exchange;
-        if (!route.isResumable || attempts >= route.maximumAttempts) {
+        if (!route.isResumable || attempts >= route.maxAttempts) {
             return undefined;
         }
-        const patience = silentHeadFactor * expectedMilliseconds + silentHeadMilliseconds;
+        const estimatedTimeout = headTimeoutFactor * expectedMilliseconds + headTimeoutMarginMilliseconds;
         const lateMilliseconds = lateHeadFactor * route.objectiveMilliseconds;
-        return Math.max(leastHeadMilliseconds, lateMilliseconds, patience);
+        return Math.max(minHeadTimeoutMilliseconds, lateMilliseconds, estimatedTimeout);
     }
 
     /**
@@ -157,23 +157,23 @@
     async #relay(attempt: Attempt): Promise<boolean> {
         const { answer } = attempt;
         const { route, reply } = this.#exchange;
-        if (answer.status >= firstServerError && route.isResumable && this.#mayRepeat()) {
+        if (answer.status >= minServerErrorStatus && route.isResumable && this.#canRepeat()) {
             attempt.finish("error", `status ${answer.status}`);
             attempt.cancel();
             return false;
         }
-        if (reply.hasBegun && answer.status !== 200) {
+        if (reply.hasStarted && answer.status !== 200) {
             attempt.finish("error", `status ${answer.status} in the middle of a stream`);
             attempt.cancel();
             reply.abort();
             return true;
         }
-        if (!reply.hasBegun) {
-            reply.begin(answer.status, answer.headers, { hasKnownEnd: answer.hasKnownEnd || route.isResumable });
+        if (!reply.hasStarted) {
+            reply.start(answer.status, answer.headers, { hasKnownEnd: answer.hasKnownEnd || route.isResumable });
         }
-        const end = await this.#pump(attempt);
+        const end = await this.#relayBody(attempt);
         if (end.kind === "complete" && (answer.hasKnownEnd || !route.isResumable)) {
-            attempt.finish(answer.status >= firstServerError ? "error" : "ok", `status ${answer.status}`);
+            attempt.finish(answer.status >= minServerErrorStatus ? "error" : "ok", `status ${answer.status}`);
             reply.end();
             return true;
         }
@@ -182,43 +182,43 @@
         attempt.finish(this.#exchange.ended.aborted ? "cancelled" : "failed", reason);
         attempt.cancel();
         this.#splitter.reset();
-        if (!this.#exchange.ended.aborted && route.isResumable && answer.status === 200 && this.#mayRepeat()) {
+        if (!this.#exchange.ended.aborted && route.isResumable && answer.status === 200 && this.#canRepeat()) {
             return false;
         }
         reply.abort();
         return true;
     }
 
-    #mayRepeat(): boolean {
+    #canRepeat(): boolean {
         const { route, attempts } = this.#exchange;
-        return attempts < route.maximumAttempts && this.#budget.getLeft() >= 1;
+        return attempts < route.maxAttempts && this.#budget.getLeft() >= 1;
     }
 
-    async #pump(attempt: Attempt): Promise<RelayEnd> {
+    async #relayBody(attempt: Attempt): Promise<RelayResult> {
         const { reply, route, ended } = this.#exchange;
-        const isSplit = attempt.answer.status === 200;
-        const pause = route.isResumable
-            ? (route.pauseObjectiveMilliseconds ?? defaultPauseMilliseconds) * silentPauseFactor
+        const isEventStream = attempt.answer.status === 200;
+        const pauseTimeout = route.isResumable
+            ? (route.pauseObjectiveMilliseconds ?? defaultPauseMilliseconds) * pauseTimeoutFactor
             : this.#exchange.getTimeLeft();
-        let isSilent = false;
+        let isTimedOut = false;
         const timer = setTimeout(() => {
-            isSilent = true;
+            isTimedOut = true;
             attempt.cancel();
-        }, pause);
+        }, pauseTimeout);
         try {
             for await (const bytes of attempt.answer.body) {
                 timer.refresh();
-                attempt.markHeard();
-                await (isSplit ? this.#writeEvents(bytes) : reply.write(bytes));
+                attempt.markSeen();
+                await (isEventStream ? this.#writeEvents(bytes) : reply.write(bytes));
             }
-            const rest = this.#splitter.getRest();
-            if (rest.length > 0) {
-                await reply.write(rest);
+            const remainder = this.#splitter.getRemainder();
+            if (remainder.length > 0) {
+                await reply.write(remainder);
             }
             return { kind: "complete" };
         }
         catch (cause) {
-            const reason = isSilent ? `silent for ${pause} ms` : ended.aborted ? "ended" : String(cause);
+            const reason = isTimedOut ? `silent for ${pauseTimeout} ms` : ended.aborted ? "ended" : String(cause);
             return { kind: "broken", reason };
         }
         finally {
@@ -233,7 +233,7 @@
         }
     }
 
-    #mayTryAgain(error: AttemptFailure): boolean {
+    #canRetry(error: AttemptFailure): boolean {
         if (error.kind === "not-made") {
             return false;
         }
@@ -246,7 +246,7 @@
 
     #fail(error: AttemptFailure): void {
         const { reply } = this.#exchange;
-        if (reply.hasBegun) {
+        if (reply.hasStarted) {
             reply.abort();
             return;
         }
@@ -258,7 +258,7 @@
             return createTimeoutRefusal(this.#exchange);
         }
         if (this.#exchange.outcome === "not-run") {
-            return refuseUnsent(this.#exchange, error);
+            return createNotRunRefusal(this.#exchange, error);
         }
         return {
             outcome: this.#exchange.outcome,
--- a/src/forwarding/unaryExchange.ts
+++ b/src/forwarding/unaryExchange.ts
@@ -6,21 +6,21 @@
 import { isRepeatable } from "../routing/index.js";
 import type { Attempt, AttemptFailure, Attempts } from "./attempts.js";
 import { createTimeoutRefusal, type Exchange } from "./exchange.js";
-import { createBroken, refuseUnsent } from "./refusals.js";
+import { createBrokenFailure, createNotRunRefusal } from "./refusals.js";
 import { isCertainlyNotRun, type UpstreamAnswer } from "./upstreamCall.js";
 
 /**
  * Part of the time left that a repeatable request waits for one upstream while another attempt is allowed. An upstream
  * that fell silent would otherwise use up the whole deadline; the answer of a sound one takes a small part of it.
  */
-const attemptShare = 0.4;
+const attemptTimeoutShare = 0.4;
 /** A silent upstream is not given up sooner, in milliseconds: the slowest one in a hundred answers takes 220. */
-const leastAttemptMilliseconds = 300;
+const minAttemptTimeoutMilliseconds = 300;
 /** Status codes from here on are failures of the upstream. */
-const firstServerError = 500;
+const minServerErrorStatus = 500;
 
 /** An answer that was read to its end. */
-interface ReadAnswer {
+interface BufferedAnswer {
     readonly head: UpstreamAnswer;
     readonly body: Buffer;
 }
@@ -31,7 +31,7 @@
  * @param attempts - Makes the attempts.
  */
 export async function runUnary(exchange: Exchange, attempts: Attempts): Promise<void> {
-    let failed: ReadAnswer | undefined;
+    let fallbackAnswer: BufferedAnswer | undefined;
     for (;;) {
         const made = await attempts.make({
             exchange,
@@ -41,10 +41,10 @@
             getHeadTimeout: () => getHeadTimeout(exchange),
         });
         if (made.isErr()) {
-            if (mayTryAgain(exchange, made.error)) {
+            if (canRetry(exchange, made.error)) {
                 continue;
             }
-            await finishFailed(exchange, made.error, failed);
+            await finishWithoutAnswer(exchange, made.error, fallbackAnswer);
             return;
         }
         const answered = await readAnswer(exchange, made.value);
@@ -52,27 +52,27 @@
             if (isRepeatable(exchange.route)) {
                 continue;
             }
-            await finishFailed(exchange, answered.error, failed);
+            await finishWithoutAnswer(exchange, answered.error, fallbackAnswer);
             return;
         }
-        if (isDoubtful(answered.value) && isRepeatable(exchange.route)) {
-            failed = chooseFallback(failed, answered.value);
+        if (isFailedOrPartial(answered.value) && isRepeatable(exchange.route)) {
+            fallbackAnswer = chooseFallback(fallbackAnswer, answered.value);
             continue;
         }
-        await give(exchange, answered.value);
+        await sendAnswer(exchange, answered.value);
         return;
     }
 }
 
 function getHeadTimeout(exchange: Exchange): number | undefined {
-    if (!isRepeatable(exchange.route) || exchange.attempts >= exchange.route.maximumAttempts) {
+    if (!isRepeatable(exchange.route) || exchange.attempts >= exchange.route.maxAttempts) {
         return undefined;
     }
-    return Math.max(leastAttemptMilliseconds, exchange.getTimeLeft() * attemptShare);
+    return Math.max(minAttemptTimeoutMilliseconds, exchange.getTimeLeft() * attemptTimeoutShare);
 }
 
 /** Tells whether the failure of an attempt leaves another one open. Attempts themselves are bounded elsewhere. */
-function mayTryAgain(exchange: Exchange, error: AttemptFailure): boolean {
+function canRetry(exchange: Exchange, error: AttemptFailure): boolean {
     if (error.kind === "not-made") {
         return false;
     }
@@ -83,51 +83,51 @@
     return isRepeatable(exchange.route);
 }
 
-async function readAnswer(exchange: Exchange, attempt: Attempt): Promise<Result<ReadAnswer, AttemptFailure>> {
+async function readAnswer(exchange: Exchange, attempt: Attempt): Promise<Result<BufferedAnswer, AttemptFailure>> {
     const { answer } = attempt;
     exchange.markRun("ran");
-    const pieces: Buffer[] = [];
+    const chunks: Buffer[] = [];
     try {
-        for await (const piece of answer.body) {
-            pieces.push(piece);
+        for await (const chunk of answer.body) {
+            chunks.push(chunk);
         }
     }
     catch (cause) {
         attempt.finish(exchange.ended.aborted ? "cancelled" : "failed", `broke off: ${String(cause)}`);
-        return createBroken(String(cause));
+        return createBrokenFailure(String(cause));
     }
-    attempt.finish(answer.status >= firstServerError ? "error" : "ok", `status ${answer.status}`);
-    return ok({ head: answer, body: Buffer.concat(pieces) });
+    attempt.finish(answer.status >= minServerErrorStatus ? "error" : "ok", `status ${answer.status}`);
+    return ok({ head: answer, body: Buffer.concat(chunks) });
 }
 
 /** Tells whether another upstream may do better: this one failed, or what it gave may be a part only. */
-function isDoubtful({ head }: ReadAnswer): boolean {
-    return head.status >= firstServerError || !head.hasKnownEnd;
+function isFailedOrPartial({ head }: BufferedAnswer): boolean {
+    return head.status >= minServerErrorStatus || !head.hasKnownEnd;
 }
 
 /** A success that may be a part beats a failure. */
-function chooseFallback(first: ReadAnswer | undefined, second: ReadAnswer): ReadAnswer {
-    return first !== undefined && first.head.status < firstServerError ? first : second;
+function chooseFallback(first: BufferedAnswer | undefined, second: BufferedAnswer): BufferedAnswer {
+    return first !== undefined && first.head.status < minServerErrorStatus ? first : second;
 }
 
-async function give({ reply }: Exchange, { head, body }: ReadAnswer): Promise<void> {
+async function sendAnswer({ reply }: Exchange, { head, body }: BufferedAnswer): Promise<void> {
     if (head.hasKnownEnd) {
         reply.answer(head.status, head.headers, body);
         return;
     }
-    reply.begin(head.status, head.headers, { hasKnownEnd: false });
+    reply.start(head.status, head.headers, { hasKnownEnd: false });
     await reply.write(body);
     reply.end();
 }
 
-async function finishFailed(
+async function finishWithoutAnswer(
     exchange: Exchange,
     error: AttemptFailure,
-    failed: ReadAnswer | undefined,
+    fallbackAnswer: BufferedAnswer | undefined,
 ): Promise<void> {
-    if (failed !== undefined) {
+    if (fallbackAnswer !== undefined) {
         // What the upstream itself said is worth more than any answer of the router's.
-        await give(exchange, failed);
+        await sendAnswer(exchange, fallbackAnswer);
         return;
     }
     exchange.reply.refuse(createRefusal(exchange, error));
@@ -138,7 +138,7 @@
         return createTimeoutRefusal(exchange);
     }
     if (exchange.outcome === "not-run") {
-        return refuseUnsent(exchange, error);
+        return createNotRunRefusal(exchange, error);
     }
     return {
         outcome: exchange.outcome,
--- a/src/forwarding/upstreamCall.ts
+++ b/src/forwarding/upstreamCall.ts
@@ -64,7 +64,7 @@
 }
 
 /** Calls upstreams. */
-export interface UpstreamCaller {
+export interface UpstreamTransport {
     /**
      * Makes one call; never repeats it.
      * @param upstream - Whom to call.
--- a/src/measure/exposure/exposureSite.ts
+++ b/src/measure/exposure/exposureSite.ts
@@ -183,7 +183,7 @@
         const clock = this.clock;
         const evidence = new Evidence({ clock });
         const exposures = new Exposures();
-        const fold = new RolloutFold({ isCurrentFence: given => given === fence });
+        const fold = new RolloutFold({ isCurrentFencingToken: given => given === fence });
         const policy = { ...defaultRolloutPolicy, ...options.policy };
         const judge = new RolloutEvaluator({ fold, evidence, exposures, clock, getPolicy: () => policy });
         const isHeld = (): boolean => judge.isHeld(candidate);
--- a/src/platform/callerFace.ts
+++ b/src/platform/callerServer.ts
@@ -13,22 +13,22 @@
 import { headerNames } from "./wire.js";
 
 /** Limits until the first configuration has been read. */
-const firstLimits: CallerLimits = {
+const initialLimits: CallerLimits = {
     headerBytes: 16_384,
     bodyBytes: 4 * 1024 * 1024,
     headerMilliseconds: 3_000,
     idleMilliseconds: 15_000,
 };
 /** A connection is kept a little longer than callers use it again, so that none of their requests crosses its close. */
-const idleSlackMilliseconds = 1_000;
+const idleMarginMilliseconds = 1_000;
 /** Headers are bounded here by what the program can take; the configured bound is checked for each request. */
-const mostHeaderBytes = 64 * 1024;
+const maxHeaderBytes = 64 * 1024;
 
 /** Takes a decoded request. */
 export type HandleRequest = (request: CallerRequest, reply: CallerReply) => Promise<void>;
 
 /** Options of the face. */
-export interface CallerFaceOptions {
+export interface CallerServerOptions {
     readonly clock: Clock;
     readonly handle: HandleRequest;
     /** Returns the limits in force, or undefined before there are any. */
@@ -38,14 +38,14 @@
 }
 
 /** Serves callers. */
-export class CallerFace {
-    readonly #options: CallerFaceOptions;
+export class CallerServer {
+    readonly #options: CallerServerOptions;
     readonly #server: Server;
     #isLeaving = false;
 
-    constructor(options: CallerFaceOptions) {
+    constructor(options: CallerServerOptions) {
         this.#options = options;
-        this.#server = createServer({ maxHeaderSize: mostHeaderBytes }, (request, response) => {
+        this.#server = createServer({ maxHeaderSize: maxHeaderBytes }, (request, response) => {
             void this.#serve(request, response);
         });
         this.#server.requestTimeout = 0;
@@ -54,12 +54,12 @@
 
     /**
      * Begins to listen.
-     * @param where - An address, or a server that listens already and whose connections are taken over.
+     * @param target - An address, or a server that listens already and whose connections are taken over.
      */
-    listen(where: Endpoint | ListeningServer): Promise<void> {
+    listen(target: Endpoint | ListeningServer): Promise<void> {
         return new Promise((resolve, reject) => {
             this.#server.once("error", reject);
-            this.#server.listen(where, resolve);
+            this.#server.listen(target, resolve);
         });
     }
 
@@ -67,7 +67,7 @@
     applyLimits(): void {
         const { headerMilliseconds, idleMilliseconds } = this.#getLimits();
         this.#server.headersTimeout = headerMilliseconds;
-        this.#server.keepAliveTimeout = idleMilliseconds + idleSlackMilliseconds;
+        this.#server.keepAliveTimeout = idleMilliseconds + idleMarginMilliseconds;
     }
 
     /** Closes each connection after the answer under way from now on; new connections are still served. */
@@ -83,7 +83,7 @@
     }
 
     #getLimits(): CallerLimits {
-        return this.#options.getLimits() ?? firstLimits;
+        return this.#options.getLimits() ?? initialLimits;
     }
 
     async #serve(incoming: IncomingMessage, response: ServerResponse): Promise<void> {
--- a/src/platform/decodeConfiguration.ts
+++ b/src/platform/decodeConfiguration.ts
@@ -7,7 +7,7 @@
 import type { PinReport, RolloutOrder, RolloutProgress, RolloutState } from "../rollouts/index.js";
 import { type KeyedWorkspace, type Pool, type Route, type RouteKind, RouteTable } from "../routing/index.js";
 
-const kinds: Readonly<Record<string, RouteKind>> = {
+const routeKinds: Readonly<Record<string, RouteKind>> = {
     idempotent: "idempotent",
     non_idempotent: "at-most-once",
     // A keyed request runs once for its key; without the key's meaning here it is safe to treat it as the strictest kind.
@@ -62,7 +62,7 @@
  * @param value - The record's value.
  */
 export function decodeConfiguration(value: Buffer): Result<RouteTable, Failure> {
-    return parse(value, configurationSchema).map(content =>
+    return parseRecord(value, configurationSchema).map(content =>
         new RouteTable({
             version: content.version,
             routes: content.routes.map(toRoute),
@@ -84,7 +84,7 @@
  * @param offset - The record's offset, which identifies the order.
  */
 export function decodeRolloutOrder(value: Buffer, offset: number): Result<RolloutOrder, Failure> {
-    return parse(value, orderSchema).map(order => ({
+    return parseRecord(value, orderSchema).map(order => ({
         id: offset,
         pool: order.service,
         version: order.target,
@@ -119,14 +119,14 @@
 
 /** Decodes how far a roll-out has come, as a node wrote it. */
 export function decodeProgress(value: Buffer): Result<RolloutProgress, Failure> {
-    return parse(value, progressSchema);
+    return parseRecord(value, progressSchema);
 }
 
 const pinReportSchema = z.object({ order: z.number(), ranks: z.array(z.number()) });
 
 /** Decodes which sessions a node has pinned, as it wrote it. */
 export function decodePinReport(value: Buffer): Result<PinReport, Failure> {
-    return parse(value, pinReportSchema);
+    return parseRecord(value, pinReportSchema);
 }
 
 function toRoute(route: z.infer<typeof routeSchema>): Route {
@@ -136,13 +136,13 @@
         name: route.name,
         host: route.host,
         pathPrefix: route.path_prefix,
-        kind: kinds[route.route_kind] ?? "at-most-once",
+        kind: routeKinds[route.route_kind] ?? "at-most-once",
         timeoutMilliseconds: route.timeout_ms,
         objectiveMilliseconds: route.goal_ms,
         pauseObjectiveMilliseconds: route.gap_goal_ms,
         priority: route.priority,
         pools,
-        maximumAttempts: Math.max(1, route.max_attempts),
+        maxAttempts: Math.max(1, route.max_attempts),
         isPublic: route.public,
         isResumable: route.resumable,
         models: route.sizes,
@@ -152,7 +152,7 @@
 function toPool(service: z.infer<typeof serviceSchema>): Pool {
     return {
         name: service.name,
-        maximumConnections: service.max_conns,
+        maxConnections: service.max_conns,
         models: service.engine?.models.map(model => ({ name: model.name, price: model.cost })) ?? [],
     };
 }
@@ -167,7 +167,7 @@
     return workspaces;
 }
 
-function parse<T>(value: Buffer, schema: z.ZodType<T>): Result<T, Failure> {
+function parseRecord<T>(value: Buffer, schema: z.ZodType<T>): Result<T, Failure> {
     try {
         return ok(schema.parse(JSON.parse(value.toString())));
     }
--- a/src/platform/decodeRequest.ts
+++ b/src/platform/decodeRequest.ts
@@ -46,11 +46,11 @@
     if (model === undefined && tokens === undefined) {
         return undefined;
     }
-    const [promptTokens, mostOutputTokens] = (tokens ?? "").split(",").map(Number);
+    const [promptTokens, maxOutputTokens] = (tokens ?? "").split(",").map(Number);
     return {
         model: model === anyModel ? undefined : model,
         promptTokens: Number.isFinite(promptTokens) ? promptTokens : 0,
-        mostOutputTokens: Number.isFinite(mostOutputTokens) ? mostOutputTokens : 0,
+        maxOutputTokens: Number.isFinite(maxOutputTokens) ? maxOutputTokens : 0,
         expectedOutputTokens: findNumber(raw, headerNames.lengthHint),
         parts: decodeParts(findHeader(raw, headerNames.promptParts) ?? ""),
     };
@@ -89,20 +89,20 @@
     if (Number(incoming.headers["content-length"] ?? 0) > limit) {
         return "too-large";
     }
-    const pieces: Buffer[] = [];
+    const chunks: Buffer[] = [];
     let size = 0;
     try {
-        for await (const piece of incoming as AsyncIterable<Buffer>) {
-            size += piece.length;
+        for await (const chunk of incoming as AsyncIterable<Buffer>) {
+            size += chunk.length;
             if (size > limit) {
                 return "too-large";
             }
-            pieces.push(piece);
+            chunks.push(chunk);
         }
     }
     catch {
         // The caller left in the middle of its request; there is nobody to answer.
         return "gone";
     }
-    return pieces.length === 1 ? pieces[0] : Buffer.concat(pieces);
+    return chunks.length === 1 ? chunks[0] : Buffer.concat(chunks);
 }
--- a/src/platform/headers.ts
+++ b/src/platform/headers.ts
@@ -22,7 +22,7 @@
  * Headers that the router alone may set. Passed on as a caller sent them, they would let it run under another workspace,
  * reserve a runner's memory, or go on from the memory of somebody else's request.
  */
-const ownHeaders: ReadonlySet<string> = new Set([
+const routerOnlyHeaders: ReadonlySet<string> = new Set([
     headerNames.apiKey,
     headerNames.workspace,
     headerNames.expectedRunner,
@@ -41,14 +41,14 @@
 ]);
 
 /** Headers of an answer that are between the upstream and the router. */
-const answerOwnHeaders: ReadonlySet<string> = new Set([headerNames.notExecuted, headerNames.load, "date"]);
+const internalAnswerHeaders: ReadonlySet<string> = new Set([headerNames.notExecuted, headerNames.load, "date"]);
 
 /**
  * Returns the headers of a caller's request that an upstream may see.
  * @param raw - Names and values in turn.
  */
 export function pickRequestHeaders(raw: readonly string[]): readonly string[] {
-    return filter(raw, ownHeaders);
+    return filterHeaders(raw, routerOnlyHeaders);
 }
 
 /**
@@ -56,7 +56,7 @@
  * @param raw - Names and values in turn.
  */
 export function pickAnswerHeaders(raw: readonly string[]): readonly string[] {
-    return filter(raw, answerOwnHeaders);
+    return filterHeaders(raw, internalAnswerHeaders);
 }
 
 /**
@@ -83,12 +83,14 @@
     return Number.isFinite(number) && number >= 0 ? number : undefined;
 }
 
-function filter(raw: readonly string[], dropped: ReadonlySet<string>): readonly string[] {
-    const named = new Set((findHeader(raw, "connection") ?? "").toLowerCase().split(",").map(name => name.trim()));
+function filterHeaders(raw: readonly string[], dropped: ReadonlySet<string>): readonly string[] {
+    const connectionOptions = new Set(
+        (findHeader(raw, "connection") ?? "").toLowerCase().split(",").map(name => name.trim()),
+    );
     const kept: string[] = [];
     for (let index = 0; index + 1 < raw.length; index += 2) {
         const name = raw[index].toLowerCase();
-        if (!connectionHeaders.has(name) && !dropped.has(name) && !named.has(name)) {
+        if (!connectionHeaders.has(name) && !dropped.has(name) && !connectionOptions.has(name)) {
             kept.push(raw[index], raw[index + 1]);
         }
     }
--- a/src/platform/httpReply.ts
+++ b/src/platform/httpReply.ts
@@ -11,7 +11,7 @@
 export class HttpReply implements CallerReply {
     readonly #response: ServerResponse;
     readonly #isLeaving: () => boolean;
-    readonly #gone = new AbortController();
+    readonly #disconnection = new AbortController();
     #requestId: string | undefined;
 
     /**
@@ -25,46 +25,46 @@
         this.#requestId = findHeader(incoming.rawHeaders, headerNames.requestId);
         // Answers carry the date only where the upstream sent one.
         response.sendDate = false;
-        const leave = (): void => {
+        const abortOnDisconnect = (): void => {
             if (!response.writableFinished) {
-                this.#gone.abort();
+                this.#disconnection.abort();
             }
         };
-        response.once("close", leave);
-        incoming.socket.once("end", leave);
-        response.once("close", () => incoming.socket.removeListener("end", leave));
+        response.once("close", abortOnDisconnect);
+        incoming.socket.once("end", abortOnDisconnect);
+        response.once("close", () => incoming.socket.removeListener("end", abortOnDisconnect));
     }
 
-    get hasBegun(): boolean {
+    get hasStarted(): boolean {
         return this.#response.headersSent;
     }
 
-    get gone(): AbortSignal {
-        return this.#gone.signal;
+    get disconnected(): AbortSignal {
+        return this.#disconnection.signal;
     }
 
-    begin(status: number, headers: readonly string[], options = { hasKnownEnd: true }): void {
+    start(status: number, headers: readonly string[], options = { hasKnownEnd: true }): void {
         if (!options.hasKnownEnd) {
             // Neither a length nor chunks: the answer ends with its connection, as it did at the upstream.
             this.#response.useChunkedEncodingByDefault = false;
             this.#response.shouldKeepAlive = false;
         }
-        this.#response.writeHead(status, this.#complete(headers));
+        this.#response.writeHead(status, this.#addConnectionHeader(headers));
         this.#response.flushHeaders();
     }
 
     write(piece: Buffer): Promise<void> {
-        if (this.#response.write(piece) || this.#gone.signal.aborted) {
+        if (this.#response.write(piece) || this.#disconnection.signal.aborted) {
             return Promise.resolve();
         }
         return new Promise(resolve => {
-            const done = (): void => {
-                this.#response.removeListener("drain", done);
-                this.#gone.signal.removeEventListener("abort", done);
+            const finish = (): void => {
+                this.#response.removeListener("drain", finish);
+                this.#disconnection.signal.removeEventListener("abort", finish);
                 resolve();
             };
-            this.#response.once("drain", done);
-            this.#gone.signal.addEventListener("abort", done);
+            this.#response.once("drain", finish);
+            this.#disconnection.signal.addEventListener("abort", finish);
         });
     }
 
@@ -76,7 +76,7 @@
         const length = body.length === 0 && (status === 204 || status === 304)
             ? []
             : ["Content-Length", String(body.length)];
-        this.#response.writeHead(status, [...this.#complete(headers), ...length]);
+        this.#response.writeHead(status, [...this.#addConnectionHeader(headers), ...length]);
         this.#response.end(body);
     }
 
@@ -94,7 +94,7 @@
     }
 
     #refuse({ failure, outcome }: Refusal, status: number, extra: readonly string[]): void {
-        if (this.#gone.signal.aborted || this.#response.headersSent) {
+        if (this.#disconnection.signal.aborted || this.#response.headersSent) {
             this.abort();
             return;
         }
@@ -109,7 +109,7 @@
         this.answer(status, headers, body);
     }
 
-    #complete(headers: readonly string[]): string[] {
+    #addConnectionHeader(headers: readonly string[]): string[] {
         return this.#isLeaving() ? [...headers, "Connection", "close"] : [...headers];
     }
 }
--- a/src/platform/node.ts
+++ b/src/platform/node.ts
@@ -11,7 +11,7 @@
 
 const drainPollMilliseconds = 50;
 /** Callers that asked just before the stop still connect for a while; the node goes on serving them, in milliseconds. */
-const leastServingMilliseconds = 2_500;
+const minServingMilliseconds = 2_500;
 
 /** Runs a node from its start to its graceful shutdown. */
 export class PlatformNode {
@@ -30,28 +30,28 @@
 
     /**
      * Starts to follow the store, to serve callers, and then to talk to peers: what callers wait for comes first.
-     * @param callerServer - Listens for callers already; without it the node begins to.
+     * @param listeningServer - Listens for callers already; without it the node begins to.
      */
-    async start(callerServer?: Server): Promise<void> {
-        const { settings, callerFace, topics, journal } = this.getParts();
+    async start(listeningServer?: Server): Promise<void> {
+        const { settings, callerServer, topics, journal } = this.getParts();
         journal.write(events.processStarted, { address: settings.address });
-        topics.onRoutes(() => callerFace.applyLimits());
-        this.#forgetGoneUpstreams();
-        const isListening = callerFace.listen(callerServer ?? settings.listen.callers);
+        topics.onRoutes(() => callerServer.applyLimits());
+        this.#forgetRemovedUpstreams();
+        const isListening = callerServer.listen(listeningServer ?? settings.listen.callers);
         topics.start();
         await isListening;
-        await topics.waitFirstRead();
-        await this.#startSiteFace();
+        await topics.waitForFirstRead();
+        await this.#startSiteServer();
         if (this.#stopping === undefined) {
             await this.#startPeers();
         }
     }
 
-    async #startSiteFace(): Promise<void> {
-        const { settings: { listen }, siteFace } = this.getParts();
-        await siteFace.listen(listen.ready.host, listen.ready.port);
-        await siteFace.listen(listen.addresses.host, listen.addresses.port);
-        await siteFace.listen(listen.metrics.host, listen.metrics.port);
+    async #startSiteServer(): Promise<void> {
+        const { settings: { listen }, siteServer } = this.getParts();
+        await siteServer.listen(listen.ready.host, listen.ready.port);
+        await siteServer.listen(listen.addresses.host, listen.addresses.port);
+        await siteServer.listen(listen.metrics.host, listen.metrics.port);
     }
 
     async #startPeers(): Promise<void> {
@@ -76,8 +76,8 @@
                 liveSettings.set(settings);
                 journal.write(events.settingsReloaded, { file });
             },
-            mistakes => {
-                journal.write(events.settingsRefused, { file, cause: mistakes.map(formatMistake).join(" ") });
+            validationErrors => {
+                journal.write(events.settingsRefused, { file, cause: validationErrors.map(formatMistake).join(" ") });
             },
         );
     }
@@ -89,9 +89,9 @@
     }
 
     /** Nothing that was learned of an upstream holds for one that was started anew under its identifier. */
-    #forgetGoneUpstreams(): void {
+    #forgetRemovedUpstreams(): void {
         const { registry, picker, upstreamClient } = this.getParts();
-        registry.onGone(({ id }) => {
+        registry.onRemoved(({ id }) => {
             picker.forget(id);
             upstreamClient.forget(id);
         });
@@ -99,21 +99,21 @@
 
     async #stop(): Promise<void> {
         const parts = this.getParts();
-        const { liveSettings, clock, journal, membership, callerFace, siteFace, forwarder, departure } = parts;
+        const { liveSettings, clock, journal, membership, callerServer, siteServer, forwarder, shutdown } = parts;
         journal.write(events.processStopping, { requests: forwarder.getInFlight() });
-        const since = clock.monotonic();
-        departure.begin(liveSettings.get().bounds.stopMilliseconds);
+        const startedAt = clock.monotonic();
+        shutdown.start(liveSettings.get().bounds.stopMilliseconds);
         membership.announceLeaving();
-        callerFace.announceLeaving();
-        while (departure.getTimeLeft() > 0) {
-            if (clock.monotonic() - since > leastServingMilliseconds && forwarder.getInFlight() === 0) {
+        callerServer.announceLeaving();
+        while (shutdown.getTimeLeft() > 0) {
+            if (clock.monotonic() - startedAt > minServingMilliseconds && forwarder.getInFlight() === 0) {
                 break;
             }
             await sleep(drainPollMilliseconds);
         }
         journal.write(events.processStopped, { requests: forwarder.getInFlight() });
-        callerFace.close();
-        siteFace.close();
+        callerServer.close();
+        siteServer.close();
         parts.rollouts.stop();
         parts.gossip.stop();
         parts.topics.stop();
--- a/src/platform/nodeParts.ts
+++ b/src/platform/nodeParts.ts
@@ -9,11 +9,11 @@
 import {
     Attempts,
     createForwardingMetrics,
-    Departure,
     type EndedAttempt,
     type Exchange,
     Forwarder,
     type ForwardingMetrics,
+    Shutdown,
 } from "../forwarding/index.js";
 import {
     chooseAddresses,
@@ -26,29 +26,29 @@
     PeerServer,
 } from "../membership/index.js";
 import { type PeerReport, Rollouts } from "../rollouts/index.js";
-import { CallerFace } from "./callerFace.js";
+import { CallerServer } from "./callerServer.js";
 
 import { LiveSettings, type NodeSettings } from "./nodeSettings.js";
 import { PlatformTopics } from "./platformTopics.js";
-import { SiteFace } from "./siteFace.js";
+import { SiteServer } from "./siteServer.js";
 import { StatusWriter } from "./statusWriter.js";
 import { StoreClient } from "./storeClient.js";
 import { UpstreamClient } from "./upstreamClient.js";
 
 /** Time between two exchanges of gossip that a node begins, in milliseconds: a node that dies is noticed in two seconds. */
-const gossipMilliseconds = 150;
+const gossipIntervalMilliseconds = 150;
 /** Bytes of values in one exchange of gossip, at most. */
-const gossipBytes = 64 * 1024;
+const maxGossipBytes = 64 * 1024;
 /** Keys are refused so long before the bound on revocation: a request may be on its way for a moment after the check. */
 const revocationMarginMilliseconds = 300;
 /** Part of the bound on configuration up to which a missing route or key is believed to be missing. */
-const denialShare = 0.75;
+const maxDenialAgeShare = 0.75;
 /** Connections to one upstream that a node always may hold. */
-const leastConnections = 4;
+const minConnections = 4;
 
 /** Keys of gossip: evidence on a pool's roll-out, and that it was found bad. */
-const evidenceKey = "rollout-evidence/";
-const haltKey = "rollout-halt/";
+const evidenceKeyPrefix = "rollout-evidence/";
+const haltKeyPrefix = "rollout-halt/";
 
 /** The parts of a node. */
 export interface NodeParts {
@@ -58,7 +58,7 @@
     readonly liveSettings: LiveSettings;
     readonly clock: Clock;
     /** Counts suspensions too; for the age of beliefs. */
-    readonly beliefClock: Clock;
+    readonly suspensionClock: Clock;
     readonly random: RandomSource;
     readonly lineWriter: LineWriter;
     readonly journal: Journal;
@@ -77,14 +77,14 @@
     readonly budgets: (pool: string) => WindowedRetryBudget;
     readonly upstreamClient: UpstreamClient;
     readonly rollouts: Rollouts;
-    readonly departure: Departure;
+    readonly shutdown: Shutdown;
     readonly attempts: Attempts;
     readonly forwarder: Forwarder;
-    readonly callerFace: CallerFace;
-    readonly siteFace: SiteFace;
+    readonly callerServer: CallerServer;
+    readonly siteServer: SiteServer;
 }
 
-type Makers = { readonly [Name in keyof NodeParts]: (parts: NodeParts) => NodeParts[Name]; };
+type PartFactories = { readonly [Name in keyof NodeParts]: (parts: NodeParts) => NodeParts[Name]; };
 
 /**
  * Creates the container of a node. Each part is made once, when it is first asked for.
@@ -92,17 +92,20 @@
  */
 export function createNodeContainer(settings: NodeSettings): AwilixContainer<NodeParts> {
     const container = createContainer<NodeParts>({ injectionMode: InjectionMode.PROXY, strict: true });
-    for (const [name, make] of Object.entries({ ...makers, settings: () => settings })) {
-        container.register(name, asFunction(make as (parts: NodeParts) => unknown, { lifetime: Lifetime.SINGLETON }));
+    for (const [name, factory] of Object.entries({ ...partFactories, settings: () => settings })) {
+        container.register(
+            name,
+            asFunction(factory as (parts: NodeParts) => unknown, { lifetime: Lifetime.SINGLETON }),
+        );
     }
     return container;
 }
 
-const makers: Makers = {
+const partFactories: PartFactories = {
     settings: ({ settings }) => settings,
     liveSettings: ({ settings }) => new LiveSettings(settings),
     clock: () => systemClock,
-    beliefClock: () => new SuspensionClock(systemClock),
+    suspensionClock: () => new SuspensionClock(systemClock),
     random: () => new RandomSource(Math.floor(Math.random() * 2 ** 31)),
     lineWriter: ({ clock }) => new LineWriter({ clock }),
     journal: ({ settings, clock, lineWriter }) =>
@@ -115,11 +118,11 @@
         failureDomain: settings.failureDomain,
         region: settings.region,
     }),
-    store: ({ settings, beliefClock }) => new StoreClient(settings.store, beliefClock),
+    store: ({ settings, suspensionClock }) => new StoreClient(settings.store, suspensionClock),
     topics: parts =>
         new PlatformTopics({
             liveSettings: parts.liveSettings,
-            beliefClock: parts.beliefClock,
+            suspensionClock: parts.suspensionClock,
             journal: parts.journal,
             store: parts.store,
             writer: parts.writer,
@@ -144,8 +147,8 @@
             random,
             journal,
             transport: peerClient.createGossipTransport(),
-            periodMilliseconds: gossipMilliseconds,
-            bytesPerExchange: gossipBytes,
+            periodMilliseconds: gossipIntervalMilliseconds,
+            bytesPerExchange: maxGossipBytes,
         }),
     membership: ({ self, gossip, clock, journal }) => new Membership({ self, gossip, clock, journal }),
     directory: ({ membership }) => new MemberDirectory(vms => membership.setVms(vms)),
@@ -161,12 +164,12 @@
     upstreamClient: ({ topics, membership }) =>
         new UpstreamClient({
             getConnectionLimit: pool => {
-                const all = topics.getRoutes()?.getPool(pool)?.maximumConnections ?? leastConnections;
-                return Math.max(leastConnections, Math.floor(all / membership.getMembers().length));
+                const all = topics.getRoutes()?.getPool(pool)?.maxConnections ?? minConnections;
+                return Math.max(minConnections, Math.floor(all / membership.getMembers().length));
             },
         }),
     rollouts: parts => createRollouts(parts),
-    departure: ({ clock }) => new Departure(clock),
+    shutdown: ({ clock }) => new Shutdown(clock),
     attempts: ({ clock, journal, metrics, registry, picker, upstreamClient, budgets, rollouts }) =>
         new Attempts({
             clock,
@@ -174,33 +177,33 @@
             metrics,
             registry,
             picker,
-            caller: upstreamClient,
+            transport: upstreamClient,
             getBudget: budgets,
             selectVersion: (exchange, candidates) => rollouts.select(exchange.pool, getSession(exchange), candidates),
-            onBegin: (exchange, upstream) => {
-                const end = rollouts.begin(upstream, exchange.request.session);
+            onStart: (exchange, upstream) => {
+                const end = rollouts.startRequest(upstream, exchange.request.session);
                 return attempt => {
                     end();
                     addEvidence(rollouts, attempt);
                 };
             },
         }),
-    forwarder: ({ clock, journal, metrics, attempts, topics, liveSettings, budgets, departure }) =>
+    forwarder: ({ clock, journal, metrics, attempts, topics, liveSettings, budgets, shutdown }) =>
         new Forwarder({
             clock,
             journal,
             metrics,
             attempts,
             getRoutes: () => topics.getRoutes(),
-            waitFirstRead: () => topics.waitFirstRead(),
+            waitForFirstRead: () => topics.waitForFirstRead(),
             getConfigurationAge: () => topics.getConfigurationAge(),
-            getLongestKeyAge: () => liveSettings.get().bounds.revocationMilliseconds - revocationMarginMilliseconds,
-            getLongestDenialAge: () => liveSettings.get().bounds.configurationMilliseconds * denialShare,
+            getMaxKeyAge: () => liveSettings.get().bounds.revocationMilliseconds - revocationMarginMilliseconds,
+            getMaxDenialAge: () => liveSettings.get().bounds.configurationMilliseconds * maxDenialAgeShare,
             getBudget: budgets,
-            checkCapacity: route => departure.check(route),
+            checkCapacity: route => shutdown.check(route),
         }),
-    callerFace: ({ clock, forwarder, topics, journal }) =>
-        new CallerFace({
+    callerServer: ({ clock, forwarder, topics, journal }) =>
+        new CallerServer({
             clock,
             handle: (request, reply) => forwarder.handle(request, reply),
             getLimits: () => topics.getRoutes()?.limits,
@@ -209,16 +212,16 @@
                 journal.write(events.requestCrashed, { request, cause });
             },
         }),
-    siteFace: parts => {
-        const { settings, liveSettings, topics, membership, directory, departure } = parts;
-        return new SiteFace({
-            isReady: () => topics.getRoutes() !== undefined && !departure.hasBegun,
+    siteServer: parts => {
+        const { settings, liveSettings, topics, membership, directory, shutdown } = parts;
+        return new SiteServer({
+            isReady: () => topics.getRoutes() !== undefined && !shutdown.hasStarted,
             getAddresses: failureDomain =>
                 chooseAddresses(membership.getPresumed(), failureDomain).map(member => {
                     const port = directory.getCallerPort(member.id) ?? settings.listen.callers.port;
                     return `${member.address}:${port}`;
                 }),
-            getKeepSeconds: () => liveSettings.get().bounds.addressKeepSeconds,
+            getAddressTtlSeconds: () => liveSettings.get().bounds.addressKeepSeconds,
             getMetrics: () => readMetrics(parts),
         });
     },
@@ -271,9 +274,14 @@
  */
 function addEvidence(rollouts: Rollouts, { exchange, upstream, model, outcome, headMilliseconds }: EndedAttempt): void {
     if (outcome === "ok" || outcome === "error") {
-        const lane = `${exchange.route.name} ${model ?? ""}`;
+        const segment = `${exchange.route.name} ${model ?? ""}`;
         const { objectiveMilliseconds } = exchange.route;
-        rollouts.addAnswer(upstream, { lane, hasFailed: outcome === "error", headMilliseconds, objectiveMilliseconds });
+        rollouts.addAnswer(upstream, {
+            segment,
+            hasFailed: outcome === "error",
+            headMilliseconds,
+            objectiveMilliseconds,
+        });
     }
 }
 
@@ -287,22 +295,23 @@
         sessionMilliseconds: settings.bounds.sessionMilliseconds,
         getRank: () => membership.getAlive().filter(member => member.id < self.id).length,
         getMemberCount: () => membership.getMembers().length,
-        publishEvidence: (pool, value) => gossip.set(`${evidenceKey}${pool}`, value),
+        publishEvidence: (pool, value) => gossip.set(`${evidenceKeyPrefix}${pool}`, value),
         getEvidence: pool => getPeerReports(gossip, self.id, pool),
-        publishHalt: (pool, order) => gossip.set(`${haltKey}${pool}`, Buffer.from(String(order)), { urgent: true }),
+        publishHalt: (pool, order) =>
+            gossip.set(`${haltKeyPrefix}${pool}`, Buffer.from(String(order)), { urgent: true }),
         writeProgress: (order, progress) => writer.writeProgress(order, progress),
         writePins: (pool, report) => writer.writePins(pool, report),
     });
     gossip.onUpdate((...[, key, value]) => {
-        if (key.startsWith(haltKey) && value !== undefined) {
-            rollouts.setHalted(key.slice(haltKey.length), Number(value.toString()));
+        if (key.startsWith(haltKeyPrefix) && value !== undefined) {
+            rollouts.setHalted(key.slice(haltKeyPrefix.length), Number(value.toString()));
         }
     });
     return rollouts;
 }
 
 function* getPeerReports(gossip: Gossip, self: string, pool: string): Iterable<PeerReport> {
-    for (const { origin, value } of gossip.getAll(`${evidenceKey}${pool}`)) {
+    for (const { origin, value } of gossip.getAll(`${evidenceKeyPrefix}${pool}`)) {
         if (origin !== self) {
             yield { origin, value };
         }
--- a/src/platform/nodeSettings.ts
+++ b/src/platform/nodeSettings.ts
@@ -110,7 +110,7 @@
     }),
 });
 
-const second = 1_000;
+const millisecondsPerSecond = 1_000;
 
 /**
  * Parses settings.
@@ -126,7 +126,7 @@
     const parsed = settingsSchema.safeParse(raw);
     if (!parsed.success || document.mistakes.length > 0) {
         const issues = parsed.error?.issues ?? [];
-        return err([...document.mistakes, ...issues.map(issue => toMistake(issue, document, file))]);
+        return err([...document.mistakes, ...issues.map(issue => toValidationError(issue, document, file))]);
     }
     const { node, listen, peers, store, bounds } = parsed.data;
     return ok({
@@ -141,19 +141,19 @@
             configurationMilliseconds: bounds.config_apply_ms,
             revocationMilliseconds: bounds.revoke_ms,
             drainMilliseconds: bounds.drain_ms,
-            stopMilliseconds: bounds.stop_grace_s * second,
+            stopMilliseconds: bounds.stop_grace_s * millisecondsPerSecond,
             retryRatio: bounds.retry_ratio,
-            retryWindowMilliseconds: bounds.retry_window_s * second,
+            retryWindowMilliseconds: bounds.retry_window_s * millisecondsPerSecond,
             retryExtra: bounds.retry_extra,
             exposureShare: bounds.exposure_share,
             exposureExtra: bounds.exposure_extra,
-            sessionMilliseconds: bounds.session_s * second,
+            sessionMilliseconds: bounds.session_s * millisecondsPerSecond,
             addressKeepSeconds: bounds.address_keep_s,
         },
     });
 }
 
-function toMistake(issue: z.core.$ZodIssue, document: ReturnType<typeof parseDocument>, file: string): Mistake {
+function toValidationError(issue: z.core.$ZodIssue, document: ReturnType<typeof parseDocument>, file: string): Mistake {
     const [section, key] = issue.path.map(String);
     const found = document.sections.get(section ?? "");
     return {
--- a/src/platform/platformTopics.ts
+++ b/src/platform/platformTopics.ts
@@ -26,40 +26,40 @@
  * An empty answer after this time confirms that nothing is newer. Keys need that every few seconds; and a node that no longer
  * hears anything must know it soon enough to read for itself before a change is due.
  */
-const mostConfirmMilliseconds = 1_000;
+const maxConfirmationMilliseconds = 1_000;
 /** Part of the tightest bound after which an empty answer is due, and after which a state that nobody confirmed is old. */
-const confirmShare = 0.25;
+const confirmationShare = 0.25;
 const staleShare = 0.85;
 /** Who is a member, and how far a roll-out has come, may be a little older. */
 const statusWaitMilliseconds = 2_000;
 /** A status that was not confirmed for so long has to be read elsewhere, in milliseconds. */
 const statusStaleMilliseconds = 5_000;
 /** How long a node that has just started waits to learn who its peers are before it asks the store for changes, in milliseconds. */
-const peersMilliseconds = 500;
+const peerDiscoveryTimeoutMilliseconds = 500;
 /**
  * Part of the time in which a configuration must be in force that callers of a node that has just started wait for the first read.
  * The store answers in 4 ms, and in 240 ms when it is sixty times slower; without an answer by then it is away, and callers are
  * refused at once.
  */
-const firstReadShare = 0.2;
+const firstReadTimeoutShare = 0.2;
 /** Entries lapse after three heartbeats of 1.2 s in silence; an outage that was shorter lets none lapse, in milliseconds. */
 const outageMilliseconds = 3_000;
 /**
  * Until so long after an outage of the store, entries that vanish may only have lapsed, in milliseconds: upstreams that live are
  * registered again within two seconds of its return, and one that is still missing then is gone.
  */
-const lapseMilliseconds = 2_000;
+const expiryGraceMilliseconds = 2_000;
 /**
  * A change costs a read at every node, so they wait for more changes after one, longer in larger sites: 0.27 s with 90 nodes.
  * Bounded by a tenth of the time in which a configuration has to be in force at the sites that are known, 3 s.
  */
-const pauseMillisecondsByNode = 3;
-const mostPauseMilliseconds = 300;
+const pauseMillisecondsPerNode = 3;
+const maxPauseMilliseconds = 300;
 
 /** What topics are followed with. */
 export interface PlatformTopicsOptions {
     readonly liveSettings: LiveSettings;
-    readonly beliefClock: Clock;
+    readonly suspensionClock: Clock;
     readonly journal: Journal;
     readonly store: StoreClient;
     readonly writer: StatusWriter;
@@ -88,33 +88,33 @@
     constructor(options: PlatformTopicsOptions) {
         this.#options = options;
         this.#writer = options.writer;
-        const { self, membership, peerClient, beliefClock, liveSettings } = options;
+        const { self, membership, peerClient, suspensionClock, liveSettings } = options;
         this.#sources = new TopicSources({
             self,
             membership,
             peerClient,
-            clock: beliefClock,
+            clock: suspensionClock,
             getSeeds: () => liveSettings.get().seeds,
         });
         const { configurationMilliseconds, drainMilliseconds } = options.liveSettings.get().bounds;
-        const tightest = Math.min(configurationMilliseconds, drainMilliseconds);
-        const quick = {
-            waitMilliseconds: Math.min(mostConfirmMilliseconds, tightest * confirmShare),
-            staleMilliseconds: tightest * staleShare,
+        const minBoundMilliseconds = Math.min(configurationMilliseconds, drainMilliseconds);
+        const operatorTiming = {
+            waitMilliseconds: Math.min(maxConfirmationMilliseconds, minBoundMilliseconds * confirmationShare),
+            staleMilliseconds: minBoundMilliseconds * staleShare,
         };
-        const slow = { waitMilliseconds: statusWaitMilliseconds, staleMilliseconds: statusStaleMilliseconds };
-        const waitForPeers = (): Promise<void> => this.#status.waitLoaded(peersMilliseconds);
+        const statusTiming = { waitMilliseconds: statusWaitMilliseconds, staleMilliseconds: statusStaleMilliseconds };
+        const waitForPeers = (): Promise<void> => this.#status.waitLoaded(peerDiscoveryTimeoutMilliseconds);
         this.#operator = this.#createFollower(
             topics.operator,
-            { ...quick, waitForPeers },
-            changed => this.#takeOrders(changed),
+            { ...operatorTiming, waitForPeers },
+            changed => this.#applyOperatorRecords(changed),
         );
         this.#upstreams = this.#createFollower(
             topics.upstreams,
-            { ...quick, waitForPeers },
-            changed => this.#takeUpstreams(changed),
+            { ...operatorTiming, waitForPeers },
+            changed => this.#applyUpstreams(changed),
         );
-        this.#status = this.#createFollower(topics.status, slow, changed => this.#takeStatus(changed));
+        this.#status = this.#createFollower(topics.status, statusTiming, changed => this.#applyStatus(changed));
         this.#followers.set(topics.operator, this.#operator);
         this.#followers.set(topics.upstreams, this.#upstreams);
         this.#followers.set(topics.status, this.#status);
@@ -122,7 +122,7 @@
 
     /** Begins to follow, and announces this node. */
     start(): void {
-        this.#startedAt = this.#options.beliefClock.monotonic();
+        this.#startedAt = this.#options.suspensionClock.monotonic();
         this.#operator.start();
         this.#upstreams.start();
         this.#status.start();
@@ -135,14 +135,15 @@
      * have left.
      * @returns Undefined when there is nothing to wait for.
      */
-    waitFirstRead(): Promise<unknown> | undefined {
-        const elapsed = this.#options.beliefClock.monotonic() - this.#startedAt;
-        const left = this.#options.liveSettings.get().bounds.configurationMilliseconds * firstReadShare - elapsed;
+    waitForFirstRead(): Promise<unknown> | undefined {
+        const elapsed = this.#options.suspensionClock.monotonic() - this.#startedAt;
+        const remainingMilliseconds =
+            this.#options.liveSettings.get().bounds.configurationMilliseconds * firstReadTimeoutShare - elapsed;
         const followers = [this.#operator, this.#upstreams, this.#status];
-        if (left <= 0 || followers.every(follower => follower.state.isLoaded())) {
+        if (remainingMilliseconds <= 0 || followers.every(follower => follower.state.isLoaded())) {
             return undefined;
         }
-        return Promise.all(followers.map(follower => follower.waitLoaded(left)));
+        return Promise.all(followers.map(follower => follower.waitLoaded(remainingMilliseconds)));
     }
 
     /** Ends following. */
@@ -177,19 +178,19 @@
         if (follower === undefined) {
             throw new Error(`The topic ${request.stream} is not followed here.`);
         }
-        return answerPeer(follower, request, this.#options.beliefClock);
+        return answerPeer(follower, request, this.#options.suspensionClock);
     }
 
     #createFollower(
         topic: string,
-        following: Pick<TopicFollowerOptions, "waitMilliseconds" | "staleMilliseconds" | "waitForPeers">,
+        timing: Pick<TopicFollowerOptions, "waitMilliseconds" | "staleMilliseconds" | "waitForPeers">,
         onChanges: (changed: readonly KeyedRecord[]) => void,
     ): TopicFollower {
-        const { beliefClock, journal, store } = this.#options;
+        const { suspensionClock, journal, store } = this.#options;
         const storeReader = store.createReader(topic);
         return new TopicFollower({
             name: topic,
-            clock: beliefClock,
+            clock: suspensionClock,
             journal,
             pickReader: detours => {
                 const isLoaded = this.#followers.get(topic)?.state.isLoaded() === true;
@@ -198,23 +199,23 @@
             onChanges,
             outageMilliseconds,
             getPause: () =>
-                Math.min(mostPauseMilliseconds, pauseMillisecondsByNode * this.#options.membership.getMembers().length),
-            ...following,
+                Math.min(maxPauseMilliseconds, pauseMillisecondsPerNode * this.#options.membership.getMembers().length),
+            ...timing,
         });
     }
 
-    #takeOrders(changed: readonly KeyedRecord[]): void {
+    #applyOperatorRecords(changed: readonly KeyedRecord[]): void {
         for (const { key, value, offset } of changed) {
             if (key === recordKeys.configuration && value !== undefined) {
-                this.#takeConfiguration(value);
+                this.#applyConfiguration(value);
             }
             else if (key.startsWith(recordKeys.rolloutPrefix) && value !== undefined) {
-                this.#takeOrder(key, value, offset);
+                this.#applyRolloutOrder(key, value, offset);
             }
         }
     }
 
-    #takeConfiguration(value: Buffer): void {
+    #applyConfiguration(value: Buffer): void {
         const { journal } = this.#options;
         const decoded = decodeConfiguration(value);
         if (decoded.isErr()) {
@@ -234,7 +235,7 @@
         }
     }
 
-    #takeOrder(key: string, value: Buffer, offset: number): void {
+    #applyRolloutOrder(key: string, value: Buffer, offset: number): void {
         const { journal, getRollouts } = this.#options;
         decodeRolloutOrder(value, offset).match(
             order => getRollouts().setOrder(order),
@@ -242,12 +243,12 @@
         );
     }
 
-    #takeUpstreams(changed: readonly KeyedRecord[]): void {
+    #applyUpstreams(changed: readonly KeyedRecord[]): void {
         const { registry, journal } = this.#options;
         for (const { key, value } of changed) {
             const upstream = value === undefined ? undefined : decodeUpstream(key, value);
             if (upstream === undefined) {
-                registry.remove(key, value === undefined ? this.#getLapseGrace() : 0);
+                registry.remove(key, value === undefined ? this.#getExpiryGrace() : 0);
             }
             else {
                 registry.set(upstream);
@@ -267,11 +268,11 @@
     }
 
     /** Counted from the outage's end: counted from when an entry vanished, one that left then would get work for too long. */
-    #getLapseGrace(): number {
-        return Math.max(0, lapseMilliseconds - this.#upstreams.getTimeSinceOutage());
+    #getExpiryGrace(): number {
+        return Math.max(0, expiryGraceMilliseconds - this.#upstreams.getTimeSinceOutage());
     }
 
-    #takeStatus(changed: readonly KeyedRecord[]): void {
+    #applyStatus(changed: readonly KeyedRecord[]): void {
         const { directory, journal } = this.#options;
         const members: [string, Buffer | undefined][] = [];
         for (const { key, value } of changed) {
@@ -279,10 +280,10 @@
                 members.push([key.slice(recordKeys.memberPrefix.length), value]);
             }
             else if (key.startsWith(recordKeys.progressPrefix) && value !== undefined) {
-                this.#takeProgress(key, value);
+                this.#applyProgress(key, value);
             }
             else if (key.startsWith(recordKeys.pinsPrefix) && value !== undefined) {
-                this.#takePins(key, value);
+                this.#applyPins(key, value);
             }
         }
         for (const id of directory.apply(members)) {
@@ -290,7 +291,7 @@
         }
     }
 
-    #takeProgress(key: string, value: Buffer): void {
+    #applyProgress(key: string, value: Buffer): void {
         const { getRollouts, journal } = this.#options;
         decodeProgress(value).match(
             progress => getRollouts().setProgress(key.slice(recordKeys.progressPrefix.length), progress),
@@ -298,7 +299,7 @@
         );
     }
 
-    #takePins(key: string, value: Buffer): void {
+    #applyPins(key: string, value: Buffer): void {
         const { getRollouts, journal } = this.#options;
         const [node, ...pool] = key.slice(recordKeys.pinsPrefix.length).split("/");
         decodePinReport(value).match(
--- a/src/platform/program.ts
+++ b/src/platform/program.ts
@@ -32,8 +32,8 @@
     }
     const parsed = parseNodeSettings(readFileSync(file, "utf8"), file);
     if (parsed.isErr()) {
-        for (const mistake of parsed.error) {
-            console.error(formatMistake(mistake));
+        for (const validationError of parsed.error) {
+            console.error(formatMistake(validationError));
         }
         process.exit(exitCodes.badInput);
     }
--- a/src/platform/siteFace.ts
+++ b/src/platform/siteServer.ts
@@ -6,7 +6,7 @@
 import { servedPaths } from "./wire.js";
 
 /** What the answers are made from. */
-export interface SiteFaceOptions {
+export interface SiteServerOptions {
     readonly isReady: () => boolean;
     /**
      * Returns the addresses that a caller of a failure domain should use, `HOST:PORT`.
@@ -14,17 +14,17 @@
      */
     readonly getAddresses: (failureDomain: string | undefined) => readonly string[];
     /** Returns how long callers may keep addresses. */
-    readonly getKeepSeconds: () => number;
+    readonly getAddressTtlSeconds: () => number;
     /** Returns the metrics as text, and their content type. */
     readonly getMetrics: () => Promise<{ readonly type: string; readonly text: string; }>;
 }
 
 /** Serves on any number of addresses. */
-export class SiteFace {
+export class SiteServer {
     readonly #app = new Koa();
     readonly #servers: Server[] = [];
 
-    constructor(options: SiteFaceOptions) {
+    constructor(options: SiteServerOptions) {
         this.#app.use(async context => {
             switch (context.path) {
                 case servedPaths.ready:
@@ -63,7 +63,7 @@
     }
 }
 
-function answerAddresses(context: Koa.Context, options: SiteFaceOptions): void {
+function answerAddresses(context: Koa.Context, options: SiteServerOptions): void {
     const zone = context.query.zone;
     const addresses = options.getAddresses(typeof zone === "string" ? zone : undefined);
     if (addresses.length === 0) {
@@ -71,5 +71,5 @@
         context.body = { error: "unavailable" };
         return;
     }
-    context.body = { addresses, ttl_s: options.getKeepSeconds() };
+    context.body = { addresses, ttl_s: options.getAddressTtlSeconds() };
 }
--- a/src/platform/statusWriter.ts
+++ b/src/platform/statusWriter.ts
@@ -10,7 +10,7 @@
 import type { StoreClient } from "./storeClient.js";
 import { recordKeys, topics } from "./wire.js";
 
-const appendPauseMilliseconds = 500;
+const appendRetryDelayMilliseconds = 500;
 
 /** What is written with. */
 export interface StatusWriterOptions {
@@ -58,8 +58,12 @@
             { key: `${recordKeys.progressPrefix}${order.pool}`, value: Buffer.from(JSON.stringify(progress)) },
             { key: `${recordKeys.rolloutPrefix}${order.pool}`, value: encodeRolloutStatus(order, progress) },
         ];
-        const turn = { matter: `${recordKeys.progressPrefix}${order.pool}`, epoch: order.id, number: progress.step };
-        const appended = await store.append(topics.status, records, turn);
+        const position = {
+            matter: `${recordKeys.progressPrefix}${order.pool}`,
+            epoch: order.id,
+            number: progress.step,
+        };
+        const appended = await store.append(topics.status, records, position);
         if (appended.isErr() || appended.value === "out-of-turn") {
             const cause = appended.isErr() ? appended.error.message : "another node is further";
             journal.write(events.rolloutWriteFailed, { rollout: order.pool, state: progress.state, cause });
@@ -85,7 +89,7 @@
                     return;
                 }
             }
-            await new Promise(resolve => setTimeout(resolve, appendPauseMilliseconds));
+            await new Promise(resolve => setTimeout(resolve, appendRetryDelayMilliseconds));
         }
     }
 }
--- a/src/platform/storeClient.ts
+++ b/src/platform/storeClient.ts
@@ -12,12 +12,12 @@
  * How long the store may take beyond a long poll's own wait, in milliseconds. It answers in 4 ms, and in 240 ms when it is
  * sixty times slower; a connection on which an answer was lost never brings one.
  */
-const answerMilliseconds = 600;
+const responseTimeoutMilliseconds = 600;
 /** Bytes of a length, and of the two offsets before the records of a read. */
 const lengthBytes = 4;
 const pageHeaderBytes = 16;
 /** Connections to the store: one for each topic that is followed, and some for appends. */
-const connections = 8;
+const maxConnections = 8;
 
 const newestSchema = z.object({
     entries: z.array(z.object({ key: z.string(), value: z.string(), offset: z.number() })),
@@ -25,7 +25,7 @@
     end_offset: z.number(),
 });
 const appendedSchema = z.object({ end_offset: z.number() });
-const turnedAwaySchema = z.object({ reason: z.string() });
+const rejectionSchema = z.object({ reason: z.string() });
 
 interface StoreResponse {
     readonly status: number;
@@ -36,7 +36,7 @@
 export type AppendOutcome = "appended" | "out-of-turn";
 
 /** The place of an append among others of the same matter; the store takes one append for each place. */
-export interface AppendTurn {
+export interface AppendPosition {
     /** Names the matter. */
     readonly matter: string;
     /** A later epoch begins the matter anew and shuts out earlier ones. */
@@ -57,9 +57,9 @@
     constructor(address: string, clock: Clock) {
         this.#clock = clock;
         this.#pool = new Pool(`http://${address}`, {
-            connections,
+            connections: maxConnections,
             pipelining: 1,
-            connectTimeout: answerMilliseconds,
+            connectTimeout: responseTimeoutMilliseconds,
             headersTimeout: 0,
             bodyTimeout: 0,
         });
@@ -86,20 +86,20 @@
      * Appends the newest records of some keys, all or none.
      * @param topic - The topic.
      * @param records - The keys and their values.
-     * @param turn - The append's place, if it must not be taken twice. The store answers a repeated place as it answered the first time
+     * @param position - The append's place, if it must not be taken twice. The store answers a repeated place as it answered the first time
      * and appends nothing, so whoever takes a turn reads the topic to learn what was appended.
      * @returns The outcome; a failure leaves it open whether the records were appended.
      */
     async append(
         topic: string,
         records: readonly { readonly key: string; readonly value: Buffer; }[],
-        turn?: AppendTurn,
+        position?: AppendPosition,
     ): Promise<Result<AppendOutcome, Failure>> {
         const query = new URLSearchParams({ topic, part: "0" });
-        if (turn !== undefined) {
-            query.set("producer", turn.matter);
-            query.set("epoch", String(turn.epoch));
-            query.set("seq_no", String(turn.number));
+        if (position !== undefined) {
+            query.set("producer", position.matter);
+            query.set("epoch", String(position.epoch));
+            query.set("seq_no", String(position.number));
         }
         const response = await this.#call(
             "POST",
@@ -115,7 +115,7 @@
             case 200:
                 return parseJson(body, appendedSchema).map(() => "appended");
             case 409:
-                return parseJson(body, turnedAwaySchema).map(() => "out-of-turn");
+                return parseJson(body, rejectionSchema).map(() => "out-of-turn");
             default:
                 return err(createStatusFailure(status));
         }
@@ -160,7 +160,7 @@
         }
         const { status, body } = response.value;
         if (status === 410) {
-            return err(createExpiredFailure(topic, from));
+            return err(createOffsetExpiredFailure(topic, from));
         }
         if (status !== 200) {
             return err(createStatusFailure(status));
@@ -175,13 +175,13 @@
         body?: Buffer,
     ): Promise<Result<StoreResponse, Failure>> {
         const controller = new AbortController();
-        const timer = setTimeout(() => controller.abort(), waitMilliseconds + answerMilliseconds);
+        const timer = setTimeout(() => controller.abort(), waitMilliseconds + responseTimeoutMilliseconds);
         try {
             const response = await this.#pool.request({ method, path, body, signal: controller.signal });
             return ok({ status: response.statusCode, body: Buffer.from(await response.body.arrayBuffer()) });
         }
         catch (cause) {
-            return err(createLostFailure(cause));
+            return err(createNoResponseFailure(cause));
         }
         finally {
             clearTimeout(timer);
@@ -208,7 +208,7 @@
  */
 export function decodePage(body: Buffer, from: number, confirmedAt: number): Result<TopicPage, Failure> {
     if (body.length < pageHeaderBytes) {
-        return err(createUnreadableFailure("the answer ends early"));
+        return err(createUnreadableResponseFailure("the answer ends early"));
     }
     const records: KeyedRecord[] = [];
     let position = pageHeaderBytes;
@@ -217,7 +217,7 @@
         const length = body.readUInt32BE(position);
         const record = body.subarray(position + lengthBytes, position + lengthBytes + length);
         if (record.length < length) {
-            return err(createUnreadableFailure("a record ends early"));
+            return err(createUnreadableResponseFailure("a record ends early"));
         }
         const keyEnd = 1 + (record[0] ?? 0);
         const value = record.subarray(keyEnd);
@@ -234,7 +234,7 @@
         return ok(schema.parse(JSON.parse(body.toString())));
     }
     catch (cause) {
-        return err(createUnreadableFailure(String(cause)));
+        return err(createUnreadableResponseFailure(String(cause)));
     }
 }
 
@@ -246,7 +246,7 @@
     });
 }
 
-function createExpiredFailure(topic: string, from: number): Failure {
+function createOffsetExpiredFailure(topic: string, from: number): Failure {
     return new Failure({
         kind: "gone",
         message: `Offset ${from} of the topic ${topic} has expired.`,
@@ -254,7 +254,7 @@
     });
 }
 
-function createLostFailure(cause: unknown): Failure {
+function createNoResponseFailure(cause: unknown): Failure {
     return new Failure({
         kind: "unavailable",
         message: "No whole answer came from the store.",
@@ -263,7 +263,7 @@
     });
 }
 
-function createUnreadableFailure(reason: string): Failure {
+function createUnreadableResponseFailure(reason: string): Failure {
     return new Failure({
         kind: "protocol",
         message: `The store's answer cannot be read: ${reason}.`,
--- a/src/platform/upstreamClient.ts
+++ b/src/platform/upstreamClient.ts
@@ -8,23 +8,23 @@
     ReportedLoad,
     UpstreamAnswer,
     UpstreamCall,
-    UpstreamCaller,
     UpstreamCallFailure,
+    UpstreamTransport,
 } from "../forwarding/index.js";
 import { provesNothingWritten } from "../upstream/index.js";
 import { findHeader, findNumber, pickAnswerHeaders } from "./headers.js";
 import { headerNames } from "./wire.js";
 
 /** A connection takes a millisecond or two; a machine that is away or cut off does not answer at all. */
-const connectMilliseconds = 400;
+const connectTimeoutMilliseconds = 400;
 /** Connections are dropped so long before the upstream says it would close them: a request that crosses the close is lost. */
 const keepAliveMarginMilliseconds = 1_000;
 /** How long an idle connection is kept when the upstream does not say, in milliseconds. */
-const keepAliveMilliseconds = 4_000;
-const longestKeepAliveMilliseconds = 15_000;
+const defaultKeepAliveMilliseconds = 4_000;
+const maxKeepAliveMilliseconds = 15_000;
 /** Statuses that promise that a request has not run; from an upstream they hold only with its own word for it. */
-const promisingStatuses: ReadonlySet<number> = new Set([408, 429, 503]);
-const misdirected = 421;
+const notExecutedStatuses: ReadonlySet<number> = new Set([408, 429, 503]);
+const misdirectedStatus = 421;
 
 /** Options of a client. */
 export interface UpstreamClientOptions {
@@ -37,16 +37,16 @@
  * complete, in milliseconds. The HTTP library ends such an answer in the same way whether its connection was closed or reset;
  * half a booking's confirmation would pass for a whole one.
  */
-const resetMilliseconds = 100;
+const resetWindowMilliseconds = 100;
 
 interface PooledUpstream {
     readonly upstream: RegisteredUpstream;
     readonly pool: Pool;
-    readonly resets: ResetWatch;
+    readonly resets: ResetTracker;
 }
 
 /** Remembers when a connection of an upstream was last reset. */
-class ResetWatch {
+class ResetTracker {
     #lastAt = Number.NEGATIVE_INFINITY;
 
     /** Notes a reset. */
@@ -56,12 +56,12 @@
 
     /** Tells whether there was a reset just now. */
     isRecent(): boolean {
-        return performance.now() - this.#lastAt < resetMilliseconds;
+        return performance.now() - this.#lastAt < resetWindowMilliseconds;
     }
 }
 
 /** Calls upstreams; keeps connections to each. */
-export class UpstreamClient implements UpstreamCaller {
+export class UpstreamClient implements UpstreamTransport {
     readonly #options: UpstreamClientOptions;
     readonly #pools = new Map<string, PooledUpstream>();
 
@@ -105,7 +105,7 @@
         const known = this.#pools.get(id);
         if (known !== undefined) {
             this.#pools.delete(id);
-            closeQuietly(known.pool);
+            closeIgnoringErrors(known.pool);
         }
     }
 
@@ -118,22 +118,22 @@
     }
 
     #getPool(upstream: RegisteredUpstream): PooledUpstream {
-        const known = this.#pools.get(upstream.id);
-        if (known !== undefined && known.upstream.address === upstream.address) {
-            return known;
+        const existing = this.#pools.get(upstream.id);
+        if (existing !== undefined && existing.upstream.address === upstream.address) {
+            return existing;
         }
-        if (known !== undefined) {
-            closeQuietly(known.pool);
+        if (existing !== undefined) {
+            closeIgnoringErrors(existing.pool);
         }
-        const resets = new ResetWatch();
+        const resets = new ResetTracker();
         const pool = new Pool(`http://${upstream.address}`, {
             connections: this.#options.getConnectionLimit(upstream.pool),
             pipelining: 1,
             connect: createConnector(resets),
             headersTimeout: 0,
             bodyTimeout: 0,
-            keepAliveTimeout: keepAliveMilliseconds,
-            keepAliveMaxTimeout: longestKeepAliveMilliseconds,
+            keepAliveTimeout: defaultKeepAliveMilliseconds,
+            keepAliveMaxTimeout: maxKeepAliveMilliseconds,
             keepAliveTimeoutThreshold: keepAliveMarginMilliseconds,
         });
         const pooled = { upstream, pool, resets };
@@ -143,8 +143,8 @@
 }
 
 /** Opens connections, and hears of their resets before the HTTP library does. */
-function createConnector(resets: ResetWatch): buildConnector.connector {
-    const connect = buildConnector({ timeout: connectMilliseconds });
+function createConnector(resets: ResetTracker): buildConnector.connector {
+    const connect = buildConnector({ timeout: connectTimeoutMilliseconds });
     return (options, callback) => {
         connect(options, (...[error, socket]) => {
             if (error) {
@@ -172,9 +172,9 @@
     if (workspace !== undefined) {
         headers.push(headerNames.workspace, workspace);
     }
-    const named = model ?? request.generation?.model;
-    if (named !== undefined) {
-        headers.push(headerNames.model, named);
+    const modelName = model ?? request.generation?.model;
+    if (modelName !== undefined) {
+        headers.push(headerNames.model, modelName);
     }
     if (request.generation !== undefined) {
         headers.push(headerNames.urgency, String(urgency));
@@ -188,12 +188,12 @@
 function readHead(
     response: Dispatcher.ResponseData,
     call: UpstreamCall,
-    resets: ResetWatch,
+    resets: ResetTracker,
 ): Result<UpstreamAnswer, UpstreamCallFailure> {
     const raw = response.headers as unknown as readonly string[];
     const load = readLoad(raw);
     const echoed = findHeader(raw, headerNames.requestId);
-    const refuse = (kind: UpstreamCallFailure["kind"], reason: string): Result<never, UpstreamCallFailure> => {
+    const fail = (kind: UpstreamCallFailure["kind"], reason: string): Result<never, UpstreamCallFailure> => {
         discard(response);
         return err({ kind, reason, load });
     };
@@ -205,18 +205,18 @@
         response.body.destroy();
         return err({ kind: "broken", reason: "the answer belongs to another request" });
     }
-    if (response.statusCode === misdirected) {
-        return refuse("replaced", "another upstream has the address");
+    if (response.statusCode === misdirectedStatus) {
+        return fail("replaced", "another upstream has the address");
     }
     if (findHeader(raw, headerNames.notExecuted) !== undefined) {
-        return refuse("refused", `status ${response.statusCode}, not executed`);
+        return fail("refused", `status ${response.statusCode}, not executed`);
     }
-    if (promisingStatuses.has(response.statusCode)) {
-        return refuse("broken", `status ${response.statusCode} without a word on whether it ran`);
+    if (notExecutedStatuses.has(response.statusCode)) {
+        return fail("broken", `status ${response.statusCode} without a word on whether it ran`);
     }
     const isSealed = findHeader(raw, headerNames.seal) !== undefined;
     if (!isSealed && response.statusCode < 300) {
-        return refuse("broken", "a success that the upstream does not vouch for");
+        return fail("broken", "a success that the upstream does not vouch for");
     }
     return ok({
         status: response.statusCode,
@@ -235,7 +235,7 @@
 }
 
 /** Reads a body that ends with its connection; throws when the connection was reset. */
-async function* readUnframed(body: AsyncIterable<Buffer>, resets: ResetWatch): AsyncGenerator<Buffer> {
+async function* readUnframed(body: AsyncIterable<Buffer>, resets: ResetTracker): AsyncGenerator<Buffer> {
     yield* body;
     if (resets.isRecent()) {
         throw new Error("The connection was reset before the end of an answer without a length.");
@@ -259,7 +259,7 @@
 }
 
 /** Ends idle connections now and the others when their answers end. */
-function closeQuietly(pool: Pool): void {
+function closeIgnoringErrors(pool: Pool): void {
     pool.close().catch(() => {
         // Nothing waits for a pool that is let go.
     });
--- a/src/rollouts/versionGate.ts
+++ b/src/rollouts/chooseVersion.ts
@@ -4,7 +4,7 @@
 import { isFirstStep, type RolloutOrder, type RolloutProgress } from "./rollout.js";
 
 /** What a choice rests on. */
-export interface GateOptions {
+export interface VersionChoiceOptions {
     readonly order: RolloutOrder;
     readonly progress: RolloutProgress | undefined;
     readonly isHalted: boolean;
@@ -22,7 +22,7 @@
  * session's rank never changes, so nobody moves back; and while sessions are not to be moved yet, pinned ones stay.
  * @param options - What the choice rests on.
  */
-export function chooseVersion(options: GateOptions): VersionChoice {
+export function chooseVersion(options: VersionChoiceOptions): VersionChoice {
     const { order, progress, isHalted, sessionRank, isPinned } = options;
     if (progress?.order !== order.id || progress.state === "reverted" || isHalted) {
         return "current";
--- a/src/rollouts/judgeRollout.ts
+++ b/src/rollouts/evaluateRollout.ts
@@ -1,23 +1,23 @@
 /**
  * Whether a new version is worse than the old one, by how both answered at the same time.
  */
-import type { EvidenceCounts, LaneCounts, VersionCounts } from "./rolloutEvidence.js";
+import type { EvidenceCounts, SegmentCounts, VersionCounts } from "./rolloutEvidence.js";
 
 /** Why a version is bad. */
-export interface Verdict {
+export interface Regression {
     /** Kind of request in which it shows, or `all`. */
-    readonly lane: string;
+    readonly segment: string;
     readonly reason: "failures" | "slow";
     readonly candidate: number;
     readonly current: number;
 }
 
 /** Failures below this number may be chance or one bad upstream. */
-const leastFailures = 5;
+const minFailures = 5;
 /** A new version may fail so much more often than the old one, as a part of its answers. */
-const toleratedFailureShare = 0.12;
+const maxFailureShareIncrease = 0.12;
 /** Standard errors between the two versions' failure shares: false alarms in one of some thousand looks. */
-const failureErrors = 4.5;
+const failureStandardErrors = 4.5;
 /**
  * The old version is taken to have failed two of twenty answers besides what is known of it. When the new version serves
  * everything there is nothing to compare with, and a fault that shows under full load must still be found.
@@ -25,28 +25,28 @@
 const priorAnswers = 20;
 const priorFailures = 2;
 /** Answers with a time, of each version, before times are compared. */
-const leastTimed = 6;
+const minTimedAnswers = 6;
 /** A new version may take so many times as long, in the geometric mean. */
-const toleratedSlowness = 2.5;
-const slownessErrors = 4;
+const maxSlowdownRatio = 2.5;
+const slowdownStandardErrors = 4;
 
 /**
  * Judges a new version.
  * @param evidence - Counts of all nodes, by kind of request.
  * @returns Undefined while it shows nothing bad.
  */
-export function judgeRollout(evidence: EvidenceCounts): Verdict | undefined {
+export function evaluateRollout(evidence: EvidenceCounts): Regression | undefined {
     let current = emptyCounts;
     let candidate = emptyCounts;
-    for (const [lane, counts] of evidence) {
-        const verdict = judgeFailures(lane, counts) ?? judgeTimes(lane, counts);
-        if (verdict !== undefined) {
-            return verdict;
+    for (const [segment, counts] of evidence) {
+        const regression = compareFailures(segment, counts) ?? compareTimes(segment, counts);
+        if (regression !== undefined) {
+            return regression;
         }
         current = addFailures(current, counts.current);
         candidate = addFailures(candidate, counts.candidate);
     }
-    return judgeFailures("all", { current, candidate });
+    return compareFailures("all", { current, candidate });
 }
 
 const emptyCounts: VersionCounts = { answers: 0, failures: 0, timed: 0, logSum: 0, logSquares: 0 };
@@ -55,8 +55,8 @@
     return { ...sum, answers: sum.answers + counts.answers, failures: sum.failures + counts.failures };
 }
 
-function judgeFailures(lane: string, { current, candidate }: LaneCounts): Verdict | undefined {
-    if (candidate.failures < leastFailures) {
+function compareFailures(segment: string, { current, candidate }: SegmentCounts): Regression | undefined {
+    if (candidate.failures < minFailures) {
         return undefined;
     }
     const currentAnswers = current.answers + priorAnswers;
@@ -65,25 +65,25 @@
     const currentShare = currentFailures / currentAnswers;
     const difference = candidateShare - currentShare;
     const variance = currentShare * (1 - currentShare);
-    const error = Math.sqrt(variance * (1 / candidate.answers + 1 / currentAnswers));
-    if (difference < toleratedFailureShare || difference < failureErrors * error) {
+    const standardError = Math.sqrt(variance * (1 / candidate.answers + 1 / currentAnswers));
+    if (difference < maxFailureShareIncrease || difference < failureStandardErrors * standardError) {
         return undefined;
     }
-    return { lane, reason: "failures", candidate: candidateShare, current: currentShare };
+    return { segment, reason: "failures", candidate: candidateShare, current: currentShare };
 }
 
-function judgeTimes(lane: string, { current, candidate }: LaneCounts): Verdict | undefined {
-    if (candidate.timed < leastTimed || current.timed < leastTimed) {
+function compareTimes(segment: string, { current, candidate }: SegmentCounts): Regression | undefined {
+    if (candidate.timed < minTimedAnswers || current.timed < minTimedAnswers) {
         return undefined;
     }
     const candidateMean = candidate.logSum / candidate.timed;
     const currentMean = current.logSum / current.timed;
-    const error = Math.sqrt(getVariance(candidate) / candidate.timed + getVariance(current) / current.timed);
+    const standardError = Math.sqrt(getVariance(candidate) / candidate.timed + getVariance(current) / current.timed);
     const difference = candidateMean - currentMean;
-    if (difference < Math.log(toleratedSlowness) || difference < slownessErrors * error) {
+    if (difference < Math.log(maxSlowdownRatio) || difference < slowdownStandardErrors * standardError) {
         return undefined;
     }
-    return { lane, reason: "slow", candidate: Math.exp(candidateMean), current: Math.exp(currentMean) };
+    return { segment, reason: "slow", candidate: Math.exp(candidateMean), current: Math.exp(currentMean) };
 }
 
 function getVariance({ timed, logSum, logSquares }: VersionCounts): number {
--- a/src/rollouts/peerReports.ts
+++ b/src/rollouts/peerReports.ts
@@ -14,10 +14,10 @@
 export interface ReportTotal {
     /** Requests at work at upstreams of the old version. */
     readonly currentInFlight: number;
-    readonly lanes: EvidenceCounts;
+    readonly segments: EvidenceCounts;
 }
 
-interface ReadReport {
+interface DecodedReport {
     readonly value: Buffer;
     readonly report: EvidenceReport | undefined;
 }
@@ -29,7 +29,7 @@
 export class PeerReports {
     readonly #decode: (value: Buffer) => EvidenceReport | undefined;
     /** By origin. */
-    readonly #read = new Map<string, ReadReport>();
+    readonly #decoded = new Map<string, DecodedReport>();
 
     /** @param decode - Decodes a report; tests give another. */
     constructor(decode: (value: Buffer) => EvidenceReport | undefined = decodeReport) {
@@ -42,35 +42,35 @@
      * @param peers - The newest values of the other nodes. Origins that are not among them are forgotten.
      */
     getTotal(own: EvidenceReport, peers: Iterable<PeerReport>): ReportTotal {
-        const parts = [own.lanes];
+        const parts = [own.segments];
         let currentInFlight = own.currentInFlight;
         const listed = new Set<string>();
         for (const peer of peers) {
             listed.add(peer.origin);
             const report = this.#get(peer);
             if (report?.order === own.order) {
-                parts.push(report.lanes);
+                parts.push(report.segments);
                 currentInFlight += report.currentInFlight;
             }
         }
-        this.#retain(listed);
-        return { currentInFlight, lanes: addEvidence(parts) };
+        this.#removeUnlisted(listed);
+        return { currentInFlight, segments: addEvidence(parts) };
     }
 
     #get({ origin, value }: PeerReport): EvidenceReport | undefined {
-        const known = this.#read.get(origin);
+        const known = this.#decoded.get(origin);
         if (known?.value === value) {
             return known.report;
         }
         const report = this.#decode(value);
-        this.#read.set(origin, { value, report });
+        this.#decoded.set(origin, { value, report });
         return report;
     }
 
-    #retain(listed: ReadonlySet<string>): void {
-        for (const origin of this.#read.keys()) {
+    #removeUnlisted(listed: ReadonlySet<string>): void {
+        for (const origin of this.#decoded.keys()) {
             if (!listed.has(origin)) {
-                this.#read.delete(origin);
+                this.#decoded.delete(origin);
             }
         }
     }
--- a/src/rollouts/pinnedSessions.ts
+++ b/src/rollouts/pinnedSessions.ts
@@ -10,7 +10,7 @@
     readonly ranks: readonly number[];
 }
 
-interface KnownReport {
+interface PinnedRanks {
     readonly order: number;
     readonly ranks: ReadonlySet<number>;
 }
@@ -22,8 +22,8 @@
 export class PinnedSessions {
     readonly #self: string;
     /** By the node that reported them. */
-    readonly #reports = new Map<string, KnownReport>();
-    #own: KnownReport = { order: Number.NaN, ranks: new Set() };
+    readonly #reports = new Map<string, PinnedRanks>();
+    #own: PinnedRanks = { order: Number.NaN, ranks: new Set() };
 
     /** @param self - This node. */
     constructor(self: string) {
@@ -79,6 +79,6 @@
     }
 }
 
-function contains(report: KnownReport, order: number, rank: number): boolean {
+function contains(report: PinnedRanks, order: number, rank: number): boolean {
     return report.order === order && report.ranks.has(rank);
 }
--- a/src/rollouts/orderedRollout.ts
+++ b/src/rollouts/poolRollout.ts
@@ -3,28 +3,28 @@
  */
 import { events } from "../events/index.js";
 import type { RegisteredUpstream } from "../fleet/index.js";
-import { judgeRollout } from "./judgeRollout.js";
+import { chooseVersion } from "./chooseVersion.js";
+import { evaluateRollout } from "./evaluateRollout.js";
 import { PeerReports, type ReportTotal } from "./peerReports.js";
 import { planRollout } from "./planRollout.js";
 import { getSessionRank, type PoolSessions } from "./poolSessions.js";
 import { isFirstStep, isOver, type RolloutOrder, type RolloutProgress } from "./rollout.js";
 import { encodeReport, type EvidenceAnswer, type EvidenceReport, RolloutEvidence } from "./rolloutEvidence.js";
 import type { RolloutsOptions } from "./rolloutsOptions.js";
-import { getTurnDelay, watchfulNodes } from "./stepTurn.js";
-import type { VersionDivision } from "./versionDivisions.js";
-import { chooseVersion } from "./versionGate.js";
+import { getTurnDelay, leadingNodeCount } from "./stepTurn.js";
+import type { VersionPartition } from "./versionPartitions.js";
 import type { VersionSelection } from "./versionSelection.js";
 
 /**
  * The first nodes by rank look at all reports at every tick; the others do at every fifth. A look costs each node work in proportion to
  * all nodes, and a node further back waits its turn for longer than that anyway.
  */
-const ticksBetweenLooks = 5;
+const ticksBetweenEvaluations = 5;
 /** An attempt to write is not repeated sooner, in milliseconds. */
-const writePauseMilliseconds = 1_000;
+const minWriteIntervalMilliseconds = 1_000;
 
 /** Handles one order. */
-export class OrderedRollout {
+export class PoolRollout {
     readonly order: RolloutOrder;
     readonly #options: RolloutsOptions;
     readonly #sessions: PoolSessions;
@@ -34,16 +34,16 @@
     readonly #inFlight = new Set<object>();
     /** Monotonic milliseconds of the order, as far as known. */
     #orderedAt: number;
-    #published: Buffer | undefined;
+    #publishedReport: Buffer | undefined;
     #progress: RolloutProgress | undefined;
     /** Monotonic milliseconds at which this node heard of the first progress. */
     #announcedAt: number | undefined;
     #isHalted = false;
     /** When the step that is due first was. */
     #dueSince: number | undefined;
-    #writtenAt = Number.NEGATIVE_INFINITY;
+    #lastWriteAt = Number.NEGATIVE_INFINITY;
     /** Number of the last step that this node wrote. */
-    #writtenStep = 0;
+    #lastWrittenStep = 0;
 
     /**
      * @param options - What all roll-outs are handled with.
@@ -64,7 +64,7 @@
 
     /** Takes in how far it has come. News that is no newer than what is known changes nothing. */
     setProgress(progress: RolloutProgress): void {
-        if (this.isOver() || this.#isOld(progress)) {
+        if (this.isOver() || this.#isOutdated(progress)) {
             return;
         }
         const { clock, journal } = this.#options;
@@ -72,23 +72,23 @@
         if (this.#progress === undefined && progress.step > 1) {
             // This node may have been started after the order. Otherwise its own clock is right, and the wall clock may have jumped.
             const elapsed = clock.wall() - progress.orderedAt;
-            const bounded = Math.min(Math.max(0, elapsed), this.order.durationMilliseconds);
-            this.#orderedAt = Math.min(this.#orderedAt, now - bounded);
+            const boundedElapsed = Math.min(Math.max(0, elapsed), this.order.durationMilliseconds);
+            this.#orderedAt = Math.min(this.#orderedAt, now - boundedElapsed);
         }
-        const isAnnouncement = this.#announcedAt === undefined;
+        const isFirstProgress = this.#announcedAt === undefined;
         this.#announcedAt ??= now;
         this.#progress = progress;
         this.#dueSince = undefined;
-        if (isAnnouncement && isFirstStep(progress)) {
-            this.#sessions.pinServed(this.order, progress.firstShare);
-            void this.#sessions.tellPins(this.order);
+        if (isFirstProgress && isFirstStep(progress)) {
+            this.#sessions.pinServedSessions(this.order, progress.firstShare);
+            void this.#sessions.reportPins(this.order);
         }
         const { state, share, version } = progress;
         journal.write(events.rolloutProgressed, { rollout: this.order.pool, version, state, share });
     }
 
     /** Nodes of an earlier release did not count steps; theirs are taken as they come. */
-    #isOld({ step }: RolloutProgress): boolean {
+    #isOutdated({ step }: RolloutProgress): boolean {
         return this.#progress !== undefined && step > 0 && step <= this.#progress.step;
     }
 
@@ -107,7 +107,7 @@
      * @param session - The session, or whatever identifies the request.
      * @param division - The pool's upstreams by version.
      */
-    select(session: string, { candidates, currents }: VersionDivision): VersionSelection {
+    select(session: string, { candidateUpstreams, currentUpstreams }: VersionPartition): VersionSelection {
         const progress = this.#progress;
         const sessionRank = getSessionRank(this.order, session);
         const isPinned = this.#sessions.isPinned(this.order, sessionRank);
@@ -116,10 +116,10 @@
             ? undefined
             : `${choice}: share ${progress?.share ?? 0}, rank ${sessionRank.toFixed(4)}${isPinned ? ", pinned" : ""}`;
         if (choice === "candidate") {
-            return { upstreams: candidates.length > 0 ? candidates : currents, reason };
+            return { upstreams: candidateUpstreams.length > 0 ? candidateUpstreams : currentUpstreams, reason };
         }
         const isBad = this.#isHalted || progress?.state === "reverted";
-        return { upstreams: currents.length > 0 || isBad ? currents : candidates, reason };
+        return { upstreams: currentUpstreams.length > 0 || isBad ? currentUpstreams : candidateUpstreams, reason };
     }
 
     /**
@@ -128,16 +128,16 @@
      * @param session - Its session; undefined when it belongs to none.
      * @returns Is to be called when it has ended.
      */
-    begin({ version }: RegisteredUpstream, session: string | undefined): () => void {
+    startRequest({ version }: RegisteredUpstream, session: string | undefined): () => void {
         if (version === this.order.version) {
             return () => {};
         }
         if (session !== undefined && this.#progress !== undefined && isFirstStep(this.#progress)) {
             this.#sessions.pin(this.order, this.#progress.firstShare, session);
         }
-        const work = {};
-        this.#inFlight.add(work);
-        return () => this.#inFlight.delete(work);
+        const requestToken = {};
+        this.#inFlight.add(requestToken);
+        return () => this.#inFlight.delete(requestToken);
     }
 
     /**
@@ -152,7 +152,7 @@
         const isCandidate = upstream.version === this.order.version;
         this.#evidence.add({ ...answer, isCandidate }, this.#options.clock.monotonic());
         if (isCandidate && answer.hasFailed) {
-            this.#judge(this.#getTotal(this.#createReport()));
+            this.#evaluate(this.#getTotal(this.#createReport()));
         }
     }
 
@@ -162,28 +162,28 @@
      */
     tick(ticks: number): void {
         if (this.#progress !== undefined && isFirstStep(this.#progress)) {
-            void this.#sessions.tellPins(this.order);
+            void this.#sessions.reportPins(this.order);
         }
         const own = this.#createReport();
         this.#publish(own);
         const rank = this.#options.getRank();
-        if (rank < watchfulNodes || ticks % ticksBetweenLooks === rank % ticksBetweenLooks) {
+        if (rank < leadingNodeCount || ticks % ticksBetweenEvaluations === rank % ticksBetweenEvaluations) {
             const total = this.#getTotal(own);
-            this.#judge(total);
+            this.#evaluate(total);
             this.#advance(total, rank);
         }
     }
 
     #createReport(): EvidenceReport {
-        const lanes = this.#evidence.getCounts(this.#options.clock.monotonic());
-        return { order: this.order.id, currentInFlight: this.#inFlight.size, lanes };
+        const segments = this.#evidence.getCounts(this.#options.clock.monotonic());
+        return { order: this.order.id, currentInFlight: this.#inFlight.size, segments };
     }
 
     /** What has not changed is not published again, or gossip would carry it to every node once more. */
     #publish(own: EvidenceReport): void {
         const value = encodeReport(own);
-        if (this.#published?.equals(value) !== true) {
-            this.#published = value;
+        if (this.#publishedReport?.equals(value) !== true) {
+            this.#publishedReport = value;
             this.#options.publishEvidence(this.order.pool, value);
         }
     }
@@ -192,16 +192,16 @@
         return this.#peerReports.getTotal(own, this.#options.getEvidence(this.order.pool));
     }
 
-    #judge({ lanes }: ReportTotal): void {
+    #evaluate({ segments }: ReportTotal): void {
         if (this.#isHalted) {
             return;
         }
-        const verdict = judgeRollout(lanes);
-        if (verdict === undefined) {
+        const regression = evaluateRollout(segments);
+        if (regression === undefined) {
             return;
         }
-        const { lane, reason, candidate, current } = verdict;
-        this.halt(`${reason} in ${lane}: ${candidate.toFixed(2)} against ${current.toFixed(2)}`);
+        const { segment, reason, candidate, current } = regression;
+        this.halt(`${reason} in ${segment}: ${candidate.toFixed(2)} against ${current.toFixed(2)}`);
         this.#options.publishHalt(this.order.pool, this.order.id);
     }
 
@@ -213,25 +213,25 @@
             return;
         }
         this.#dueSince ??= now;
-        const hasTakenLast = this.#progress !== undefined && this.#progress.step === this.#writtenStep;
-        const delay = getTurnDelay({ rank, hasTakenLast });
-        if (now - this.#dueSince < delay || now - this.#writtenAt < writePauseMilliseconds) {
+        const tookLastStep = this.#progress !== undefined && this.#progress.step === this.#lastWrittenStep;
+        const delay = getTurnDelay({ rank, tookLastStep });
+        if (now - this.#dueSince < delay || now - this.#lastWriteAt < minWriteIntervalMilliseconds) {
             return;
         }
-        this.#writtenAt = now;
-        this.#writtenStep = next.step;
+        this.#lastWriteAt = now;
+        this.#lastWrittenStep = next.step;
         void this.#options.writeProgress(this.order, next);
     }
 
     #plan({ currentInFlight }: ReportTotal, now: number): RolloutProgress | undefined {
         const { clock, registry, exposureShare, getMemberCount } = this.#options;
-        const upstreams = registry.getTaking(this.order.pool);
+        const upstreams = registry.getAvailable(this.order.pool);
         const candidates = upstreams.filter(upstream => upstream.version === this.order.version).length;
         return planRollout({
             order: this.order,
             progress: this.#progress,
             elapsedMilliseconds: now - this.#orderedAt,
-            announcedMilliseconds: this.#announcedAt === undefined ? 0 : now - this.#announcedAt,
+            announcementAgeMilliseconds: this.#announcedAt === undefined ? 0 : now - this.#announcedAt,
             isBad: this.#isHalted,
             candidates,
             currents: upstreams.length - candidates,
--- a/src/rollouts/poolSessions.ts
+++ b/src/rollouts/poolSessions.ts
@@ -4,11 +4,11 @@
 import type { Clock } from "../common/index.js";
 import { getUnitRank } from "../decisions/index.js";
 import { PinnedSessions, type PinReport } from "./pinnedSessions.js";
+import { RecentSessions } from "./recentSessions.js";
 import type { RolloutOrder } from "./rollout.js";
-import { SessionMemory } from "./sessionMemory.js";
 
 /** A report that could not be written is not tried again sooner, in milliseconds. */
-const retryPauseMilliseconds = 1_000;
+const retryDelayMilliseconds = 1_000;
 
 /** What a pool's sessions are kept with. */
 export interface PoolSessionsOptions {
@@ -29,27 +29,27 @@
 /** Keeps a pool's sessions. */
 export class PoolSessions {
     readonly #options: PoolSessionsOptions;
-    readonly #memory: SessionMemory;
+    readonly #recentSessions: RecentSessions;
     readonly #pins: PinnedSessions;
-    #hasUntoldPins = false;
+    #hasUnreportedPins = false;
     /** Whether a report is on its way; the next one must not overtake it. */
-    #isTelling = false;
+    #isReporting = false;
     #retryAt = Number.NEGATIVE_INFINITY;
 
     constructor(options: PoolSessionsOptions) {
         this.#options = options;
-        this.#memory = new SessionMemory(options.sessionMilliseconds);
+        this.#recentSessions = new RecentSessions(options.sessionMilliseconds);
         this.#pins = new PinnedSessions(options.self);
     }
 
     /** Notes that a request of a session goes to a version. */
-    begin(session: string, version: string): void {
-        this.#memory.begin(session, version, this.#options.clock.monotonic());
+    startRequest(session: string, version: string): void {
+        this.#recentSessions.startRequest(session, version, this.#options.clock.monotonic());
     }
 
     /** Notes that a request of a session has ended. */
-    end(session: string): void {
-        this.#memory.end(session, this.#options.clock.monotonic());
+    endRequest(session: string): void {
+        this.#recentSessions.endRequest(session, this.#options.clock.monotonic());
     }
 
     /** Takes in what is pinned at a node. */
@@ -66,30 +66,35 @@
     pin(order: RolloutOrder, firstShare: number, session: string): void {
         const rank = getSessionRank(order, session);
         if (rank < firstShare && this.#pins.add(order.id, rank)) {
-            this.#hasUntoldPins = true;
+            this.#hasUnreportedPins = true;
         }
     }
 
     /** Pins the sessions that the old version has served here lately, as far as the first step would take them. */
-    pinServed(order: RolloutOrder, firstShare: number): void {
-        for (const session of this.#memory.getOthers(order.version, this.#options.clock.monotonic())) {
+    pinServedSessions(order: RolloutOrder, firstShare: number): void {
+        for (
+            const session of this.#recentSessions.getSessionsOnOtherVersions(
+                order.version,
+                this.#options.clock.monotonic(),
+            )
+        ) {
             this.pin(order, firstShare, session);
         }
     }
 
     /** Tells the other nodes what is pinned here, unless they know it already. */
-    async tellPins(order: RolloutOrder): Promise<void> {
+    async reportPins(order: RolloutOrder): Promise<void> {
         const { clock, writePins } = this.#options;
-        if (!this.#hasUntoldPins || this.#isTelling || clock.monotonic() < this.#retryAt) {
+        if (!this.#hasUnreportedPins || this.#isReporting || clock.monotonic() < this.#retryAt) {
             return;
         }
-        this.#hasUntoldPins = false;
-        this.#isTelling = true;
+        this.#hasUnreportedPins = false;
+        this.#isReporting = true;
         const hasSucceeded = await writePins(this.#pins.getReport(order.id));
-        this.#isTelling = false;
+        this.#isReporting = false;
         if (!hasSucceeded) {
-            this.#hasUntoldPins = true;
-            this.#retryAt = clock.monotonic() + retryPauseMilliseconds;
+            this.#hasUnreportedPins = true;
+            this.#retryAt = clock.monotonic() + retryDelayMilliseconds;
         }
     }
 }
--- a/src/rollouts/rolloutEvidence.ts
+++ b/src/rollouts/rolloutEvidence.ts
@@ -5,13 +5,13 @@
 
 /** Evidence is kept for so many slices of this length: a version that turns bad late is not excused by its good start. */
 const sliceMilliseconds = 1_000;
-const slices = 6;
+const sliceCount = 6;
 
 /**
  * Times below this part of what callers are promised count as alike. As a ratio a millisecond more is much where answers take one, and
  * a good version would be taken back for a busy moment.
  */
-const unnoticedShare = 0.1;
+const latencyFloorShare = 0.1;
 
 /** Counts of one version. */
 export interface VersionCounts {
@@ -24,26 +24,26 @@
 }
 
 /** Counts of both versions for requests of one kind. */
-export interface LaneCounts {
+export interface SegmentCounts {
     readonly current: VersionCounts;
     readonly candidate: VersionCounts;
 }
 
 /** Counts by kind of request. */
-export type EvidenceCounts = ReadonlyMap<string, LaneCounts>;
+export type EvidenceCounts = ReadonlyMap<string, SegmentCounts>;
 
 /** What a node tells the others of a roll-out. */
 export interface EvidenceReport {
     readonly order: number;
     /** Requests of this node that are at work at upstreams of the old version. */
     readonly currentInFlight: number;
-    readonly lanes: EvidenceCounts;
+    readonly segments: EvidenceCounts;
 }
 
 /** One answer, as evidence. */
 export interface EvidenceAnswer {
     /** Kind of the request: answers are compared within it, since kinds differ in how long they take. */
-    readonly lane: string;
+    readonly segment: string;
     readonly isCandidate: boolean;
     readonly hasFailed: boolean;
     /** Time to the head of the answer, in milliseconds; undefined when there was none. */
@@ -52,12 +52,12 @@
     readonly objectiveMilliseconds: number;
 }
 
-const none: VersionCounts = { answers: 0, failures: 0, timed: 0, logSum: 0, logSquares: 0 };
-const noLane: LaneCounts = { current: none, candidate: none };
+const emptyCounts: VersionCounts = { answers: 0, failures: 0, timed: 0, logSum: 0, logSquares: 0 };
+const emptySegment: SegmentCounts = { current: emptyCounts, candidate: emptyCounts };
 
 interface Slice {
     readonly index: number;
-    readonly lanes: Map<string, LaneCounts>;
+    readonly segments: Map<string, SegmentCounts>;
 }
 
 /** Collects this node's evidence on one roll-out. */
@@ -70,10 +70,10 @@
      * @param now - Monotonic milliseconds.
      */
     add(answer: EvidenceAnswer, now: number): void {
-        const { lanes } = this.#getSlice(now);
-        const known = lanes.get(answer.lane) ?? noLane;
+        const { segments } = this.#getSlice(now);
+        const known = segments.get(answer.segment) ?? emptySegment;
         const counts = toCounts(answer);
-        lanes.set(answer.lane, {
+        segments.set(answer.segment, {
             current: answer.isCandidate ? known.current : addCounts(known.current, counts),
             candidate: answer.isCandidate ? addCounts(known.candidate, counts) : known.candidate,
         });
@@ -84,24 +84,24 @@
      * @param now - Monotonic milliseconds.
      */
     getCounts(now: number): EvidenceCounts {
-        this.#forgetOld(now);
-        return addEvidence(this.#slices.map(slice => slice.lanes));
+        this.#removeExpiredSlices(now);
+        return addEvidence(this.#slices.map(slice => slice.segments));
     }
 
     #getSlice(now: number): Slice {
         const index = Math.floor(now / sliceMilliseconds);
         let slice = this.#slices.at(-1);
         if (slice === undefined || slice.index !== index) {
-            slice = { index, lanes: new Map() };
+            slice = { index, segments: new Map() };
             this.#slices.push(slice);
-            this.#forgetOld(now);
+            this.#removeExpiredSlices(now);
         }
         return slice;
     }
 
-    #forgetOld(now: number): void {
-        const oldest = Math.floor(now / sliceMilliseconds) - slices;
-        while (this.#slices.length > 0 && this.#slices[0].index <= oldest) {
+    #removeExpiredSlices(now: number): void {
+        const lastExpiredIndex = Math.floor(now / sliceMilliseconds) - sliceCount;
+        while (this.#slices.length > 0 && this.#slices[0].index <= lastExpiredIndex) {
             this.#slices.shift();
         }
     }
@@ -109,11 +109,11 @@
 
 /** Adds up the evidence of several nodes or times. */
 export function addEvidence(parts: Iterable<EvidenceCounts>): EvidenceCounts {
-    const total = new Map<string, LaneCounts>();
+    const total = new Map<string, SegmentCounts>();
     for (const part of parts) {
-        for (const [lane, counts] of part) {
-            const known = total.get(lane) ?? noLane;
-            total.set(lane, {
+        for (const [segment, counts] of part) {
+            const known = total.get(segment) ?? emptySegment;
+            total.set(segment, {
                 current: addCounts(known.current, counts.current),
                 candidate: addCounts(known.candidate, counts.candidate),
             });
@@ -132,7 +132,7 @@
 /** Encodes a report for peers. */
 export function encodeReport(report: EvidenceReport): Buffer {
     const lanes = Array.from(
-        report.lanes,
+        report.segments,
         ([lane, { current, candidate }]) => [lane, encodeCounts(current), encodeCounts(candidate)],
     );
     return Buffer.from(JSON.stringify({ order: report.order, inFlight: report.currentInFlight, lanes }));
@@ -145,17 +145,17 @@
         return undefined;
     }
     const { order, inFlight, lanes } = parsed.data;
-    const decoded = new Map<string, LaneCounts>();
+    const decoded = new Map<string, SegmentCounts>();
     for (const [lane, current, candidate] of lanes) {
         decoded.set(lane, { current: decodeCounts(current), candidate: decodeCounts(candidate) });
     }
-    return { order, currentInFlight: inFlight, lanes: decoded };
+    return { order, currentInFlight: inFlight, segments: decoded };
 }
 
 function toCounts(answer: EvidenceAnswer): VersionCounts {
     const { headMilliseconds, objectiveMilliseconds } = answer;
-    const unnoticed = Math.max(1, objectiveMilliseconds * unnoticedShare);
-    const log = headMilliseconds === undefined ? 0 : Math.log(Math.max(unnoticed, headMilliseconds));
+    const floorMilliseconds = Math.max(1, objectiveMilliseconds * latencyFloorShare);
+    const log = headMilliseconds === undefined ? 0 : Math.log(Math.max(floorMilliseconds, headMilliseconds));
     return {
         answers: 1,
         failures: answer.hasFailed ? 1 : 0,
--- a/src/rollouts/rollouts.ts
+++ b/src/rollouts/rollouts.ts
@@ -6,13 +6,13 @@
  */
 import { events } from "../events/index.js";
 import type { RegisteredUpstream } from "../fleet/index.js";
-import { OrderedRollout } from "./orderedRollout.js";
 import type { PinReport } from "./pinnedSessions.js";
+import { PoolRollout } from "./poolRollout.js";
 import { PoolSessions } from "./poolSessions.js";
 import type { RolloutOrder, RolloutProgress } from "./rollout.js";
 import type { EvidenceAnswer } from "./rolloutEvidence.js";
 import type { RolloutsOptions } from "./rolloutsOptions.js";
-import { VersionDivisions } from "./versionDivisions.js";
+import { VersionPartitions } from "./versionPartitions.js";
 import type { VersionSelection } from "./versionSelection.js";
 
 const tickMilliseconds = 200;
@@ -21,14 +21,14 @@
 export class Rollouts {
     readonly #options: RolloutsOptions;
     /** By pool. */
-    readonly #rollouts = new Map<string, OrderedRollout>();
+    readonly #rollouts = new Map<string, PoolRollout>();
     /** By pool: progress of an order that this node has not heard of yet. */
-    readonly #waitingProgress = new Map<string, RolloutProgress>();
+    readonly #pendingProgress = new Map<string, RolloutProgress>();
     /** By pool: versions that serve nothing any more. A set that changes is another set. */
-    readonly #reverted = new Map<string, ReadonlySet<string>>();
+    readonly #revertedVersions = new Map<string, ReadonlySet<string>>();
     /** By pool. */
     readonly #sessions = new Map<string, PoolSessions>();
-    readonly #divisions = new VersionDivisions();
+    readonly #partitions = new VersionPartitions();
     #timer: NodeJS.Timeout | undefined;
     #ticks = 0;
 
@@ -53,29 +53,29 @@
         if (known !== undefined && known.order.id >= id) {
             return;
         }
-        this.#rollouts.set(pool, new OrderedRollout(this.#options, order, this.#getSessions(pool)));
-        this.#forgive(order);
+        this.#rollouts.set(pool, new PoolRollout(this.#options, order, this.#getSessions(pool)));
+        this.#clearReverted(order);
         this.#options.journal.write(events.rolloutOrdered, { rollout: pool, version, order: id });
-        const waiting = this.#waitingProgress.get(pool);
-        if (waiting !== undefined) {
-            this.setProgress(pool, waiting);
+        const pending = this.#pendingProgress.get(pool);
+        if (pending !== undefined) {
+            this.setProgress(pool, pending);
         }
     }
 
     /** A version that was reverted may be ordered again. */
-    #forgive({ pool, version }: RolloutOrder): void {
-        const left = [...this.#reverted.get(pool) ?? []].filter(reverted => reverted !== version);
-        this.#reverted.set(pool, new Set(left));
+    #clearReverted({ pool, version }: RolloutOrder): void {
+        const remaining = [...this.#revertedVersions.get(pool) ?? []].filter(reverted => reverted !== version);
+        this.#revertedVersions.set(pool, new Set(remaining));
     }
 
     /** Takes in how far a pool's roll-out has come. */
     setProgress(pool: string, progress: RolloutProgress): void {
         if (progress.state === "reverted") {
-            this.#reverted.set(pool, new Set([...this.#reverted.get(pool) ?? [], progress.version]));
+            this.#revertedVersions.set(pool, new Set([...this.#revertedVersions.get(pool) ?? [], progress.version]));
         }
         const rollout = this.#rollouts.get(pool);
         if (rollout === undefined || rollout.order.id !== progress.order) {
-            this.#waitingProgress.set(pool, progress);
+            this.#pendingProgress.set(pool, progress);
             return;
         }
         rollout.setProgress(progress);
@@ -102,11 +102,11 @@
      */
     select(pool: string, session: string, upstreams: readonly RegisteredUpstream[]): VersionSelection {
         const rollout = this.#rollouts.get(pool);
-        const division = this.#divisions.get(upstreams, {
-            reverted: this.#reverted.get(pool),
+        const partition = this.#partitions.get(upstreams, {
+            reverted: this.#revertedVersions.get(pool),
             candidate: rollout?.order.version,
         });
-        return rollout?.select(session, division) ?? { upstreams: division.sound, reason: undefined };
+        return rollout?.select(session, partition) ?? { upstreams: partition.eligible, reason: undefined };
     }
 
     /**
@@ -115,16 +115,16 @@
      * @param session - Its session; undefined when it belongs to none.
      * @returns Is to be called when it has ended.
      */
-    begin(upstream: RegisteredUpstream, session: string | undefined): () => void {
-        const endWork = this.#rollouts.get(upstream.pool)?.begin(upstream, session);
+    startRequest(upstream: RegisteredUpstream, session: string | undefined): () => void {
+        const endRolloutRequest = this.#rollouts.get(upstream.pool)?.startRequest(upstream, session);
         if (session === undefined) {
-            return () => endWork?.();
+            return () => endRolloutRequest?.();
         }
         const sessions = this.#getSessions(upstream.pool);
-        sessions.begin(session, upstream.version);
+        sessions.startRequest(session, upstream.version);
         return () => {
-            endWork?.();
-            sessions.end(session);
+            endRolloutRequest?.();
+            sessions.endRequest(session);
         };
     }
 
--- a/src/routing/pool.ts
+++ b/src/routing/pool.ts
@@ -13,7 +13,7 @@
 export interface Pool {
     readonly name: string;
     /** Connections that one upstream accepts from all callers together. */
-    readonly maximumConnections: number;
+    readonly maxConnections: number;
     /** Empty for plain services. */
     readonly models: readonly PricedModel[];
 }
--- a/src/routing/route.ts
+++ b/src/routing/route.ts
@@ -34,7 +34,7 @@
     readonly priority: number;
     readonly pools: readonly PoolShare[];
     /** Runners that one request may be sent to, at most. */
-    readonly maximumAttempts: number;
+    readonly maxAttempts: number;
     /** Whether requests need no API key. */
     readonly isPublic: boolean;
     /** Whether a broken stream may go on at another runner. */
--- a/src/upstream/engineClient.ts
+++ b/src/upstream/engineClient.ts
@@ -219,7 +219,7 @@
  * Returns a header that was sent once.
  * @param header - The header as the HTTP client shows it.
  */
-export function getSingle(header: string | string[] | undefined): string | undefined {
+export function getSingleHeader(header: string | string[] | undefined): string | undefined {
     return typeof header === "string" ? header : undefined;
 }
 
@@ -242,7 +242,7 @@
     }
     return ok({
         version,
-        loadHeader: getSingle(response.headers["x-load"]),
+        loadHeader: getSingleHeader(response.headers["x-load"]),
         events: readEvents(response.body, lastId),
     });
 }
--- a/src/upstream/engineOrders.ts
+++ b/src/upstream/engineOrders.ts
@@ -45,7 +45,7 @@
         return read.andThen(body => {
             const parsed = reportSchema.safeParse(body);
             if (!parsed.success) {
-                return err(createUnreadable(runner, parsed.error));
+                return err(createUnreadableFailure(runner, parsed.error));
             }
             const { versions, checksFencing, running, waiting, leaving } = parsed.data;
             return ok({ versions, checksFencing, isIdle: running + waiting === 0, isLeaving: leaving });
@@ -85,7 +85,7 @@
             }
             await response.body.dump();
             return response.statusCode === staleStatus && method === "POST"
-                ? err(createStale(runner))
+                ? err(createStaleFailure(runner))
                 : err(classifyRefusal(response.statusCode, runner.id).failure);
         }
         catch (error) {
@@ -94,7 +94,7 @@
     }
 }
 
-function createStale(runner: Vm): Failure {
+function createStaleFailure(runner: Vm): Failure {
     return new Failure({
         kind: "stale",
         message: `The engine ${runner.id} has seen a newer fencing number.`,
@@ -102,7 +102,7 @@
     });
 }
 
-function createUnreadable(runner: Vm, cause: unknown): Failure {
+function createUnreadableFailure(runner: Vm, cause: unknown): Failure {
     return new Failure({
         kind: "protocol",
         message: `The engine ${runner.id} reports its load in a form that cannot be read.`,
--- a/src/upstream/engineStream.ts
+++ b/src/upstream/engineStream.ts
@@ -31,32 +31,32 @@
  * @param lastId - Number of the last event already seen; 0 at the start.
  */
 export async function* readEvents(body: AsyncIterable<Uint8Array>, lastId: number): AsyncGenerator<EngineEvent> {
-    const ready: EngineEvent[] = [];
-    let newest = lastId;
+    const parsedEvents: EngineEvent[] = [];
+    let lastReadId = lastId;
     const parser = createParser({
         onEvent: event => {
-            const id = event.id === undefined ? newest + 1 : Number(event.id);
-            ready.push({ id, data: event.data });
+            const id = event.id === undefined ? lastReadId + 1 : Number(event.id);
+            parsedEvents.push({ id, data: event.data });
         },
     });
     const decoder = new TextDecoder();
     for await (const bytes of body) {
         parser.feed(decoder.decode(bytes, { stream: true }));
-        for (const event of ready.splice(0)) {
-            if (event.id <= newest) {
+        for (const event of parsedEvents.splice(0)) {
+            if (event.id <= lastReadId) {
                 continue;
             }
-            if (event.id !== newest + 1) {
-                throw createGapFailure(newest, event.id);
+            if (event.id !== lastReadId + 1) {
+                throw createGapFailure(lastReadId, event.id);
             }
-            newest = event.id;
+            lastReadId = event.id;
             yield event;
             if (event.data === endOfStream) {
                 return;
             }
         }
     }
-    throw createCutFailure(newest);
+    throw createTruncatedFailure(lastReadId);
 }
 
 /** The part of a chunk that tells the tokens used. */
@@ -87,18 +87,18 @@
     };
 }
 
-function createGapFailure(newest: number, found: number): Failure {
+function createGapFailure(lastReadId: number, found: number): Failure {
     return new Failure({
         kind: "protocol",
-        message: `The answer's stream jumps from event ${newest} to event ${found}.`,
+        message: `The answer's stream jumps from event ${lastReadId} to event ${found}.`,
         remedy: "Resume the stream after the last event in order.",
     });
 }
 
-function createCutFailure(newest: number): Failure {
+function createTruncatedFailure(lastReadId: number): Failure {
     return new Failure({
         kind: "upstream-failed",
-        message: `The answer's stream ended after event ${newest} without its end mark.`,
+        message: `The answer's stream ended after event ${lastReadId} without its end mark.`,
         remedy: "Resume the stream after that event.",
     });
 }
--- a/src/upstream/ratingClient.ts
+++ b/src/upstream/ratingClient.ts
@@ -51,12 +51,15 @@
         rating: RatingRequest,
         timeoutMilliseconds: number = this.#timeout,
     ): Promise<Result<number | undefined, Failure>> {
-        const rated = await this.#ask(rating, timeoutMilliseconds);
-        this.#failuresInRow = rated.isOk() ? 0 : this.#failuresInRow + 1;
-        return rated;
+        const result = await this.#requestRating(rating, timeoutMilliseconds);
+        this.#failuresInRow = result.isOk() ? 0 : this.#failuresInRow + 1;
+        return result;
     }
 
-    async #ask(rating: RatingRequest, timeoutMilliseconds: number): Promise<Result<number | undefined, Failure>> {
+    async #requestRating(
+        rating: RatingRequest,
+        timeoutMilliseconds: number,
+    ): Promise<Result<number | undefined, Failure>> {
         try {
             const response = await request(`${this.#url}/ratings`, {
                 method: "POST",
--- a/src/upstream/serviceClient.ts
+++ b/src/upstream/serviceClient.ts
@@ -6,7 +6,7 @@
 import { z } from "zod";
 import { Failure } from "../common/index.js";
 import type { Vm } from "../world/index.js";
-import { getOrigin, getSingle } from "./engineClient.js";
+import { getOrigin, getSingleHeader } from "./engineClient.js";
 import { classifyCallError, classifyRefusal, type UpstreamFailure } from "./upstreamFailure.js";
 
 /** A call to a plain service. */
@@ -32,7 +32,7 @@
 }
 
 /** Headers of an answer that are passed on to the caller. */
-const passedHeaders = ["content-type", "content-language", "location", "etag", "last-modified", "cache-control"];
+const forwardedHeaders = ["content-type", "content-language", "location", "etag", "last-modified", "cache-control"];
 
 const leavingStatus = 409;
 const leavingType = "leaving";
@@ -42,17 +42,17 @@
 export interface ServiceClientOptions {
     readonly dispatcher: Dispatcher;
     /** Largest answer that is passed on, in bytes. */
-    readonly maximumAnswerBytes: number;
+    readonly maxAnswerBytes: number;
 }
 
 /** Calls plain services. */
 export class ServiceClient {
     readonly #dispatcher: Dispatcher;
-    readonly #maximumAnswerBytes: number;
+    readonly #maxAnswerBytes: number;
 
     constructor(options: ServiceClientOptions) {
         this.#dispatcher = options.dispatcher;
-        this.#maximumAnswerBytes = options.maximumAnswerBytes;
+        this.#maxAnswerBytes = options.maxAnswerBytes;
     }
 
     /**
@@ -94,7 +94,7 @@
         let size = 0;
         for await (const part of response.body as AsyncIterable<Uint8Array>) {
             size += part.byteLength;
-            if (size > this.#maximumAnswerBytes) {
+            if (size > this.#maxAnswerBytes) {
                 response.body.destroy();
                 return err({ outcome: "ran", failure: this.#createTooLargeFailure(service) });
             }
@@ -104,14 +104,14 @@
             status: response.statusCode,
             headers: pickHeaders(response.headers),
             body: Buffer.concat(parts),
-            loadHeader: getSingle(response.headers["x-load"]),
+            loadHeader: getSingleHeader(response.headers["x-load"]),
         });
     }
 
     #createTooLargeFailure(service: Vm): Failure {
         return new Failure({
             kind: "upstream-failed",
-            message: `The answer of ${service.id} is larger than ${this.#maximumAnswerBytes} bytes.`,
+            message: `The answer of ${service.id} is larger than ${this.#maxAnswerBytes} bytes.`,
             remedy: "Ask the service for less, or raise the limit in the entry's settings.",
         });
     }
@@ -132,7 +132,7 @@
 
 function pickHeaders(headers: Readonly<Record<string, string | string[] | undefined>>): Record<string, string> {
     const picked: Record<string, string> = {};
-    for (const name of passedHeaders) {
+    for (const name of forwardedHeaders) {
         const value = headers[name];
         if (typeof value === "string") {
             picked[name] = value;
--- a/src/upstream/upstreamFailure.ts
+++ b/src/upstream/upstreamFailure.ts
@@ -51,13 +51,13 @@
  * @param retryAfterSeconds - Value of `Retry-After`, if sent.
  */
 export function classifyRefusal(status: number, upstream: string, retryAfterSeconds?: number): UpstreamFailure {
-    const refusedBeforeWork = status === 404 || status === 409 || status === 429 || status === 503;
+    const isRefusedBeforeWork = status === 404 || status === 409 || status === 429 || status === 503;
     return {
-        outcome: refusedBeforeWork ? "not-run" : "unknown",
+        outcome: isRefusedBeforeWork ? "not-run" : "unknown",
         failure: new Failure({
             kind: status === 429 || status === 503 ? "overloaded" : "upstream-failed",
             message: `The upstream ${upstream} answered with status ${status}.`,
-            remedy: refusedBeforeWork
+            remedy: isRefusedBeforeWork
                 ? "Send the request to another upstream."
                 : "Ask for its outcome before sending it again.",
             retryAfterMilliseconds: retryAfterSeconds === undefined ? undefined : retryAfterSeconds * 1000,
--- a/src/upstream/vmListClient.ts
+++ b/src/upstream/vmListClient.ts
@@ -39,7 +39,7 @@
     readonly #url: string;
     readonly #dispatcher: Dispatcher;
     readonly #timeout: number;
-    #last: TaggedList | undefined;
+    #cached: TaggedList | undefined;
 
     constructor(options: VmListClientOptions) {
         this.#url = options.url;
@@ -57,11 +57,11 @@
                 dispatcher: this.#dispatcher,
                 headersTimeout: this.#timeout,
                 bodyTimeout: this.#timeout,
-                headers: this.#last === undefined ? {} : { "if-none-match": this.#last.tag },
+                headers: this.#cached === undefined ? {} : { "if-none-match": this.#cached.tag },
             });
-            if (response.statusCode === 304 && this.#last !== undefined) {
+            if (response.statusCode === 304 && this.#cached !== undefined) {
                 await response.body.dump();
-                return ok(this.#last.vms);
+                return ok(this.#cached.vms);
             }
             if (response.statusCode !== 200) {
                 await response.body.dump();
@@ -73,7 +73,7 @@
             }
             const { vms } = parsed.data;
             const tag = response.headers.etag;
-            this.#last = typeof tag === "string" ? { tag, vms } : undefined;
+            this.#cached = typeof tag === "string" ? { tag, vms } : undefined;
             return ok(vms);
         }
         catch (error) {
