--- a/test/control/leaseFold.test.ts
+++ b/test/control/leaseFold.test.ts
@@ -35,7 +35,7 @@
         it("accepts the first take, with its offset as the fencing number", () => {
             const result = fold([["other", {}], take("a"), take("b")]);
             expect([result.get(lease)?.holder, result.get(lease)?.fence]).toEqual(["a", 1]);
-            expect(result.isCurrentFence(lease, 1)).toEqual(true);
+            expect(result.isCurrentFencingToken(lease, 1)).toEqual(true);
         });
 
         it("accepts the first of two takes that supersede the same record", () => {
@@ -54,7 +54,7 @@
         it("rejects a former holder's renewal and release", () => {
             const result = fold([take("a"), take("b", 0), renew(0), release(0)]);
             expect([result.get(lease)?.fence, result.get(lease)?.isReleased]).toEqual([1, false]);
-            expect(result.isCurrentFence(lease, 0)).toEqual(false);
+            expect(result.isCurrentFencingToken(lease, 0)).toEqual(false);
         });
 
         it("takes no renewal after a release", () => {
--- a/test/control/leaseHolder.test.ts
+++ b/test/control/leaseHolder.test.ts
@@ -13,7 +13,7 @@
     readonly holder: LeaseHolder;
     readonly fold: LeaseFold;
     readonly clock: ManualClock;
-    isCut: boolean;
+    isDisconnected: boolean;
 }
 
 /** Creates a node that wants the lease. It starts watching at once; `check` is called by the test. */
@@ -23,7 +23,7 @@
     const candidate: Candidate = {
         clock,
         fold,
-        isCut: false,
+        isDisconnected: false,
         holder: new LeaseHolder({
             name,
             holder: id,
@@ -52,7 +52,7 @@
     read(log, candidate);
 }
 
-async function createHeld(): Promise<{ log: MemoryLog; first: Candidate; second: Candidate; }> {
+async function createHeldLease(): Promise<{ log: MemoryLog; first: Candidate; second: Candidate; }> {
     const log = new MemoryLog();
     const [first, second] = ["a", "b"].map(id => createCandidate(log, id));
     await check(log, first);
@@ -69,12 +69,12 @@
 describe("LeaseHolder", () => {
     describe("check", () => {
         it("takes a free lease and renews it before its term ends", async () => {
-            const { log, first } = await createHeld();
-            expect(first.holder.getFence()).toEqual(0);
+            const { log, first } = await createHeldLease();
+            expect(first.holder.getFencingToken()).toEqual(0);
             for (let step = 0; step < 10; step += 1) {
                 advance(term / 2, first);
                 await check(log, first);
-                expect(first.holder.getFence()).toEqual(0);
+                expect(first.holder.getFencingToken()).toEqual(0);
             }
         });
 
@@ -83,40 +83,41 @@
             const candidates = ["a", "b"].map(id => createCandidate(log, id));
             await Promise.all(candidates.map(({ holder }) => holder.check()));
             read(log, ...candidates);
-            expect(candidates.map(({ holder }) => holder.getFence()).filter(fence => fence !== undefined)).toEqual([0]);
+            expect(candidates.map(({ holder }) => holder.getFencingToken()).filter(fence => fence !== undefined))
+                .toEqual([0]);
         });
 
         it("waits for the term and the drift before it takes another's lease", async () => {
-            const { log, first, second } = await createHeld();
+            const { log, first, second } = await createHeldLease();
             advance(term + drift, first, second);
             await check(log, second);
-            expect(second.holder.getFence()).toEqual(undefined);
+            expect(second.holder.getFencingToken()).toEqual(undefined);
             advance(1, first, second);
             await check(log, second);
-            expect(second.holder.getFence()).toEqual(1);
+            expect(second.holder.getFencingToken()).toEqual(1);
         });
 
         it("takes a lease that only a snapshot told of, after watching it", async () => {
-            const { log, first } = await createHeld();
+            const { log, first } = await createHeldLease();
             const fresh = createCandidate(log, "fresh");
             fresh.fold.restore(first.fold.getOffset(), first.fold.getSnapshot());
             await check(log, fresh);
             advance(term + drift + 1, fresh);
             await check(log, fresh);
-            expect(fresh.holder.getFence()).toEqual(1);
+            expect(fresh.holder.getFencingToken()).toEqual(1);
         });
 
         // The renewal was written, but its acknowledgement was lost. The holder reads it back and goes on; the other
         // one reads it too and waits.
         it("goes on when the acknowledgement of its renewal was lost", async () => {
-            const { log, first, second } = await createHeld();
+            const { log, first, second } = await createHeldLease();
             log.fate = () => "lost";
             advance(term / 2, first, second);
             await check(log, first);
             read(log, second);
             advance(term * 0.9, first, second);
             await second.holder.check();
-            expect(first.holder.getFence()).toEqual(0);
+            expect(first.holder.getFencingToken()).toEqual(0);
             expect(log.getEntries(name).length).toEqual(2);
         });
     });
@@ -125,51 +126,51 @@
         // The holder is paused past its term while another takes the lease. At its first look after waking it must not
         // believe that it still holds it, before it has read anything.
         it("is undefined for a holder that was paused past its term", async () => {
-            const { log, first, second } = await createHeld();
+            const { log, first, second } = await createHeldLease();
             advance(term + drift + 1, first, second);
-            expect(first.holder.getFence()).toEqual(undefined);
+            expect(first.holder.getFencingToken()).toEqual(undefined);
             await check(log, second);
-            expect(second.holder.getFence()).toEqual(1);
+            expect(second.holder.getFencingToken()).toEqual(1);
             await check(log, first);
-            expect(first.holder.getFence()).toEqual(undefined);
+            expect(first.holder.getFencingToken()).toEqual(undefined);
         });
 
         // The append takes longer than the term, or the holder is paused between sending it and reading it back. The
         // time since it was sent is gone: others have been waiting since they read it.
         it("counts from before the append", async () => {
-            const { log, first } = await createHeld();
+            const { log, first } = await createHeldLease();
             log.onAppended = () => first.clock.advance(term * 0.6);
             advance(term * 0.5, first);
             await check(log, first);
-            expect(first.holder.getFence()).toEqual(0);
+            expect(first.holder.getFencingToken()).toEqual(0);
             advance(term * 0.4, first);
-            expect(first.holder.getFence()).toEqual(undefined);
+            expect(first.holder.getFencingToken()).toEqual(undefined);
         });
 
         it("is undefined for everybody while the log is away, and one holds it afterwards", async () => {
-            const { log, first, second } = await createHeld();
+            const { log, first, second } = await createHeldLease();
             log.fate = () => "dropped";
             for (let step = 0; step < 40; step += 1) {
                 advance(term / 10, first, second);
                 await check(log, first);
                 await check(log, second);
             }
-            expect([first, second].map(({ holder }) => holder.getFence())).toEqual([undefined, undefined]);
+            expect([first, second].map(({ holder }) => holder.getFencingToken())).toEqual([undefined, undefined]);
             log.fate = () => "taken";
             await check(log, first);
             await check(log, second);
-            const held = [first, second].filter(({ holder }) => holder.getFence() !== undefined);
+            const held = [first, second].filter(({ holder }) => holder.getFencingToken() !== undefined);
             expect(held.length).toEqual(1);
         });
     });
 
     describe("stop", () => {
         it("frees the lease for the next at once", async () => {
-            const { log, first, second } = await createHeld();
+            const { log, first, second } = await createHeldLease();
             await first.holder.stop();
             read(log, second);
             await check(log, second);
-            expect([first.holder.getFence(), second.holder.getFence()]).toEqual([undefined, 2]);
+            expect([first.holder.getFencingToken(), second.holder.getFencingToken()]).toEqual([undefined, 2]);
         });
     });
 
@@ -188,10 +189,10 @@
                 for (let step = 0; step < 150; step += 1) {
                     advance(random.nextInteger(200), ...candidates);
                     const candidate = candidates[random.nextInteger(candidates.length)];
-                    candidate.isCut = random.next() < 0.3;
+                    candidate.isDisconnected = random.next() < 0.3;
                     await candidate.holder.check();
-                    read(log, ...candidates.filter(({ isCut }) => !isCut));
-                    const holders = candidates.filter(({ holder }) => holder.getFence() !== undefined);
+                    read(log, ...candidates.filter(({ isDisconnected }) => !isDisconnected));
+                    const holders = candidates.filter(({ holder }) => holder.getFencingToken() !== undefined);
                     expect(holders.length <= 1).toEqual(true);
                     held += holders.length;
                 }
--- a/test/control/orderChannel.test.ts
+++ b/test/control/orderChannel.test.ts
@@ -10,7 +10,7 @@
     versions: readonly string[] = ["m@1"];
     readonly orders: EngineOrder[] = [];
     readonly #checksFencing: boolean;
-    #newestFence = -1;
+    #maxFencingToken = -1;
     /** Whether orders are obeyed but their answers lost. */
     isAnswerLost = false;
 
@@ -19,15 +19,15 @@
     }
 
     readonly control: EngineControl = {
-        order: order => Promise.resolve(this.obey(order)),
+        order: order => Promise.resolve(this.applyOrder(order)),
         read: () => Promise.resolve(ok<EngineState>({ versions: this.versions, checksFencing: this.#checksFencing })),
     };
 
-    obey(order: EngineOrder) {
-        if (this.#checksFencing && order.fence < this.#newestFence) {
+    applyOrder(order: EngineOrder) {
+        if (this.#checksFencing && order.fence < this.#maxFencingToken) {
             return err(new Failure({ kind: "stale", message: "An older fence.", remedy: "Stop." }));
         }
-        this.#newestFence = Math.max(this.#newestFence, order.fence);
+        this.#maxFencingToken = Math.max(this.#maxFencingToken, order.fence);
         this.orders.push(order);
         this.versions = order.versions;
         if (this.isAnswerLost) {
@@ -37,9 +37,9 @@
     }
 }
 
-function createChannel(getFence: () => number | undefined, onSleep: () => void = () => {}): OrderChannel {
+function createChannel(getFencingToken: () => number | undefined, onSleep: () => void = () => {}): OrderChannel {
     return new OrderChannel({
-        getFence,
+        getFencingToken,
         clock: new ManualClock(),
         journal: createJournal().journal,
         attempts: 3,
@@ -50,7 +50,7 @@
     });
 }
 
-function wanted(...versions: string[]) {
+function createDesiredState(...versions: string[]) {
     return { engine: "runner-1", versions, role: "decode" };
 }
 
@@ -60,7 +60,10 @@
             for (const isAnswerLost of [false, true]) {
                 const engine = new Engine(true);
                 engine.isAnswerLost = isAnswerLost;
-                const brought = await createChannel(() => 5).bring(engine.control, wanted("m@2", "m@1"));
+                const brought = await createChannel(() => 5).reconcile(
+                    engine.control,
+                    createDesiredState("m@2", "m@1"),
+                );
                 expect(brought._unsafeUnwrap().versions).toEqual(["m@2", "m@1"]);
                 expect(engine.orders.length).toEqual(1);
             }
@@ -68,13 +71,13 @@
 
         it("orders nothing when the engine reports what is wanted", async () => {
             const engine = new Engine(true);
-            await createChannel(() => 5).bring(engine.control, wanted("m@1"));
+            await createChannel(() => 5).reconcile(engine.control, createDesiredState("m@1"));
             expect(engine.orders).toEqual([]);
         });
 
         it("orders nothing without the lease", async () => {
             const engine = new Engine(false);
-            const brought = await createChannel(() => undefined).bring(engine.control, wanted("m@2"));
+            const brought = await createChannel(() => undefined).reconcile(engine.control, createDesiredState("m@2"));
             expect(brought._unsafeUnwrapErr().kind).toEqual("stale");
             expect(engine.orders).toEqual([]);
         });
@@ -83,8 +86,8 @@
         // order, and the former holder learns from the refusal.
         it("is refused by an engine that has seen a newer fencing number", async () => {
             const engine = new Engine(true);
-            await createChannel(() => 9).bring(engine.control, wanted("m@2"));
-            const brought = await createChannel(() => 5).bring(engine.control, wanted("m@1"));
+            await createChannel(() => 9).reconcile(engine.control, createDesiredState("m@2"));
+            const brought = await createChannel(() => 5).reconcile(engine.control, createDesiredState("m@1"));
             expect(brought._unsafeUnwrapErr().kind).toEqual("stale");
             expect(engine.versions).toEqual(["m@2"]);
         });
@@ -97,10 +100,10 @@
             const channel = createChannel(() => 9, () => {
                 if (isLate) {
                     isLate = false;
-                    engine.obey({ fence: 5, versions: ["m@1"], role: "decode" });
+                    engine.applyOrder({ fence: 5, versions: ["m@1"], role: "decode" });
                 }
             });
-            const brought = await channel.bring(engine.control, wanted("m@2"));
+            const brought = await channel.reconcile(engine.control, createDesiredState("m@2"));
             expect(brought._unsafeUnwrap().versions).toEqual(["m@2"]);
             expect(engine.orders.map(order => order.fence)).toEqual([9, 5, 9]);
         });
@@ -113,7 +116,7 @@
                 engine.versions = ["m@1"];
                 fence = undefined;
             });
-            const brought = await channel.bring(engine.control, wanted("m@2"));
+            const brought = await channel.reconcile(engine.control, createDesiredState("m@2"));
             expect(brought.isErr()).toEqual(true);
             expect(engine.orders.length).toEqual(1);
         });
--- a/test/control/rolloutFold.test.ts
+++ b/test/control/rolloutFold.test.ts
@@ -15,7 +15,7 @@
             expect(append("rollout-advance", { rollout, stage: 1, fence })?.accepted).toEqual(true);
             expect(fold.getShare(rollout)).toEqual(1);
             expect(append("rollout-finish", { rollout, fence })?.accepted).toEqual(true);
-            expect(fold.getSettled("label")).toEqual("label@2");
+            expect(fold.getStableVersion("label")).toEqual("label@2");
         });
 
         // The holder of the lease is paused, another takes over and advances, then the first wakes up and appends what
@@ -95,7 +95,7 @@
             expect(fold.getFallback("label@3", version => version !== "label@2")).toEqual("label@1");
             fold.addHalt({ id: "h2", version: "label@2", reason: "bad", at: 1 });
             expect(fold.getFallback("label@3")).toEqual("label@1");
-            expect(fold.getSettled("label")).toEqual("label@1");
+            expect(fold.getStableVersion("label")).toEqual("label@1");
         });
     });
 
@@ -106,11 +106,11 @@
             const { fold, append, start } = createFixture();
             start();
             append("rollout-grant", { rollout, fence, grants: { a: 4 } });
-            const early = copy(fold.exportState());
+            const early = roundTripJson(fold.exportState());
             append("rollout-advance", { rollout, stage: 1, fence });
             append("halt", { version: "other@1", reason: "bad" });
-            const successor = new RolloutFold({ isCurrentFence: given => given === fence });
-            expect(successor.importState(copy(fold.exportState()))).toEqual(true);
+            const successor = new RolloutFold({ isCurrentFencingToken: given => given === fence });
+            expect(successor.importState(roundTripJson(fold.exportState()))).toEqual(true);
             expect(successor.getRollout(rollout)).toEqual(fold.getRollout(rollout));
             expect(successor.isHalted("other@1")).toEqual(true);
             expect(successor.importState(early)).toEqual(false);
@@ -120,7 +120,7 @@
 });
 
 function createFixture() {
-    const fold = new RolloutFold({ isCurrentFence: given => given === fence });
+    const fold = new RolloutFold({ isCurrentFencingToken: given => given === fence });
     let offset = 0;
     const append = (kind: string, body: unknown) => {
         const decision = fold.apply({ offset, time: 1000 + offset, record: createRecord(kind, body) });
@@ -143,6 +143,6 @@
     return { id: kind, kind, format: 1, writer: "test", body };
 }
 
-function copy(snapshot: RolloutSnapshot): RolloutSnapshot {
+function roundTripJson(snapshot: RolloutSnapshot): RolloutSnapshot {
     return JSON.parse(JSON.stringify(snapshot));
 }
--- a/test/decisions/exposure/rolloutEvaluator.test.ts
+++ b/test/decisions/exposure/rolloutEvaluator.test.ts
@@ -185,7 +185,7 @@
 function createFixture() {
     const clock = new ManualClock(1_800_000_000_000);
     const random = new RandomSource(5);
-    const fold = new RolloutFold({ isCurrentFence: given => given === fencingToken });
+    const fold = new RolloutFold({ isCurrentFencingToken: given => given === fencingToken });
     const evidence = new Evidence({ clock });
     const exposures = new Exposures();
     const defaults: RolloutRules = {
--- a/test/decisions/exposure/rolloutRouter.test.ts
+++ b/test/decisions/exposure/rolloutRouter.test.ts
@@ -90,7 +90,7 @@
 }
 
 async function createFixture() {
-    const fold = new RolloutFold({ isCurrentFence: given => given === fencingToken });
+    const fold = new RolloutFold({ isCurrentFencingToken: given => given === fencingToken });
     const hash = await createCallerHash();
     const held = new Set<string>();
     const isHeld = ({ id }: { readonly id: string; }): boolean => held.has(id);
--- a/test/entry/stateFetcher.test.ts
+++ b/test/entry/stateFetcher.test.ts
@@ -20,7 +20,7 @@
             offer: () => undefined as never,
             confirm: () => {},
         },
-        control: { getOffset: () => 3, exportState: () => undefined as never, offer: () => undefined as never },
+        control: { getOffset: () => 3, exportState: () => undefined as never, importState: () => undefined as never },
         membership: { getMembers: () => [createMember("entry-2")] },
         client: {
             fetchState: () => {
--- a/test/fleet/upstreamRegistry.test.ts
+++ b/test/fleet/upstreamRegistry.test.ts
@@ -8,8 +8,8 @@
     const clock = new ManualClock(1_000);
     const registry = new UpstreamRegistry(clock);
     const gone: string[] = [];
-    registry.onGone(upstream => gone.push(upstream.id));
-    const getTaking = (): string[] => registry.getTaking("app").map(upstream => upstream.id);
+    registry.onRemoved(upstream => gone.push(upstream.id));
+    const getTaking = (): string[] => registry.getAvailable("app").map(upstream => upstream.id);
     return { clock, registry, gone, getTaking };
 }
 
--- a/test/forwarding/eventSplitter.test.ts
+++ b/test/forwarding/eventSplitter.test.ts
@@ -27,7 +27,7 @@
     // that nobody sent.
     it("forgets an unfinished event", () => {
         const { splitter } = split([Buffer.from("id: 1\ndata: a\n\nid: 2\nda")]);
-        expect(splitter.getRest().toString()).toEqual("id: 2\nda");
+        expect(splitter.getRemainder().toString()).toEqual("id: 2\nda");
         splitter.reset();
         expect(splitter.push(Buffer.from("id: 2\ndata: b\n\n")).map(event => event.bytes.toString())).toEqual([
             "id: 2\ndata: b\n\n",
--- a/test/forwarding/forwarder.test.ts
+++ b/test/forwarding/forwarder.test.ts
@@ -75,7 +75,7 @@
         let routes: RouteTable | undefined;
         const { send } = createForwarder({
             getRoutes: () => routes,
-            waitFirstRead: () => {
+            waitForFirstRead: () => {
                 routes = createRouteTable({ routes: [createRoute()] });
                 return Promise.resolve();
             },
--- a/test/forwarding/departure.test.ts
+++ b/test/forwarding/shutdown.test.ts
@@ -1,19 +1,19 @@
 import { expect } from "earl";
 import { describe, it } from "node:test";
 import { ManualClock } from "../../src/common/index.js";
-import { Departure } from "../../src/forwarding/index.js";
+import { Shutdown } from "../../src/forwarding/index.js";
 import { createRoute, createStreamRoute } from "../fixtures/routes.js";
 
 describe("Departure", () => {
     // A node is told to stop and callers go on connecting to it for seconds. What it takes on and can't finish is broken off.
     it("takes on what can end in time, and refuses the rest at once", () => {
         const clock = new ManualClock();
-        const departure = new Departure(clock);
+        const departure = new Shutdown(clock);
         const call = createRoute({ timeoutMilliseconds: 800 });
         const stream = createStreamRoute();
         const check = () => [call, stream].map(route => departure.check(route) === undefined);
         expect(check()).toEqual([true, true]);
-        departure.begin(8_000);
+        departure.start(8_000);
         clock.advance(2_000);
         expect(check()).toEqual([true, true]);
         clock.advance(1_500);
--- a/test/forwarding/streamExchange.test.ts
+++ b/test/forwarding/streamExchange.test.ts
@@ -7,7 +7,7 @@
 const generation: Generation = {
     model: undefined,
     promptTokens: 600,
-    mostOutputTokens: 100,
+    maxOutputTokens: 100,
     expectedOutputTokens: 40,
     parts: [{ id: "subject", tokens: 400 }, { id: "own", tokens: 200 }],
 };
@@ -86,7 +86,7 @@
 
     it("breaks off visibly when a stream can't go on", async () => {
         const broken = createSite(() => createAnswer([createEvent(1)], { confidence: 80, breakOff: true }), {
-            maximumAttempts: 1,
+            maxAttempts: 1,
         });
         const caller = await broken.send();
         expect([caller.isWhole, caller.isAborted]).toEqual([false, true]);
--- a/test/forwarding/unaryExchange.test.ts
+++ b/test/forwarding/unaryExchange.test.ts
@@ -11,12 +11,12 @@
 import { createRoute, createRouteTable } from "../fixtures/routes.js";
 
 function createSite(kind: "idempotent" | "at-most-once", options: Parameters<typeof createForwarder>[0] = {}) {
-    const route = createRoute({ kind, maximumAttempts: kind === "idempotent" ? 2 : 1, timeoutMilliseconds: 900 });
+    const route = createRoute({ kind, maxAttempts: kind === "idempotent" ? 2 : 1, timeoutMilliseconds: 900 });
     return createForwarder({ getRoutes: () => createRouteTable({ routes: [route] }), ...options });
 }
 
 /** Waits until a call is ended from outside, as at an upstream that never answers. */
-function waitForEnd(call: UpstreamCall) {
+function waitForAbort(call: UpstreamCall) {
     return new Promise<ReturnType<typeof createCallFailure>>(resolve => {
         call.signal.addEventListener("abort", () => resolve(createCallFailure("broken")));
     });
@@ -84,7 +84,7 @@
     // An instance takes a request and falls silent. A caller of a repeatable request need not wait until its deadline.
     it("leaves a silent upstream while there is time for another one", async () => {
         const { send, calls, renewed } = createSite("idempotent", {
-            behaviour: (call, ...[, count]) => count === 1 ? waitForEnd(call) : createAnswer(["done"]),
+            behaviour: (call, ...[, count]) => count === 1 ? waitForAbort(call) : createAnswer(["done"]),
         });
         const caller = await send();
         expect([caller.status, calls.length, renewed.length]).toEqual([200, 2, 1]);
@@ -94,7 +94,7 @@
         let wasEnded = false;
         const { send } = createSite("at-most-once", {
             behaviour: async call => {
-                const failure = await waitForEnd(call);
+                const failure = await waitForAbort(call);
                 wasEnded = true;
                 return failure;
             },
@@ -106,7 +106,7 @@
     });
 
     it("ends the work at once when the caller leaves", async () => {
-        const { forwarder, calls } = createSite("idempotent", { behaviour: waitForEnd });
+        const { forwarder, calls } = createSite("idempotent", { behaviour: waitForAbort });
         const caller = new CallerStandin();
         const handled = forwarder.handle(createCallerRequest(), caller);
         await new Promise(resolve => setImmediate(resolve));
--- a/test/platform/platformSite.ts
+++ b/test/platform/platformSite.ts
@@ -113,8 +113,8 @@
     readonly #agent = new Agent();
     readonly #bounds: Readonly<Record<string, number>>;
     /** End what tests have begun at this site. */
-    readonly #releases: (() => Promise<void>)[] = [];
-    #requests = 0;
+    readonly #cleanups: (() => Promise<void>)[] = [];
+    #requestCount = 0;
 
     /**
      * @param prefix - First three bytes of the site's addresses, such as `127.72.1`.
@@ -199,7 +199,7 @@
 
     /** Waits until a node says that it is ready. */
     async waitForReady(node: SiteNode): Promise<void> {
-        await waitUntil(async () => (await this.ask(node, readyPort, "/v1/readyz"))?.status === 200, {
+        await waitUntil(async () => (await this.request(node, readyPort, "/v1/readyz"))?.status === 200, {
             what: "a node",
         });
     }
@@ -211,12 +211,12 @@
 
     /** Returns the addresses that a node hands out. */
     async getAddresses(node: SiteNode): Promise<readonly string[]> {
-        const answer = await this.ask(node, addressPort, "/v1/resolution?name=app.example&region=south&zone=north");
+        const answer = await this.request(node, addressPort, "/v1/resolution?name=app.example&region=south&zone=north");
         return answer?.status === 200 ? (JSON.parse(answer.body) as { addresses: string[]; }).addresses : [];
     }
 
     /** Asks a node something on one of its other ports; undefined when it does not answer. */
-    async ask(node: SiteNode, port: number, path: string): Promise<SiteAnswer | undefined> {
+    async request(node: SiteNode, port: number, path: string): Promise<SiteAnswer | undefined> {
         try {
             const response = await sendRequest(`http://${node.address}:${port}${path}`, { dispatcher: this.#agent });
             return { status: response.statusCode, headers: response.headers, body: await response.body.text() };
@@ -229,18 +229,18 @@
 
     /** Reads a node's metrics. */
     async getMetrics(node: SiteNode): Promise<string> {
-        return (await this.ask(node, metricsPort, "/metrics"))?.body ?? "";
+        return (await this.request(node, metricsPort, "/metrics"))?.body ?? "";
     }
 
     /** Sends a request as a caller does. */
     async send(node: SiteNode, options: SiteRequest = {}): Promise<SiteAnswer> {
-        this.#requests += 1;
+        this.#requestCount += 1;
         const response = await sendRequest(`http://${node.address}:${callerPort}${options.path ?? "/call/1"}`, {
             dispatcher: this.#agent,
             method: options.method ?? "POST",
             headers: {
                 "host": "app.example",
-                "attempt-id": `request-${this.#requests}`,
+                "attempt-id": `request-${this.#requestCount}`,
                 "deadline-ms": "3000",
                 "api-key": "key",
                 ...options.headers,
@@ -251,13 +251,13 @@
     }
 
     /** Adds what is to be ended when the site stops, also after a test has failed. */
-    addRelease(release: () => Promise<void>): void {
-        this.#releases.push(release);
+    addCleanup(cleanup: () => Promise<void>): void {
+        this.#cleanups.push(cleanup);
     }
 
     /** Ends everything. */
     async stop(): Promise<void> {
-        for (const release of this.#releases) {
+        for (const release of this.#cleanups) {
             await release();
         }
         for (const node of this.nodes) {
--- a/test/platform/poolRollout.test.ts
+++ b/test/platform/poolRollout.test.ts
@@ -32,7 +32,7 @@
         isOver = true;
         await Promise.all(runs);
     };
-    site.addRelease(stop);
+    site.addCleanup(stop);
     return stop;
 }
 
--- a/test/platform/soak/main.ts
+++ b/test/platform/soak/main.ts
@@ -22,11 +22,13 @@
         prefix: values.prefix,
         hasRollout: values.rollout,
     };
-    const { broken, timeLine, requests, served } = await runPlatformSoak(options);
-    console.log(`Seed ${seed}: ${timeLine.length} faults, ${served} of ${requests} served, ${broken.length} broken.`);
-    if (broken.length > 0) {
+    const { violations, timeLine, requests, served } = await runPlatformSoak(options);
+    console.log(
+        `Seed ${seed}: ${timeLine.length} faults, ${served} of ${requests} served, ${violations.length} broken.`,
+    );
+    if (violations.length > 0) {
         failures += 1;
-        console.log([...broken.slice(0, 20), ...timeLine].join("\n"));
+        console.log([...violations.slice(0, 20), ...timeLine].join("\n"));
     }
 }
 process.exit(failures === 0 ? 0 : 1);
--- a/test/platform/soak/platformSoak.test.ts
+++ b/test/platform/soak/platformSoak.test.ts
@@ -2,8 +2,8 @@
 import { describe, it } from "node:test";
 import { runPlatformSoak } from "./platformSoak.js";
 
-const milliseconds = 7_000;
-const mostLines = 20;
+const soakMilliseconds = 7_000;
+const maxLines = 20;
 
 describe("runPlatformSoak", () => {
     // Nodes die, stall and restart, links to the store break one way or both, the store is away or loses answers, runners fail and
@@ -18,9 +18,14 @@
     ];
     for (const { seed, prefix, hasRollout } of seeds) {
         it(`keeps every promise under the faults of seed ${seed}${hasRollout ? ", in a roll-out" : ""}`, async () => {
-            const { broken, timeLine, served } = await runPlatformSoak({ seed, milliseconds, prefix, hasRollout });
+            const { violations, timeLine, served } = await runPlatformSoak({
+                seed,
+                milliseconds: soakMilliseconds,
+                prefix,
+                hasRollout,
+            });
             // A few lines tell enough, and comparing thousands of them would take minutes.
-            const lines = broken.length === 0 ? [] : [...broken.slice(0, mostLines), ...timeLine];
+            const lines = violations.length === 0 ? [] : [...violations.slice(0, maxLines), ...timeLine];
             expect(lines).toEqual([]);
             expect([timeLine.length > 5, served > 0]).toEqual([true, true]);
         });
--- a/test/platform/soak/platformSoak.ts
+++ b/test/platform/soak/platformSoak.ts
@@ -7,7 +7,7 @@
 import { waitUntil } from "../../../src/testbench/index.js";
 import { createConfiguration, PlatformSite } from "../platformSite.js";
 import { SoakCallers } from "./soakCallers.js";
-import { findBrokenPromises, type RevokedKey, type RunRequest } from "./soakChecks.js";
+import { type ExecutedRequest, findViolations, type RevokedKey } from "./soakChecks.js";
 import { createBehaviour, type RunnerFault } from "./soakRunners.js";
 
 const nodeCount = 4;
@@ -20,12 +20,12 @@
 const runnerFaults: readonly RunnerFault[] = ["reset", "mute", "truncate", "error", "slow"];
 const faultShare = 0.3;
 /** A fault begins this long after the one before, at most, so that some overlap. */
-const mostGapMilliseconds = 900;
-const leastHoldMilliseconds = 300;
-const mostHoldMilliseconds = 2_500;
+const maxGapMilliseconds = 900;
+const minFaultMilliseconds = 300;
+const maxFaultMilliseconds = 2_500;
 const recoveryMilliseconds = 20_000;
 const newVersion = "v2";
-const newRunners = 3;
+const newRunnerCount = 3;
 /** After its deadline, and after the last fault, a roll-out has to end within this. */
 const rolloutSlackMilliseconds = 8_000;
 /** Requests to each node by which is judged that it serves by the version which a roll-out has ended with. */
@@ -43,7 +43,7 @@
 
 /** What came of a soak. */
 export interface PlatformSoakResult {
-    readonly broken: readonly string[];
+    readonly violations: readonly string[];
     /** Faults in the order of their beginning, with milliseconds since the start. */
     readonly timeLine: readonly string[];
     readonly requests: number;
@@ -66,13 +66,13 @@
     readonly #random: RandomSource;
     readonly #site: PlatformSite;
     readonly #proxy: FaultProxy;
-    readonly #runs: RunRequest[] = [];
+    readonly #executed: ExecutedRequest[] = [];
     readonly #revoked: RevokedKey[] = [];
     readonly #timeLine: string[] = [];
-    readonly #broken: string[] = [];
-    readonly #lifting: Promise<void>[] = [];
+    readonly #violations: string[] = [];
+    readonly #activeFaults: Promise<void>[] = [];
     /** Nodes that are killed, stopped or paused at the moment, by their number from 1. */
-    readonly #busy = new Set<number>();
+    readonly #unavailableNodes = new Set<number>();
     readonly #startedAt = performance.now();
     /** The runners that faults are drawn for. */
     #runnerIds: readonly string[] = [];
@@ -97,20 +97,25 @@
         }
         while (performance.now() - this.#startedAt < this.#options.milliseconds) {
             this.#injectFault();
-            await wait(this.#random.nextInteger(mostGapMilliseconds));
+            await wait(this.#random.nextInteger(maxGapMilliseconds));
         }
-        await Promise.all(this.#lifting);
+        await Promise.all(this.#activeFaults);
         await this.#checkRecovery(callers);
         if (this.#options.hasRollout === true) {
             await this.#checkRollout(callers);
         }
         await callers.stop();
-        const promises = findBrokenPromises(callers.seen, this.#runs, this.#revoked, revocationMilliseconds);
+        const checkedViolations = findViolations(
+            callers.observed,
+            this.#executed,
+            this.#revoked,
+            revocationMilliseconds,
+        );
         return {
-            broken: [...this.#broken, ...promises],
+            violations: [...this.#violations, ...checkedViolations],
             timeLine: this.#timeLine,
-            requests: callers.seen.length,
-            served: callers.seen.filter(({ status, isWhole }) => status === 200 && isWhole).length,
+            requests: callers.observed.length,
+            served: callers.observed.filter(({ status, isWhole }) => status === 200 && isWhole).length,
         };
     }
 
@@ -142,17 +147,17 @@
         const { host, port } = this.#getLink(index);
         const node = this.#site.startNode(index, [], `${host}:${port}`);
         void node.exited.then(code => {
-            if (this.#busy.has(index) || this.#isStopped) {
+            if (this.#unavailableNodes.has(index) || this.#isStopped) {
                 return;
             }
             // For a tenth of a second after its start no code of the program runs that could take a signal over.
             if (node.child.signalCode === "SIGHUP" && node.events.length === 0) {
-                this.#note(`node ${index} ended by SIGHUP before it ran, started again`);
+                this.#recordEvent(`node ${index} ended by SIGHUP before it ran, started again`);
                 this.#startNode(index);
             }
             else {
                 const at = Math.round(performance.now() - this.#startedAt);
-                this.#broken.push(`node ${index} ended by itself with ${code} at ${at}`);
+                this.#violations.push(`node ${index} ended by itself with ${code} at ${at}`);
             }
         });
     }
@@ -168,14 +173,14 @@
 
     /** Orders a good version, to be done when the faults end. */
     async #orderRollout(): Promise<void> {
-        for (let index = 1; index <= newRunners; index += 1) {
+        for (let index = 1; index <= newRunnerCount; index += 1) {
             const id = `i-new-${index}`;
             await this.#site.addRunner(id, newVersion);
             this.#setRunner(id, "none");
         }
         const order = { service: "pool", target: newVersion, deadline_s: this.#options.milliseconds / 1_000 };
         this.#site.store.put("keyed.op", "rollout/pool", order);
-        this.#note(`roll-out ordered, to be done in ${order.deadline_s} s`);
+        this.#recordEvent(`roll-out ordered, to be done in ${order.deadline_s} s`);
     }
 
     /** The roll-out has to end, and each node has to serve by the version that it ended with. */
@@ -187,18 +192,18 @@
             await waitUntil(hasEnded, { what: "the roll-out's end", boundMilliseconds: rolloutSlackMilliseconds });
         }
         catch {
-            this.#broken.push(`the roll-out did not end: ${getState()}`);
+            this.#violations.push(`the roll-out did not end: ${getState()}`);
             return;
         }
         const isNewExpected = getState() === "completed";
-        this.#note(`roll-out ${getState()}`);
-        await wait(mostGapMilliseconds);
+        this.#recordEvent(`roll-out ${getState()}`);
+        await wait(maxGapMilliseconds);
         for (const { address } of this.#site.nodes) {
             for (let count = 0; count < requestsAfterRollout; count += 1) {
                 const { id } = await callers.send("call", address, "key-last");
-                const runner = this.#runs.findLast(run => run.request.headers["attempt-id"] === id)?.runner;
+                const runner = this.#executed.findLast(run => run.request.headers["attempt-id"] === id)?.runner;
                 if (runner !== undefined && runner.startsWith("i-new") !== isNewExpected) {
-                    this.#broken.push(`${address} served by ${runner} after the roll-out was ${getState()}`);
+                    this.#violations.push(`${address} served by ${runner} after the roll-out was ${getState()}`);
                 }
             }
         }
@@ -207,7 +212,7 @@
     #setRunner(id: string, fault: RunnerFault): void {
         const behaviour = createBehaviour(fault, faultShare, this.#random);
         this.#site.runners.get(id)!.behaviour = (request, response) => {
-            this.#runs.push({ request, at: performance.now(), runner: id });
+            this.#executed.push({ request, at: performance.now(), runner: id });
             return behaviour(request, response);
         };
     }
@@ -218,67 +223,67 @@
     }
 
     #injectFault(): void {
-        const holdMilliseconds = leastHoldMilliseconds
-            + this.#random.nextInteger(mostHoldMilliseconds - leastHoldMilliseconds);
+        const faultMilliseconds = minFaultMilliseconds
+            + this.#random.nextInteger(maxFaultMilliseconds - minFaultMilliseconds);
         const faults = [
-            () => this.#stopNode("SIGKILL", holdMilliseconds),
-            () => this.#stopNode("SIGTERM", holdMilliseconds),
-            () => this.#pauseNode(holdMilliseconds),
+            () => this.#stopNode("SIGKILL", faultMilliseconds),
+            () => this.#stopNode("SIGTERM", faultMilliseconds),
+            () => this.#pauseNode(faultMilliseconds),
             () => this.#reload(),
-            () => this.#harmLink(holdMilliseconds),
-            () => this.#harmStore(holdMilliseconds),
-            () => this.#harmRunner(holdMilliseconds),
-            () => this.#drainRunner(holdMilliseconds),
+            () => this.#injectLinkFault(faultMilliseconds),
+            () => this.#injectStoreFault(faultMilliseconds),
+            () => this.#injectRunnerFault(faultMilliseconds),
+            () => this.#drainRunner(faultMilliseconds),
             () => this.#revoke(),
             () => this.#compact(),
         ];
-        this.#lifting.push(Promise.resolve(this.#draw(faults)()));
+        this.#activeFaults.push(Promise.resolve(this.#draw(faults)()));
     }
 
-    async #stopNode(signal: "SIGKILL" | "SIGTERM", holdMilliseconds: number): Promise<void> {
+    async #stopNode(signal: "SIGKILL" | "SIGTERM", faultMilliseconds: number): Promise<void> {
         const index = this.#drawNode();
         if (index === undefined) {
             return;
         }
-        this.#note(`${signal} to node ${index}, down for ${holdMilliseconds} ms`);
-        this.#busy.add(index);
+        this.#recordEvent(`${signal} to node ${index}, down for ${faultMilliseconds} ms`);
+        this.#unavailableNodes.add(index);
         const node = this.#site.nodes[index - 1];
         node.child.kill(signal);
         const code = await node.exited;
         // Before it serves, a node ends by the signal itself: seed 36 sent it 79 ms after a start.
         const hasStarted = node.events.some(event => event.name === "process-started");
         if (signal === "SIGTERM" && hasStarted && code !== 0) {
-            this.#broken.push(`node ${index} ended with ${code} after SIGTERM`);
+            this.#violations.push(`node ${index} ended with ${code} after SIGTERM`);
         }
-        await wait(holdMilliseconds);
+        await wait(faultMilliseconds);
         this.#startNode(index);
-        this.#note(`node ${index} started again`);
-        this.#busy.delete(index);
+        this.#recordEvent(`node ${index} started again`);
+        this.#unavailableNodes.delete(index);
     }
 
-    async #pauseNode(holdMilliseconds: number): Promise<void> {
+    async #pauseNode(faultMilliseconds: number): Promise<void> {
         const index = this.#drawNode();
         if (index === undefined) {
             return;
         }
-        this.#note(`node ${index} paused for ${holdMilliseconds} ms`);
-        this.#busy.add(index);
+        this.#recordEvent(`node ${index} paused for ${faultMilliseconds} ms`);
+        this.#unavailableNodes.add(index);
         const { child } = this.#site.nodes[index - 1];
         child.kill("SIGSTOP");
-        await wait(holdMilliseconds);
+        await wait(faultMilliseconds);
         child.kill("SIGCONT");
-        this.#busy.delete(index);
+        this.#unavailableNodes.delete(index);
     }
 
     #reload(): void {
         const index = this.#drawNode();
         if (index !== undefined) {
-            this.#note(`SIGHUP to node ${index}`);
+            this.#recordEvent(`SIGHUP to node ${index}`);
             this.#site.nodes[index - 1].child.kill("SIGHUP");
         }
     }
 
-    async #harmLink(holdMilliseconds: number): Promise<void> {
+    async #injectLinkFault(faultMilliseconds: number): Promise<void> {
         const route = `store-${1 + this.#random.nextInteger(nodeCount)}`;
         const faults = this.#draw([
             { cut: true },
@@ -288,49 +293,49 @@
             { oneWay: "to-target" },
             { freeze: true },
         ]);
-        this.#note(`link ${route}: ${JSON.stringify(faults)} for ${holdMilliseconds} ms`);
+        this.#recordEvent(`link ${route}: ${JSON.stringify(faults)} for ${faultMilliseconds} ms`);
         (await this.#proxy.changeFaults({ route, ...faults }))._unsafeUnwrap();
-        await wait(holdMilliseconds);
-        const sound = { cut: false, halfOpen: false, delayMilliseconds: 0, oneWay: "none", freeze: false };
-        (await this.#proxy.changeFaults({ route, ...sound }))._unsafeUnwrap();
+        await wait(faultMilliseconds);
+        const noFaults = { cut: false, halfOpen: false, delayMilliseconds: 0, oneWay: "none", freeze: false };
+        (await this.#proxy.changeFaults({ route, ...noFaults }))._unsafeUnwrap();
     }
 
-    async #harmStore(holdMilliseconds: number): Promise<void> {
-        const mood = this.#draw(["busy", "silent", "loses-answers"] as const);
-        this.#note(`store ${mood} for ${holdMilliseconds} ms`);
-        this.#site.store.mood = mood;
-        await wait(holdMilliseconds);
-        this.#site.store.mood = "well";
+    async #injectStoreFault(faultMilliseconds: number): Promise<void> {
+        const fault = this.#draw(["busy", "silent", "loses-answers"] as const);
+        this.#recordEvent(`store ${fault} for ${faultMilliseconds} ms`);
+        this.#site.store.fault = fault;
+        await wait(faultMilliseconds);
+        this.#site.store.fault = "well";
     }
 
-    async #harmRunner(holdMilliseconds: number): Promise<void> {
+    async #injectRunnerFault(faultMilliseconds: number): Promise<void> {
         const id = this.#draw(this.#runnerIds);
         const fault = this.#draw(runnerFaults);
-        this.#note(`runner ${id}: ${fault} for ${holdMilliseconds} ms`);
+        this.#recordEvent(`runner ${id}: ${fault} for ${faultMilliseconds} ms`);
         this.#setRunner(id, fault);
-        await wait(holdMilliseconds);
+        await wait(faultMilliseconds);
         this.#setRunner(id, "none");
     }
 
-    async #drainRunner(holdMilliseconds: number): Promise<void> {
+    async #drainRunner(faultMilliseconds: number): Promise<void> {
         const id = this.#draw(this.#runnerIds);
-        this.#note(`runner ${id} leaves for ${holdMilliseconds} ms`);
+        this.#recordEvent(`runner ${id} leaves for ${faultMilliseconds} ms`);
         this.#site.register(id, { state: "draining" });
-        await wait(holdMilliseconds);
+        await wait(faultMilliseconds);
         this.#site.register(id);
     }
 
     /** Takes the newest key away and hands out another one. */
     #revoke(): void {
         const key = this.#keys[1];
-        this.#note(`key ${key} taken away`);
+        this.#recordEvent(`key ${key} taken away`);
         this.#keys = ["key", `key-${this.#version + 1}`];
         this.#publish();
         this.#revoked.push({ key, at: performance.now() });
     }
 
     #compact(): void {
-        this.#note("history of the store dropped");
+        this.#recordEvent("history of the store dropped");
         this.#site.store.compact("keyed.op");
         this.#site.store.compact("keyed.servers");
     }
@@ -346,14 +351,16 @@
                 await waitUntil(isServing, { what: `node ${address}`, boundMilliseconds: recoveryMilliseconds });
             }
             catch {
-                this.#broken.push(`${address} did not serve by the newest configuration after all faults were over`);
+                this.#violations.push(
+                    `${address} did not serve by the newest configuration after all faults were over`,
+                );
             }
         }
     }
 
     #drawNode(): number | undefined {
         const free = Array.from({ length: nodeCount }, (...[, index]) => index + 1).filter(index =>
-            !this.#busy.has(index)
+            !this.#unavailableNodes.has(index)
         );
         // One node is always left, so that the others have somebody to learn from and callers somebody to ask.
         return free.length <= 1 ? undefined : this.#draw(free);
@@ -363,7 +370,7 @@
         return items[this.#random.nextInteger(items.length)];
     }
 
-    #note(text: string): void {
+    #recordEvent(text: string): void {
         this.#timeLine.push(`${Math.round(performance.now() - this.#startedAt)} ${text}`);
     }
 }
--- a/test/platform/soak/soakCallers.ts
+++ b/test/platform/soak/soakCallers.ts
@@ -5,13 +5,13 @@
 const callerPort = 7_001;
 const deadlineMilliseconds = 2_500;
 const pauseMilliseconds = 30;
-const requestsOfSession = 5;
+const requestsPerSession = 5;
 
 /** Kinds of requests, as they stand in the paths of the site's routes. */
 export type RequestKind = "booking" | "call" | "stream";
 
 /** What a caller saw of one request. */
-export interface SeenRequest {
+export interface ObservedRequest {
     readonly id: string;
     readonly kind: RequestKind;
     readonly key: string;
@@ -26,7 +26,7 @@
 
 /** Sends requests until it is stopped. */
 export class SoakCallers {
-    readonly seen: SeenRequest[] = [];
+    readonly observed: ObservedRequest[] = [];
     readonly #agent = new Agent({ connect: { timeout: 500 }, headersTimeout: 5_000, bodyTimeout: 5_000 });
     readonly #random: RandomSource;
     readonly #addresses: readonly string[];
@@ -63,7 +63,7 @@
     }
 
     /** Sends one request to a node. */
-    async send(kind: RequestKind, address: string, key: string): Promise<SeenRequest> {
+    async send(kind: RequestKind, address: string, key: string): Promise<ObservedRequest> {
         this.#count += 1;
         const id = `${kind}-${this.#count}`;
         const sent = { id, kind, key, sentAt: performance.now() };
@@ -80,7 +80,7 @@
                     "attempt-id": id,
                     "deadline-ms": String(deadlineMilliseconds),
                     "api-key": key,
-                    "session": `s-${Math.floor(this.#count / requestsOfSession)}`,
+                    "session": `s-${Math.floor(this.#count / requestsPerSession)}`,
                 },
                 body: "hello",
             });
@@ -94,9 +94,9 @@
         catch {
             // The connection broke, or the node was away: what was seen until then is noted.
         }
-        const seen = { ...sent, status, isSealed, body: Buffer.concat(pieces).toString(), isWhole };
-        this.seen.push(seen);
-        return seen;
+        const observed = { ...sent, status, isSealed, body: Buffer.concat(pieces).toString(), isWhole };
+        this.observed.push(observed);
+        return observed;
     }
 
     async #run(kind: RequestKind): Promise<void> {
--- a/test/platform/soak/soakChecks.ts
+++ b/test/platform/soak/soakChecks.ts
@@ -1,10 +1,10 @@
 /** The promises that a soak checks, from what callers and runners saw. */
 import type { ReceivedRequest } from "../standins/runnerStandin.js";
-import type { SeenRequest } from "./soakCallers.js";
-import { createWholeBody, streamEvents } from "./soakRunners.js";
+import type { ObservedRequest } from "./soakCallers.js";
+import { createWholeBody, streamEventCount } from "./soakRunners.js";
 
 /** A request as a runner got it, and when. */
-export interface RunRequest {
+export interface ExecutedRequest {
     readonly request: ReceivedRequest;
     readonly at: number;
     readonly runner: string;
@@ -17,9 +17,9 @@
 }
 
 /** Returns what broke a promise, a line each. */
-export function findBrokenPromises(
-    seen: readonly SeenRequest[],
-    runs: readonly RunRequest[],
+export function findViolations(
+    observed: readonly ObservedRequest[],
+    runs: readonly ExecutedRequest[],
     revoked: readonly RevokedKey[],
     revocationMilliseconds: number,
 ): readonly string[] {
@@ -28,23 +28,23 @@
         const id = String(request.headers["attempt-id"]);
         counts.set(id, (counts.get(id) ?? 0) + 1);
     }
-    const broken: string[] = [];
-    for (const entry of seen) {
-        broken.push(...checkRuns(entry, counts.get(entry.id) ?? 0), ...checkAnswer(entry));
+    const violations: string[] = [];
+    for (const entry of observed) {
+        violations.push(...checkRuns(entry, counts.get(entry.id) ?? 0), ...checkAnswer(entry));
     }
     const keys = new Map(revoked.map(({ key, at }) => [key, at]));
-    const byId = new Map(seen.map(entry => [entry.id, entry]));
+    const byId = new Map(observed.map(entry => [entry.id, entry]));
     for (const { request } of runs) {
         const entry = byId.get(String(request.headers["attempt-id"]));
-        const takenAway = keys.get(entry?.key ?? "");
-        if (entry !== undefined && takenAway !== undefined && entry.sentAt > takenAway + revocationMilliseconds) {
-            broken.push(`${entry.id} ran ${Math.round(entry.sentAt - takenAway)} ms after its key was taken away`);
+        const revokedAt = keys.get(entry?.key ?? "");
+        if (entry !== undefined && revokedAt !== undefined && entry.sentAt > revokedAt + revocationMilliseconds) {
+            violations.push(`${entry.id} ran ${Math.round(entry.sentAt - revokedAt)} ms after its key was taken away`);
         }
     }
-    return broken;
+    return violations;
 }
 
-function* checkRuns({ id, kind, status }: SeenRequest, runs: number): Iterable<string> {
+function* checkRuns({ id, kind, status }: ObservedRequest, runs: number): Iterable<string> {
     if (kind === "booking" && runs > 1) {
         yield `${id} ran ${runs} times`;
     }
@@ -53,7 +53,7 @@
     }
 }
 
-function* checkAnswer({ id, kind, status, isSealed, isWhole, body }: SeenRequest): Iterable<string> {
+function* checkAnswer({ id, kind, status, isSealed, isWhole, body }: ObservedRequest): Iterable<string> {
     if (status !== 200) {
         return;
     }
@@ -69,7 +69,7 @@
     const pattern = /id: (\d+)\ndata: (\S+)\n\n/g;
     const events = [...body.matchAll(pattern)];
     const isInOrder = events.every(([, event, owner], index) => Number(event) === index + 1 && owner === id);
-    if (!isInOrder || (isWhole && events.length !== streamEvents)) {
+    if (!isInOrder || (isWhole && events.length !== streamEventCount)) {
         yield `${id} got a stream with a piece missing, doubled or of another: ${JSON.stringify(body)}`;
     }
 }
--- a/test/platform/soak/soakRunners.ts
+++ b/test/platform/soak/soakRunners.ts
@@ -4,9 +4,9 @@
 import { createSeal, type ReceivedRequest, type RunnerBehaviour } from "../standins/runnerStandin.js";
 
 /** Events of a whole stream. */
-export const streamEvents = 12;
-const eventMilliseconds = 15;
-const slowMilliseconds = 900;
+export const streamEventCount = 12;
+const eventIntervalMilliseconds = 15;
+const slowDelayMilliseconds = 900;
 
 /** How a runner fails a part of its requests. */
 export type RunnerFault = "none" | "reset" | "mute" | "truncate" | "error" | "slow";
@@ -32,7 +32,7 @@
             return;
         }
         if (isFaulty && fault === "slow") {
-            await wait(slowMilliseconds);
+            await wait(slowDelayMilliseconds);
         }
         const breaksOff = isFaulty && fault === "truncate";
         await (request.target.startsWith("/stream/")
@@ -41,30 +41,30 @@
     };
 }
 
-async function answerWhole(request: ReceivedRequest, response: ServerResponse, breaksOff: boolean): Promise<void> {
+async function answerWhole(request: ReceivedRequest, response: ServerResponse, isTruncated: boolean): Promise<void> {
     const body = createWholeBody(String(request.headers["attempt-id"]));
     response.writeHead(200, { ...createSeal(request), "Content-Length": String(body.length) });
-    if (breaksOff) {
+    if (isTruncated) {
         response.write(body.slice(0, body.length / 2));
-        await wait(eventMilliseconds);
+        await wait(eventIntervalMilliseconds);
         response.socket?.destroy();
         return;
     }
     response.end(body);
 }
 
-async function answerStream(request: ReceivedRequest, response: ServerResponse, breaksOff: boolean): Promise<void> {
+async function answerStream(request: ReceivedRequest, response: ServerResponse, isTruncated: boolean): Promise<void> {
     response.writeHead(200, { ...createSeal(request), "Content-Type": "text/event-stream" });
     const first = Number(request.headers["last-event-id"] ?? 0) + 1;
-    for (let id = first; id <= streamEvents; id += 1) {
-        if (breaksOff && id === Math.floor((first + streamEvents) / 2)) {
+    for (let id = first; id <= streamEventCount; id += 1) {
+        if (isTruncated && id === Math.floor((first + streamEventCount) / 2)) {
             response.write(`id: ${id}\nda`);
-            await wait(eventMilliseconds);
+            await wait(eventIntervalMilliseconds);
             response.socket?.destroy();
             return;
         }
         response.write(`id: ${id}\ndata: ${request.headers["attempt-id"]}\n\n`);
-        await wait(eventMilliseconds);
+        await wait(eventIntervalMilliseconds);
     }
     response.end();
 }
--- a/test/platform/standins/storeStandin.ts
+++ b/test/platform/standins/storeStandin.ts
@@ -20,22 +20,22 @@
 }
 
 /** A producer's repeat of one of so many last appends gets its first answer again. */
-const keptAnswers = 5;
+const retainedAnswers = 5;
 
 /** What the store does to its callers. */
-export type StoreMood = "well" | "busy" | "silent" | "loses-answers";
+export type StoreFault = "well" | "busy" | "silent" | "loses-answers";
 
 /** Keeps topics in memory. */
 export class StoreStandin {
     readonly #topics = new Map<string, StoredRecord[]>();
     readonly #firstOffsets = new Map<string, number>();
-    readonly #waiting = new Set<() => void>();
+    readonly #waitingReads = new Set<() => void>();
     /** By topic and name. */
     readonly #producers = new Map<string, Producer>();
     readonly #server: Server;
-    mood: StoreMood = "well";
+    fault: StoreFault = "well";
     /** Moods for single callers, by their address. */
-    readonly moods = new Map<string, StoreMood>();
+    readonly faultsByCaller = new Map<string, StoreFault>();
     /** How much longer the reads of single topics take, in milliseconds. */
     readonly readDelays = new Map<string, number>();
     /** Calls that were answered or refused, as `METHOD PATH ADDRESS`. */
@@ -85,8 +85,8 @@
 
     #append(topic: string, records: readonly StoredRecord[]): void {
         this.#getRecords(topic).push(...records);
-        for (const wake of [...this.#waiting]) {
-            wake();
+        for (const notify of [...this.#waitingReads]) {
+            notify();
         }
     }
 
@@ -102,12 +102,12 @@
     async #answer(request: IncomingMessage, response: ServerResponse): Promise<void> {
         const url = new URL(request.url ?? "/", "http://store");
         const caller = request.socket.remoteAddress ?? "";
-        const mood = this.moods.get(caller) ?? this.mood;
+        const fault = this.faultsByCaller.get(caller) ?? this.fault;
         this.calls.push(`${request.method} ${url.pathname} ${caller}`);
-        if (mood === "silent") {
+        if (fault === "silent") {
             return;
         }
-        if (mood === "busy") {
+        if (fault === "busy") {
             response.writeHead(429).end();
             return;
         }
@@ -123,7 +123,7 @@
                 await this.#answerRead(topic, url.searchParams, response);
                 return;
             case "/v1/log-append":
-                await this.#answerAppend(topic, url.searchParams, request, response, mood);
+                await this.#answerAppend(topic, url.searchParams, request, response, fault);
                 return;
             default:
                 response.writeHead(404).end();
@@ -161,7 +161,7 @@
         return new Promise(resolve => {
             const finish = (): void => {
                 clearTimeout(timer);
-                this.#waiting.delete(check);
+                this.#waitingReads.delete(check);
                 resolve();
             };
             const check = (): void => {
@@ -170,7 +170,7 @@
                 }
             };
             const timer = setTimeout(finish, milliseconds);
-            this.#waiting.add(check);
+            this.#waitingReads.add(check);
             check();
         });
     }
@@ -180,21 +180,22 @@
         query: URLSearchParams,
         request: IncomingMessage,
         response: ServerResponse,
-        mood: StoreMood,
+        fault: StoreFault,
     ): Promise<void> {
         const pieces: Buffer[] = [];
         for await (const piece of request as AsyncIterable<Buffer>) {
             pieces.push(piece);
         }
-        const answer = this.#takeTurn(topic, query) ?? this.#appendInTurn(topic, query, decode(Buffer.concat(pieces)));
-        if (mood === "loses-answers") {
+        const answer = this.#checkSequence(topic, query)
+            ?? this.#appendSequenced(topic, query, decode(Buffer.concat(pieces)));
+        if (fault === "loses-answers") {
             return;
         }
         response.writeHead(answer.status).end(JSON.stringify(answer.body));
     }
 
     /** Returns the answer to an append that is a repeat, or that does not follow the producer's last one. */
-    #takeTurn(topic: string, query: URLSearchParams): AppendAnswer | undefined {
+    #checkSequence(topic: string, query: URLSearchParams): AppendAnswer | undefined {
         const known = this.#producers.get(`${topic} ${query.get("producer")}`);
         const epoch = Number(query.get("epoch"));
         const sequence = Number(query.get("seq_no"));
@@ -205,14 +206,14 @@
             return { status: 409, body: { reason: "fenced" } };
         }
         const last = known.answers.at(-1)!.sequence;
-        const first = known.answers.slice(-keptAnswers).find(answer => answer.sequence === sequence);
+        const first = known.answers.slice(-retainedAnswers).find(answer => answer.sequence === sequence);
         if (first !== undefined) {
             return first.answer;
         }
         return sequence === last + 1 ? undefined : { status: 409, body: { reason: "seq", seq_no: last + 1 } };
     }
 
-    #appendInTurn(topic: string, query: URLSearchParams, records: readonly StoredRecord[]): AppendAnswer {
+    #appendSequenced(topic: string, query: URLSearchParams, records: readonly StoredRecord[]): AppendAnswer {
         const offset = this.#getRecords(topic).length;
         this.#append(topic, records);
         const answer = { status: 200, body: { offset, end_offset: offset + records.length } };
--- a/test/platform/start.test.ts
+++ b/test/platform/start.test.ts
@@ -55,12 +55,12 @@
     // The store is away while a node starts, and there is no peer to read through. Callers that wait for it would wait in vain, so
     // they learn soon that nothing has run and when to come back; those that come later are not kept waiting at all.
     it("refuses callers soon, and serves them when the store is back", async () => {
-        site.store.mood = "silent";
+        site.store.fault = "silent";
         const alone = site.startNode(1);
         const refused = await sendFirst(site, alone);
         expect([refused.status, JSON.parse(refused.body).outcome]).toEqual([503, "not-run"]);
         expect(Number(refused.headers["retry-after"]) > 0).toEqual(true);
-        site.store.mood = "well";
+        site.store.fault = "well";
         await waitUntil(async () => (await site.send(alone)).status === 200, { what: "the store's return" });
     });
 });
--- a/test/platform/storeAway.test.ts
+++ b/test/platform/storeUnavailable.test.ts
@@ -33,14 +33,14 @@
     // for longer than the bound, also not through that machine.
     it("hear from each other what the store does not tell them", async () => {
         for (const [index, node] of site.nodes.entries()) {
-            site.store.moods.clear();
-            site.store.moods.set(node.address, "busy");
+            site.store.faultsByCaller.clear();
+            site.store.faultsByCaller.set(node.address, "busy");
             site.store.put("keyed.op", "config", createConfiguration(10 + index, ["key"]));
             const inForce = () =>
                 node.events.some(event => event.name === "routes-in-force" && event.version === 10 + index);
             await waitUntil(inForce, { what: `version ${10 + index} at ${node.address}`, boundMilliseconds: 3_000 });
         }
-        site.store.moods.clear();
+        site.store.faultsByCaller.clear();
     });
 
     // The store is away for good, and nobody can know whether a key has been taken away since. After the bound, keys are
@@ -48,14 +48,14 @@
     it("accept no keys by knowledge that is too old, and do again when the store is back", async () => {
         const [node] = site.nodes;
         expect((await site.send(node)).status).toEqual(200);
-        site.store.mood = "silent";
+        site.store.fault = "silent";
         const refused = await waitUntil(async () => {
             const answer = await site.send(node);
             return answer.status === 503 ? answer : undefined;
         }, { what: "the refusal", boundMilliseconds: 12_000 });
         expect(JSON.parse(refused.body)).toEqual({ ...JSON.parse(refused.body), error: "stale", outcome: "not-run" });
         expect(Number(refused.headers["retry-after"]) > 0).toEqual(true);
-        site.store.mood = "well";
+        site.store.fault = "well";
         for (const other of site.nodes) {
             await waitUntil(async () => (await site.send(other)).status === 200, { what: "the store's return" });
         }
@@ -65,13 +65,13 @@
     // know, and until then it must say "later", not "no".
     it("start again by what their peers know", async () => {
         const before = site.nodes[2];
-        site.store.moods.set(before.address, "silent");
+        site.store.faultsByCaller.set(before.address, "silent");
         before.child.kill("SIGKILL");
         await before.exited;
         const node = site.startNode(3);
         await site.waitForReady(node);
         expect((await site.send(node)).status).toEqual(200);
-        site.store.moods.clear();
+        site.store.faultsByCaller.clear();
     });
 
     // A node is told to stop while it answers. The platform and callers must see that it leaves, and the answer must end.
@@ -87,7 +87,9 @@
         const answering = site.send(node, { path: "/booking/1" });
         await new Promise(resolve => setTimeout(resolve, 100));
         node.child.kill("SIGTERM");
-        await waitUntil(async () => (await site.ask(node, 7_002, "/v1/readyz"))?.status === 503, { what: "not ready" });
+        await waitUntil(async () => (await site.request(node, 7_002, "/v1/readyz"))?.status === 503, {
+            what: "not ready",
+        });
         await site.waitForAddresses(site.nodes[0], 2);
         expect((await answering).status).toEqual(200);
         expect(await node.exited).toEqual(0);
--- a/test/platform/upstreamClient.test.ts
+++ b/test/platform/upstreamClient.test.ts
@@ -10,10 +10,10 @@
 import { createRawRunner } from "./standins/runnerStandin.js";
 
 const host = "127.71.1.1";
-const open: { close(): unknown; }[] = [];
+const openResources: { close(): unknown; }[] = [];
 
 afterEach(async () => {
-    for (const part of open.splice(0)) {
+    for (const part of openResources.splice(0)) {
         await part.close();
     }
 });
@@ -21,13 +21,13 @@
 async function listen(server: Server): Promise<RegisteredUpstream> {
     server.listen(0, host);
     await once(server, "listening");
-    open.push(server);
+    openResources.push(server);
     return createUpstream("i-1", { address: `${host}:${(server.address() as AddressInfo).port}` });
 }
 
 function createClient(): UpstreamClient {
     const client = new UpstreamClient({ getConnectionLimit: () => 1 });
-    open.push(client);
+    openResources.push(client);
     return client;
 }
 
@@ -97,7 +97,7 @@
 
     it("says that nothing was sent where nobody listens", async () => {
         const upstream = await listen(createRawRunner(() => {}));
-        await new Promise(resolve => (open.splice(0)[0] as Server).close(resolve));
+        await new Promise(resolve => (openResources.splice(0)[0] as Server).close(resolve));
         expect((await createClient().call(upstream, createCall()))._unsafeUnwrapErr().kind).toEqual("not-sent");
     });
 
--- a/test/platform/wireNames.test.ts
+++ b/test/platform/wireNames.test.ts
@@ -5,9 +5,9 @@
 import { headerNames, servedPaths, storePaths, topics } from "../../src/platform/wire.js";
 
 /** Names that ordinary code may hold as well: only the platform's own spellings are looked for. */
-const ordinary: ReadonlySet<string> = new Set(["retry-after", "last-event-id", "/metrics"]);
+const genericNames: ReadonlySet<string> = new Set(["retry-after", "last-event-id", "/metrics"]);
 /** Rooms of the product that serve the platform through its types only. */
-const rooms = ["routing", "topics", "fleet", "forwarding", "rollouts", "decisions", "membership", "events", "common"];
+const folders = ["routing", "topics", "fleet", "forwarding", "rollouts", "decisions", "membership", "events", "common"];
 
 function findFiles(folder: string): string[] {
     return readdirSync(folder, { withFileTypes: true, recursive: true })
@@ -20,9 +20,9 @@
     it("stand in platform/ alone", () => {
         const names = [headerNames, storePaths, servedPaths, topics]
             .flatMap(table => Object.values(table))
-            .filter(name => /[-/.]/.test(name) && !ordinary.has(name));
+            .filter(name => /[-/.]/.test(name) && !genericNames.has(name));
         const found: string[] = [];
-        for (const file of rooms.flatMap(room => findFiles(join("src", room)))) {
+        for (const file of folders.flatMap(room => findFiles(join("src", room)))) {
             const text = readFileSync(file, "utf8").toLowerCase();
             for (const name of names.filter(candidate => text.includes(`"${candidate}"`))) {
                 found.push(`${file}: ${name}`);
@@ -34,7 +34,7 @@
     it("lead to one client of the store, one of upstreams and one reader of topics", () => {
         const users = findFiles("src/platform").filter(file => /new Pool\(/.test(readFileSync(file, "utf8")));
         expect(users.sort()).toEqual(["src/platform/storeClient.ts", "src/platform/upstreamClient.ts"]);
-        const readers = rooms.flatMap(room => findFiles(join("src", room)))
+        const readers = folders.flatMap(room => findFiles(join("src", room)))
             .filter(file => /from "undici"/.test(readFileSync(file, "utf8")));
         expect(readers).toEqual([]);
     });
--- a/test/proofs/leases.test.ts
+++ b/test/proofs/leases.test.ts
@@ -125,12 +125,12 @@
         const present = createChannel(900);
         const former = createChannel(800);
         for (const engine of [checking, obeying]) {
-            const reached = await present.bring(reach(engine), { engine, versions: wanted, role: "serve" });
+            const reached = await present.reconcile(reach(engine), { engine, versions: wanted, role: "serve" });
             expect(reached.isOk()).toEqual(true);
         }
-        const refused = await former.bring(reach(checking), { engine: checking, versions: stale, role: "serve" });
+        const refused = await former.reconcile(reach(checking), { engine: checking, versions: stale, role: "serve" });
         expect(refused.isErr() && refused.error.kind).toEqual("stale");
-        const obeyed = await former.bring(reach(obeying), { engine: obeying, versions: stale, role: "serve" });
+        const obeyed = await former.reconcile(reach(obeying), { engine: obeying, versions: stale, role: "serve" });
         expect(obeyed._unsafeUnwrap().versions).toEqual(stale);
         const before = (await readEngineRuns(site)).length;
         for (let round = 0; round < 5; round += 1) {
@@ -139,7 +139,7 @@
         }
         const runs = (await readEngineRuns(site)).filter(run => run.ran !== run.asked);
         expect([runs, (await readEngineRuns(site)).length > before]).toEqual([[], true]);
-        const mended = await present.bring(reach(obeying), { engine: obeying, versions: wanted, role: "serve" });
+        const mended = await present.reconcile(reach(obeying), { engine: obeying, versions: wanted, role: "serve" });
         expect([...mended._unsafeUnwrap().versions].sort()).toEqual(wanted);
     });
 });
@@ -156,7 +156,7 @@
     proof: ProofSite,
 ): Promise<{ readonly fences: readonly number[]; readonly grants: readonly Grant[]; }> {
     const leases = new LeaseFold();
-    const rollouts = new RolloutFold({ isCurrentFence: fence => leases.isCurrentFence(lease, fence) });
+    const rollouts = new RolloutFold({ isCurrentFencingToken: fence => leases.isCurrentFencingToken(lease, fence) });
     const fences: number[] = [];
     const grants: Grant[] = [];
     leases.onChange(state => {
@@ -222,7 +222,7 @@
 
 function createChannel(fence: number): OrderChannel {
     const journal = new Journal({ process: "test", clock: systemClock, write: () => undefined });
-    return new OrderChannel({ getFence: () => fence, clock: systemClock, journal });
+    return new OrderChannel({ getFencingToken: () => fence, clock: systemClock, journal });
 }
 
 function reach(address: string): EngineControl {
--- a/test/rollouts/versionGate.test.ts
+++ b/test/rollouts/chooseVersion.test.ts
@@ -1,8 +1,8 @@
 import { expect } from "earl";
 import fc from "fast-check";
 import { describe, it } from "node:test";
+import { chooseVersion } from "../../src/rollouts/chooseVersion.js";
 import type { RolloutOrder, RolloutProgress } from "../../src/rollouts/index.js";
-import { chooseVersion } from "../../src/rollouts/versionGate.js";
 
 const order: RolloutOrder = { id: 5, pool: "app", version: "v2", durationMilliseconds: 20_000 };
 
--- a/test/rollouts/peerReports.test.ts
+++ b/test/rollouts/peerReports.test.ts
@@ -7,7 +7,7 @@
 const none = { answers: 0, failures: 0, timed: 0, logSum: 0, logSquares: 0 };
 
 function createReport(order: number, currentInFlight: number): EvidenceReport {
-    return { order, currentInFlight, lanes: new Map([["route", { current: counts, candidate: none }]]) };
+    return { order, currentInFlight, segments: new Map([["route", { current: counts, candidate: none }]]) };
 }
 
 function createPeers(count: number): { readonly origin: string; readonly value: Buffer; }[] {
@@ -21,7 +21,7 @@
     it("adds up this node's counts and those of all others", () => {
         const total = new PeerReports().getTotal(createReport(7, 3), createPeers(4));
         expect(total.currentInFlight).toEqual(11);
-        expect(total.lanes.get("route")?.current.answers).toEqual(50);
+        expect(total.segments.get("route")?.current.answers).toEqual(50);
     });
 
     it("passes over reports on another order, and what it cannot read", () => {
--- a/test/rollouts/planRollout.test.ts
+++ b/test/rollouts/planRollout.test.ts
@@ -11,7 +11,7 @@
         order,
         progress: undefined,
         elapsedMilliseconds: 0,
-        announcedMilliseconds: 0,
+        announcementAgeMilliseconds: 0,
         isBad: false,
         candidates: 3,
         currents: 3,
@@ -24,15 +24,20 @@
 }
 
 /** Runs a roll-out to its end, a step each 200 ms, and returns what it went through. */
-function run(
+function runRollout(
     change: (elapsed: number) => Partial<RolloutSituation>,
 ): { readonly at: number; readonly progress: RolloutProgress; }[] {
     const steps: { readonly at: number; readonly progress: RolloutProgress; }[] = [];
     for (let elapsed = 0; elapsed <= 24_000; elapsed += 200) {
         const progress = steps.at(-1)?.progress;
-        const announcedMilliseconds = elapsed - (steps.at(0)?.at ?? elapsed);
+        const announcementAgeMilliseconds = elapsed - (steps.at(0)?.at ?? elapsed);
         const next = planRollout(
-            createSituation({ progress, elapsedMilliseconds: elapsed, announcedMilliseconds, ...change(elapsed) }),
+            createSituation({
+                progress,
+                elapsedMilliseconds: elapsed,
+                announcementAgeMilliseconds,
+                ...change(elapsed),
+            }),
         );
         if (next !== undefined) {
             steps.push({ at: elapsed, progress: next });
@@ -43,7 +48,7 @@
 
 describe("planRollout", () => {
     it("exposes few sessions in the first half, then all, and completes in time", () => {
-        const steps = run(elapsed => ({ currentInFlight: elapsed > 15_000 ? 0 : 4 }));
+        const steps = runRollout(elapsed => ({ currentInFlight: elapsed > 15_000 ? 0 : 4 }));
         expect(steps.map(step => step.progress.share)).toEqual([0, 0.0675, 0.35, 1, 1]);
         expect(steps[2].at >= 10_000).toEqual(true);
         expect(steps.at(-1)?.progress.state).toEqual("completed");
@@ -53,7 +58,7 @@
     // Nodes move sessions by their rank alone. Had they not told each other before which of them the old version serves, a caller
     // would be answered by the new version after the old one.
     it("announces the first step before it takes it", () => {
-        const steps = run(() => ({}));
+        const steps = runRollout(() => ({}));
         expect([steps[0].at, steps[0].progress.share, steps[0].progress.firstShare]).toEqual([0, 0, 0.0675]);
         expect([steps[1].at, steps[1].progress.share]).toEqual([1_600, 0.0675]);
     });
@@ -72,12 +77,12 @@
 
     // Requests at work at the old upstreams are broken off when the roll-out completes: they stop at once.
     it("waits for requests at the old upstreams, but not beyond the time", () => {
-        const steps = run(() => ({ currentInFlight: 2 }));
+        const steps = runRollout(() => ({ currentInFlight: 2 }));
         expect([steps.at(-1)?.at, steps.at(-1)?.progress.state]).toEqual([17_200, "completed"]);
     });
 
     it("reverts a bad version at once, and stays with that", () => {
-        const steps = run(elapsed => ({ isBad: elapsed >= 4_000 }));
+        const steps = runRollout(elapsed => ({ isBad: elapsed >= 4_000 }));
         expect(steps.map(step => step.progress.state)).toEqual(["moving", "moving", "reverted"]);
         expect(steps.at(-1)?.at).toEqual(4_000);
     });
@@ -85,14 +90,14 @@
     // The new version's upstreams never come, or all of them crash. The roll-out would stay under way for good, and the operator would
     // never be told that the old version goes on.
     it("is reverted when its time is over and nobody runs the new version", () => {
-        const steps = run(() => ({ candidates: 0 }));
+        const steps = runRollout(() => ({ candidates: 0 }));
         expect([steps.at(-1)?.at, steps.at(-1)?.progress.state]).toEqual([20_000, "reverted"]);
-        const unknown = run(() => ({ candidates: 0, currents: 0 }));
+        const unknown = runRollout(() => ({ candidates: 0, currents: 0 }));
         expect(unknown.at(-1)?.progress.state).toEqual("moving");
     });
 
     it("waits for upstreams of the new version", () => {
-        const steps = run(elapsed => ({ candidates: elapsed < 3_000 ? 0 : 2 }));
+        const steps = runRollout(elapsed => ({ candidates: elapsed < 3_000 ? 0 : 2 }));
         expect(steps.slice(0, 2).map(step => [step.at, step.progress.share])).toEqual([[0, 0], [3_000, 0.0675]]);
     });
 
@@ -103,7 +108,7 @@
         });
         fc.assert(
             fc.property(events, changes => {
-                const steps = run(elapsed => changes[elapsed / 200]).map(step => step.progress);
+                const steps = runRollout(elapsed => changes[elapsed / 200]).map(step => step.progress);
                 for (const [index, step] of steps.slice(1).entries()) {
                     const before = steps[index];
                     expect(before.state).toEqual("moving");
--- a/test/rollouts/poolSessions.test.ts
+++ b/test/rollouts/poolSessions.test.ts
@@ -10,18 +10,18 @@
 function createSessions() {
     const clock = new ManualClock();
     const written: PinReport[] = [];
-    const endings: ((hasSucceeded: boolean) => void)[] = [];
+    const resolveWrites: ((hasSucceeded: boolean) => void)[] = [];
     const sessions = new PoolSessions({
         self: "n-1",
         clock,
         sessionMilliseconds: 5_000,
         writePins: report => {
             written.push(report);
-            return new Promise(resolve => endings.push(resolve));
+            return new Promise(resolve => resolveWrites.push(resolve));
         },
     });
     const endWrite = async (hasSucceeded: boolean): Promise<void> => {
-        endings.shift()!(hasSucceeded);
+        resolveWrites.shift()!(hasSucceeded);
         await new Promise(resolve => setImmediate(resolve));
     };
     return { clock, sessions, written, endWrite };
@@ -30,12 +30,12 @@
 describe("PoolSessions", () => {
     it("reports the sessions that the old version serves, once", async () => {
         const { sessions, written, endWrite } = createSessions();
-        sessions.begin("s-1", "v1");
-        sessions.begin("s-2", "v2");
-        sessions.pinServed(order, 1);
-        void sessions.tellPins(order);
+        sessions.startRequest("s-1", "v1");
+        sessions.startRequest("s-2", "v2");
+        sessions.pinServedSessions(order, 1);
+        void sessions.reportPins(order);
         await endWrite(true);
-        void sessions.tellPins(order);
+        void sessions.reportPins(order);
         expect(written).toEqual([{ order: order.id, ranks: [getSessionRank(order, "s-1")] }]);
     });
 
@@ -43,12 +43,12 @@
     it("writes one report after the other", async () => {
         const { sessions, written, endWrite } = createSessions();
         sessions.pin(order, 1, "s-1");
-        void sessions.tellPins(order);
+        void sessions.reportPins(order);
         sessions.pin(order, 1, "s-2");
-        void sessions.tellPins(order);
+        void sessions.reportPins(order);
         expect(written.length).toEqual(1);
         await endWrite(true);
-        void sessions.tellPins(order);
+        void sessions.reportPins(order);
         expect(written.map(report => report.ranks.length)).toEqual([1, 2]);
     });
 
@@ -56,13 +56,13 @@
     it("waits before it tries again what could not be written", async () => {
         const { clock, sessions, written, endWrite } = createSessions();
         sessions.pin(order, 1, "s-1");
-        void sessions.tellPins(order);
+        void sessions.reportPins(order);
         await endWrite(false);
         clock.advance(900);
-        void sessions.tellPins(order);
+        void sessions.reportPins(order);
         expect(written.length).toEqual(1);
         clock.advance(200);
-        void sessions.tellPins(order);
+        void sessions.reportPins(order);
         expect(written.length).toEqual(2);
     });
 });
--- a/test/rollouts/rolloutEnd.test.ts
+++ b/test/rollouts/rolloutEnd.test.ts
@@ -5,9 +5,9 @@
 
 const durationMilliseconds = 6_000;
 /** After its time is over a roll-out has to end within this, as long as one node lives and reaches the store. */
-const slackMilliseconds = 5_000;
+const completionSlackMilliseconds = 5_000;
 /** The order and each step, of which the next one waits for the news of the one before. */
-const mostRecords = 6;
+const maxRecords = 6;
 
 async function createFleet(
     nodes: number,
@@ -40,7 +40,7 @@
                 for (let index = 0; index < nodes - 1; index += 1) {
                     fleet.kill(index);
                 }
-                await fleet.run(durationMilliseconds + slackMilliseconds - killedAt);
+                await fleet.run(durationMilliseconds + completionSlackMilliseconds - killedAt);
                 expect([killedAt, fleet.getProgress()?.state]).toEqual([killedAt, "completed"]);
             }
         });
@@ -77,8 +77,10 @@
                             fleet.kill(index);
                         }
                     }
-                    const lateMilliseconds = unsteadyShare === 0 ? 0 : mostRecords * nextReadMilliseconds;
-                    await fleet.run(Math.max(0, durationMilliseconds + slackMilliseconds + lateMilliseconds - elapsed));
+                    const lateMilliseconds = unsteadyShare === 0 ? 0 : maxRecords * nextReadMilliseconds;
+                    await fleet.run(
+                        Math.max(0, durationMilliseconds + completionSlackMilliseconds + lateMilliseconds - elapsed),
+                    );
                     expect(fleet.getProgress()?.state).toEqual("completed");
                 },
             ),
--- a/test/rollouts/rollouts.test.ts
+++ b/test/rollouts/rollouts.test.ts
@@ -21,24 +21,24 @@
 };
 const none = { answers: 0, failures: 0, timed: 0, logSum: 0, logSquares: 0 };
 
-interface Site {
+interface RolloutNode {
     readonly rollouts: Rollouts;
     readonly registry: UpstreamRegistry;
     readonly written: RolloutProgress[];
-    readonly counts: { looks: number; published: number; };
+    readonly counts: { evidenceReads: number; published: number; };
     /** Lets time pass, tick by tick. */
     readonly run: (ticks: number) => void;
 }
 
 /** A node of a rank, before the reports of others. Its wall clock may be ahead of the others'. */
-function createSite(rank: number, peers: readonly Buffer[], aheadMilliseconds = 0): Site {
+function createNode(rank: number, peers: readonly Buffer[], clockAheadMilliseconds = 0): RolloutNode {
     const clock = new ManualClock();
     const registry = new UpstreamRegistry(clock);
     const written: RolloutProgress[] = [];
-    const counts = { looks: 0, published: 0 };
+    const counts = { evidenceReads: 0, published: 0 };
     const rollouts = new Rollouts({
         self: "self",
-        clock: { monotonic: () => clock.monotonic(), wall: () => clock.wall() + aheadMilliseconds },
+        clock: { monotonic: () => clock.monotonic(), wall: () => clock.wall() + clockAheadMilliseconds },
         journal: createJournal().journal,
         registry,
         exposureShare: 0.1,
@@ -47,7 +47,7 @@
         getMemberCount: () => peers.length + 1,
         publishEvidence: () => counts.published += 1,
         getEvidence: () => {
-            counts.looks += 1;
+            counts.evidenceReads += 1;
             return peers.map((value, index) => ({ origin: `n-${index}`, value }));
         },
         publishHalt: () => undefined,
@@ -71,7 +71,7 @@
     return encodeReport({
         order: order.id,
         currentInFlight: 0,
-        lanes: new Map([["route", { current: none, candidate }]]),
+        segments: new Map([["route", { current: none, candidate }]]),
     });
 }
 
@@ -80,16 +80,16 @@
     // square of the fleet, and callers wait behind it.
     it("looks at the others' reports at each tick only where it is among the first by rank", () => {
         const peers = Array.from({ length: 194 }, () => createBadReport());
-        const first = createSite(0, peers);
-        const late = createSite(100, peers);
+        const first = createNode(0, peers);
+        const late = createNode(100, peers);
         first.run(50);
         late.run(50);
-        expect(first.counts.looks).toEqual(50);
-        expect(late.counts.looks).toEqual(10);
+        expect(first.counts.evidenceReads).toEqual(50);
+        expect(late.counts.evidenceReads).toEqual(10);
     });
 
     it("finds a bad version by what others saw, on a node far back in rank within a second", () => {
-        const site = createSite(100, [createBadReport()]);
+        const site = createNode(100, [createBadReport()]);
         site.run(5);
         expect(site.rollouts.select("pool", "session", []).upstreams).toEqual([]);
         site.run(1_000);
@@ -98,9 +98,9 @@
 
     // A caller was answered by two versions, and the nodes' lines did not say what each of them knew of its session.
     it("says why a request gets its version, while a roll-out is under way", () => {
-        const site = createSite(0, []);
+        const site = createNode(0, []);
         const upstream = createUpstream("u1", { pool: "pool" });
-        site.rollouts.begin(upstream, "session");
+        site.rollouts.startRequest(upstream, "session");
         expect(site.rollouts.select("pool", "session", [upstream]).reason?.startsWith("current: share 0")).toEqual(
             true,
         );
@@ -110,7 +110,7 @@
     // A VM's time of day jumps. Its node took the difference for time that had passed since the order, and moved sessions before
     // half of the time was over.
     it("takes no step too soon when its wall clock is ahead of that of the node which began", () => {
-        const site = createSite(0, [], 10_000);
+        const site = createNode(0, [], 10_000);
         site.registry.set(createUpstream("u1", { pool: "pool", version: "v2" }));
         site.rollouts.setProgress("pool", { ...announced, orderedAt: 0 });
         site.run(55);
@@ -118,7 +118,7 @@
     });
 
     it("knows by the wall clock how much time is left when it was started after the order", () => {
-        const site = createSite(0, [], 20_000);
+        const site = createNode(0, [], 20_000);
         site.registry.set(createUpstream("u1", { pool: "pool", version: "v2" }));
         site.rollouts.setProgress("pool", { ...announced, step: 2, share: announced.firstShare, orderedAt: 0 });
         site.run(1);
@@ -127,7 +127,7 @@
 
     // News of an earlier step comes once more, after the later one. Sessions that have moved would go back to the old version.
     it("does not go back to an earlier step that it hears of again", () => {
-        const site = createSite(1, []);
+        const site = createNode(1, []);
         const upstreams = ["v1", "v2"].map(version => createUpstream(version, { pool: "pool", version }));
         const select = (): string => site.rollouts.select("pool", "session", upstreams).upstreams[0].version;
         site.rollouts.setProgress("pool", { ...announced, step: 4, share: 1 });
@@ -136,13 +136,13 @@
     });
 
     it("publishes nothing that is known already", () => {
-        const site = createSite(100, []);
+        const site = createNode(100, []);
         site.run(50);
         expect(site.counts.published).toEqual(1);
     });
 
     it("takes the first step at once where it is the first by rank", () => {
-        const site = createSite(0, []);
+        const site = createNode(0, []);
         site.run(2);
         expect(site.written[0]?.state).toEqual("moving");
     });
--- a/test/rollouts/sessionVersions.test.ts
+++ b/test/rollouts/sessionVersions.test.ts
@@ -4,7 +4,7 @@
 
 const durationMilliseconds = 24_000;
 
-async function play(nodes: number, requestsPerSecond: number, seed: number): Promise<RolloutFleet> {
+async function runRollout(nodes: number, requestsPerSecond: number, seed: number): Promise<RolloutFleet> {
     const fleet = new RolloutFleet({
         nodes,
         seed,
@@ -24,7 +24,7 @@
     for (const [nodes, requestsPerSecond] of [[2, 60], [18, 80], [90, 405], [350, 1_600]]) {
         it(`stay on the old version in the first half, also at a node that has not seen them, at ${nodes} nodes`, async () => {
             for (const seed of [1, 2, 3]) {
-                const fleet = await play(nodes, requestsPerSecond, seed);
+                const fleet = await runRollout(nodes, requestsPerSecond, seed);
                 const early = fleet.changes.filter(({ at, to }) => to === "v2" && at < durationMilliseconds / 2);
                 expect(early).toEqual([]);
             }
@@ -33,7 +33,7 @@
 
     it("are not taken back to the old version while the new one is good", async () => {
         for (const seed of [1, 2, 3]) {
-            const fleet = await play(90, 405, seed);
+            const fleet = await runRollout(90, 405, seed);
             expect(fleet.changes.filter(({ to }) => to === "v1")).toEqual([]);
             expect(fleet.getProgress()?.state).toEqual("completed");
         }
@@ -41,7 +41,7 @@
 
     // A bad version is to show by few callers; without any in the first half it would be found among all of them.
     it("begin on the new version in small numbers in the first half", async () => {
-        const fleet = await play(90, 405, 1);
+        const fleet = await runRollout(90, 405, 1);
         const met = fleet.answeredInFirstHalf.get("v2") ?? 0;
         expect(met >= 10).toEqual(true);
         expect(met < 0.0975 * 0.5 * 405 * 12).toEqual(true);
