--- a/src/bills/billAppender.ts
+++ b/src/bills/billAppender.ts
@@ -6,7 +6,7 @@
 import type { LogRecord } from "../log/record.js";
 import { type Bill, billsFormat, billsKind, billsStream } from "./bill.js";
 
-const bytesInRecord = 200_000;
+const maxBytesPerRecord = 200_000;
 
 /** Appends batches of bills. */
 export class BillAppender {
@@ -29,7 +29,7 @@
      * @param bills - The bills that wait, oldest first.
      * @returns The bills that now stand in the log; none if the log did not confirm.
      */
-    async appendSome(bills: Iterable<Bill>): Promise<readonly Bill[]> {
+    async appendBatch(bills: Iterable<Bill>): Promise<readonly Bill[]> {
         this.#unconfirmed ??= this.#createBatch(bills);
         const batch = this.#unconfirmed;
         if (batch.bills.length === 0) {
@@ -51,7 +51,7 @@
         let bytes = 0;
         for (const bill of waiting) {
             bytes += Buffer.byteLength(JSON.stringify(bill));
-            if (bills.length > 0 && bytes > bytesInRecord) {
+            if (bills.length > 0 && bytes > maxBytesPerRecord) {
                 break;
             }
             bills.push(bill);
--- a/src/bills/billKeeper.ts
+++ b/src/bills/billReplicaStore.ts
@@ -13,34 +13,34 @@
 import type { BillCopyTarget } from "./billWriter.js";
 import { packBill, type PackedBill, unpackBill } from "./packedBill.js";
 
-const checkMilliseconds = 1_000;
-const defaultConfirmMilliseconds = 120_000;
-const defaultMaximumBills = 40_000;
+const checkIntervalMilliseconds = 1_000;
+const defaultConfirmTimeoutMilliseconds = 120_000;
+const defaultMaxBills = 40_000;
 const flushPauseMilliseconds = 100;
-const sourceMilliseconds = 1_000;
+const sourceReuseMilliseconds = 1_000;
 
 /** Options of a keeper. */
-export interface BillKeeperOptions {
+export interface BillReplicaStoreOptions {
     readonly append: AppendRecord;
     readonly clock: Clock;
     readonly journal: Journal;
     /** Name of this entry. */
     readonly writer: string;
     /** Tells whether an origin is gone, so that its bills are now this keeper's to append. */
-    readonly isGone: (origin: string) => boolean;
+    readonly hasDeparted: (origin: string) => boolean;
     /**
      * Gives the run of an origin. A process that is killed and started again on its VM within seconds is never seen as
      * gone, and its new run knows nothing of the bills of the old one; they would wait for the time of confirmation.
      */
     readonly getIncarnation?: (origin: string) => string | undefined;
     /** How long an origin that is alive may leave a bill unconfirmed. Longer than its time between appends. */
-    readonly confirmMilliseconds?: number;
-    readonly maximumBills?: number;
+    readonly confirmTimeoutMilliseconds?: number;
+    readonly maxBills?: number;
     /** The peers to hand copies to when this entry leaves while the log is away. */
     readonly getCopyTargets?: () => readonly BillCopyTarget[];
 }
 
-interface KeptBill {
+interface BillReplica {
     readonly requestId: string;
     readonly packed: PackedBill;
     readonly source: BillSource;
@@ -50,32 +50,32 @@
 interface BillSource {
     readonly origin: string;
     readonly incarnation: string | undefined;
-    readonly keptAt: number;
+    readonly retainedAt: number;
 }
 
 /** What is known of the entry that a copy came from. */
 interface OriginState {
-    readonly isGone: boolean;
+    readonly hasDeparted: boolean;
     readonly incarnation: string | undefined;
 }
 
 /** Keeps copies of bills. */
-export class BillKeeper {
-    readonly #options: BillKeeperOptions;
+export class BillReplicaStore {
+    readonly #options: BillReplicaStoreOptions;
     readonly #appender: BillAppender;
-    readonly #kept = new Map<string, KeptBill>();
+    readonly #replicas = new Map<string, BillReplica>();
     readonly #lastSources = new Map<string, BillSource>();
     #timer: NodeJS.Timeout | undefined;
     #isAppending = false;
 
-    constructor(options: BillKeeperOptions) {
+    constructor(options: BillReplicaStoreOptions) {
         this.#options = options;
         this.#appender = new BillAppender({ append: options.append, writer: options.writer });
     }
 
     /** Begins to look for bills whose origin is gone. */
     start(): void {
-        this.#timer ??= setInterval(() => void this.appendDue(), checkMilliseconds);
+        this.#timer ??= setInterval(() => void this.appendDue(), checkIntervalMilliseconds);
         this.#timer.unref();
     }
 
@@ -87,7 +87,7 @@
 
     /** Returns how many copies are kept. */
     getSize(): number {
-        return this.#kept.size;
+        return this.#replicas.size;
     }
 
     /**
@@ -97,23 +97,23 @@
      * @param appended - Request identifiers that stand in the log.
      * @returns The request identifiers that are kept from now on. A bill that cannot be read, or finds no room, is not.
      */
-    keep(origin: string, bills: readonly string[], appended: readonly string[]): readonly string[] {
+    retain(origin: string, bills: readonly string[], appended: readonly string[]): readonly string[] {
         for (const requestId of appended) {
-            this.#kept.delete(requestId);
+            this.#replicas.delete(requestId);
         }
         const source = this.#getSource(origin);
-        const kept: string[] = [];
+        const retained: string[] = [];
         for (const text of bills) {
             const bill = parseBill(text);
-            const hasRoom = this.#kept.size < (this.#options.maximumBills ?? defaultMaximumBills);
+            const hasRoom = this.#replicas.size < (this.#options.maxBills ?? defaultMaxBills);
             if (bill === undefined || !hasRoom) {
                 continue;
             }
             const { requestId } = bill;
-            this.#kept.set(requestId, { requestId, packed: packBill(bill), source });
-            kept.push(requestId);
+            this.#replicas.set(requestId, { requestId, packed: packBill(bill), source });
+            retained.push(requestId);
         }
-        return kept;
+        return retained;
     }
 
     /** Appends the bills whose origin is gone or has not confirmed them in time, as many as one record holds. */
@@ -122,7 +122,7 @@
         const origins = new Map<string, OriginState>();
         // Origins come and go for as long as this process runs.
         this.#lastSources.clear();
-        await this.#appendWhere(kept => this.#isDue(kept, origins));
+        await this.#appendWhere(replica => this.#isDue(replica, origins));
     }
 
     /**
@@ -133,36 +133,39 @@
      */
     async flush(milliseconds: number): Promise<number> {
         const deadline = this.#options.clock.monotonic() + milliseconds;
-        while (this.#kept.size > 0 && this.#options.clock.monotonic() < deadline) {
-            const before = this.#kept.size;
+        while (this.#replicas.size > 0 && this.#options.clock.monotonic() < deadline) {
+            const before = this.#replicas.size;
             await this.#appendWhere(() => true);
-            if (this.#kept.size === before) {
+            if (this.#replicas.size === before) {
                 await new Promise(resolve => setTimeout(resolve, flushPauseMilliseconds));
             }
         }
-        await this.#handOver();
-        return this.#kept.size;
+        await this.#transferReplicas();
+        return this.#replicas.size;
     }
 
     #getSource(origin: string): BillSource {
-        const keptAt = this.#options.clock.monotonic();
+        const retainedAt = this.#options.clock.monotonic();
         const incarnation = this.#options.getIncarnation?.(origin);
         const last = this.#lastSources.get(origin);
-        if (last !== undefined && last.incarnation === incarnation && keptAt - last.keptAt < sourceMilliseconds) {
+        if (
+            last !== undefined && last.incarnation === incarnation
+            && retainedAt - last.retainedAt < sourceReuseMilliseconds
+        ) {
             return last;
         }
-        const source = { origin, incarnation, keptAt };
+        const source = { origin, incarnation, retainedAt };
         this.#lastSources.set(origin, source);
         return source;
     }
 
-    async #handOver(): Promise<void> {
+    async #transferReplicas(): Promise<void> {
         for (const target of this.#options.getCopyTargets?.() ?? []) {
             for (const [origin, bills] of this.#getByOrigin()) {
                 // The origin itself keeps its own bills while it lives.
-                const kept = target.id === origin ? [] : await target.copy(bills, [], origin) ?? [];
-                for (const requestId of kept) {
-                    this.#kept.delete(requestId);
+                const retained = target.id === origin ? [] : await target.copy(bills, [], origin) ?? [];
+                for (const requestId of retained) {
+                    this.#replicas.delete(requestId);
                 }
             }
         }
@@ -170,40 +173,40 @@
 
     #getByOrigin(): ReadonlyMap<string, readonly Bill[]> {
         const byOrigin = new Map<string, Bill[]>();
-        for (const kept of this.#kept.values()) {
-            const { origin } = kept.source;
+        for (const replica of this.#replicas.values()) {
+            const { origin } = replica.source;
             const bills = byOrigin.get(origin) ?? [];
             byOrigin.set(origin, bills);
-            bills.push(unpack(kept));
+            bills.push(unpack(replica));
         }
         return byOrigin;
     }
 
-    #isDue({ source: { origin, incarnation, keptAt } }: KeptBill, origins: Map<string, OriginState>): boolean {
-        const state = origins.get(origin) ?? this.#lookUp(origin);
+    #isDue({ source: { origin, incarnation, retainedAt } }: BillReplica, origins: Map<string, OriginState>): boolean {
+        const state = origins.get(origin) ?? this.#getOriginState(origin);
         origins.set(origin, state);
-        const age = this.#options.clock.monotonic() - keptAt;
-        return state.isGone || state.incarnation !== incarnation
-            || age > (this.#options.confirmMilliseconds ?? defaultConfirmMilliseconds);
+        const age = this.#options.clock.monotonic() - retainedAt;
+        return state.hasDeparted || state.incarnation !== incarnation
+            || age > (this.#options.confirmTimeoutMilliseconds ?? defaultConfirmTimeoutMilliseconds);
     }
 
-    #lookUp(origin: string): OriginState {
-        return { isGone: this.#options.isGone(origin), incarnation: this.#options.getIncarnation?.(origin) };
+    #getOriginState(origin: string): OriginState {
+        return { hasDeparted: this.#options.hasDeparted(origin), incarnation: this.#options.getIncarnation?.(origin) };
     }
 
-    async #appendWhere(isWanted: (kept: KeptBill) => boolean): Promise<void> {
+    async #appendWhere(predicate: (kept: BillReplica) => boolean): Promise<void> {
         if (this.#isAppending) {
             return;
         }
-        const due = [...this.#kept.values()].filter(isWanted);
+        const due = [...this.#replicas.values()].filter(predicate);
         if (due.length === 0) {
             return;
         }
         this.#isAppending = true;
-        const appended = await this.#appender.appendSome(unpackEach(due));
+        const appended = await this.#appender.appendBatch(unpackEach(due));
         this.#isAppending = false;
         for (const { requestId } of appended) {
-            this.#kept.delete(requestId);
+            this.#replicas.delete(requestId);
         }
         if (appended.length > 0) {
             this.#options.journal.write(events.billsTakenOver, { bills: appended.length });
@@ -211,13 +214,13 @@
     }
 }
 
-function unpack({ requestId, packed }: KeptBill): Bill {
+function unpack({ requestId, packed }: BillReplica): Bill {
     return unpackBill(requestId, packed);
 }
 
 /** Unpacks as many as one record holds, and no more. */
-function* unpackEach(kept: Iterable<KeptBill>): Iterable<Bill> {
-    for (const bill of kept) {
+function* unpackEach(replicas: Iterable<BillReplica>): Iterable<Bill> {
+    for (const bill of replicas) {
         yield unpack(bill);
     }
 }
--- a/src/bills/billWriter.ts
+++ b/src/bills/billWriter.ts
@@ -14,15 +14,15 @@
 import { packBill, type PackedBill, unpackBill } from "./packedBill.js";
 
 const defaultIntervalMilliseconds = 1_000;
-const defaultMaximumBills = 20_000;
+const defaultMaxBills = 20_000;
 /** The share of the buffer at which new work is refused; the rest is for what is being answered already. */
-const fullShare = 0.8;
-const copyBatchMilliseconds = 2;
-const copyBillsInCall = 500;
-const defaultCopyMilliseconds = 10_000;
+const fullThreshold = 0.8;
+const copyBatchDelayMilliseconds = 2;
+const maxBillsPerCopyCall = 500;
+const defaultCopyTimeoutMilliseconds = 10_000;
 const flushPauseMilliseconds = 100;
 /** How many peers keep a bill that an entry leaves behind while the log is away. */
-const keepersAtLeaving = 2;
+const replicasOnShutdown = 2;
 
 /** A peer that can keep copies. */
 export interface BillCopyTarget {
@@ -50,32 +50,32 @@
     readonly writer: string;
     /** Time between two appends. It grows with the number of entries, so that all together stay below the log's rate. */
     readonly getIntervalMilliseconds?: () => number;
-    readonly maximumBills?: number;
+    readonly maxBills?: number;
     /** How long a bill may wait for its copy or its append before `add` fails. */
-    readonly copyMilliseconds?: number;
+    readonly copyTimeoutMilliseconds?: number;
 }
 
-type Settler = (result: Result<void, Failure>) => void;
+type ResolveCallback = (result: Result<void, Failure>) => void;
 
 interface WaitingBill {
     readonly requestId: string;
     readonly packed: PackedBill;
     /** The peers that keep a copy. Bills of a batch share the list. */
-    keepers: readonly BillCopyTarget[];
+    replicaHolders: readonly BillCopyTarget[];
     /** Tells those who wait for the bill; nobody does once it has its copy. */
-    settlers: readonly Settler[];
+    resolveCallbacks: readonly ResolveCallback[];
 }
 
 /** One list for all bills that have none: an outage keeps tens of thousands. */
-const noKeepers: readonly BillCopyTarget[] = [];
-const noSettlers: readonly Settler[] = [];
+const noReplicaHolders: readonly BillCopyTarget[] = [];
+const noResolveCallbacks: readonly ResolveCallback[] = [];
 
 /** Writes this entry's bills. */
 export class BillWriter {
     readonly #options: BillWriterOptions;
     readonly #appender: BillAppender;
     readonly #waiting = new Map<string, WaitingBill>();
-    readonly #toCopy: WaitingBill[] = [];
+    readonly #copyQueue: WaitingBill[] = [];
     #copyTimer: NodeJS.Timeout | undefined;
     #appendTimer: NodeJS.Timeout | undefined;
     #appending: Promise<void> | undefined;
@@ -106,7 +106,7 @@
 
     /** Tells whether new billable work must be refused, because its bill might find no room. */
     isFull(): boolean {
-        return this.#waiting.size >= (this.#options.maximumBills ?? defaultMaximumBills) * fullShare;
+        return this.#waiting.size >= (this.#options.maxBills ?? defaultMaxBills) * fullThreshold;
     }
 
     /**
@@ -121,26 +121,31 @@
         return new Promise(resolve => {
             const timer = setTimeout(
                 () => resolve(err(createNotCopiedFailure())),
-                this.#options.copyMilliseconds ?? defaultCopyMilliseconds,
+                this.#options.copyTimeoutMilliseconds ?? defaultCopyTimeoutMilliseconds,
             );
-            const settler = (result: Result<void, Failure>) => {
+            const resolveAdd = (result: Result<void, Failure>) => {
                 clearTimeout(timer);
                 resolve(result);
             };
             const known = this.#waiting.get(bill.requestId);
-            if (known !== undefined && known.keepers.length > 0) {
-                settler(ok(undefined));
+            if (known !== undefined && known.replicaHolders.length > 0) {
+                resolveAdd(ok(undefined));
                 return;
             }
             if (known !== undefined) {
-                known.settlers = [...known.settlers, settler];
+                known.resolveCallbacks = [...known.resolveCallbacks, resolveAdd];
                 return;
             }
             const { requestId } = bill;
-            const waiting = { requestId, packed: packBill(bill), keepers: noKeepers, settlers: [settler] };
+            const waiting = {
+                requestId,
+                packed: packBill(bill),
+                replicaHolders: noReplicaHolders,
+                resolveCallbacks: [resolveAdd],
+            };
             this.#waiting.set(requestId, waiting);
-            this.#toCopy.push(waiting);
-            this.#copyTimer ??= setTimeout(() => void this.#copy(), copyBatchMilliseconds);
+            this.#copyQueue.push(waiting);
+            this.#copyTimer ??= setTimeout(() => void this.#copyBatch(), copyBatchDelayMilliseconds);
         });
     }
 
@@ -162,61 +167,63 @@
             }
         }
         await this.#copyToSecondPeer();
-        const alone = [...this.#waiting.values()].filter(waiting => waiting.keepers.length === 0);
-        if (alone.length === 0) {
+        const unreplicated = [...this.#waiting.values()].filter(waiting => waiting.replicaHolders.length === 0);
+        if (unreplicated.length === 0) {
             return ok(undefined);
         }
-        this.#options.journal.write(events.billsUnsafe, { bills: alone.length });
+        this.#options.journal.write(events.billsUnsafe, { bills: unreplicated.length });
         return err(createNotCopiedFailure());
     }
 
-    async #copy(): Promise<void> {
+    async #copyBatch(): Promise<void> {
         this.#copyTimer = undefined;
-        const batch = this.#toCopy.splice(0, copyBillsInCall);
-        if (this.#toCopy.length > 0) {
-            this.#copyTimer = setTimeout(() => void this.#copy(), 0);
+        const batch = this.#copyQueue.splice(0, maxBillsPerCopyCall);
+        if (this.#copyQueue.length > 0) {
+            this.#copyTimer = setTimeout(() => void this.#copyBatch(), 0);
         }
-        let left = batch;
+        let remaining = batch;
         for (const target of this.#options.getCopyTargets()) {
-            const kept = new Set(await target.copy(left.map(unpack), []) ?? []);
-            const keepers = [target];
-            for (const waiting of left) {
-                if (kept.has(waiting.requestId)) {
-                    await this.#handleCopied(waiting, keepers);
+            const retained = new Set(await target.copy(remaining.map(unpack), []) ?? []);
+            const replicaHolders = [target];
+            for (const waiting of remaining) {
+                if (retained.has(waiting.requestId)) {
+                    await this.#handleCopied(waiting, replicaHolders);
                 }
             }
-            left = left.filter(waiting => !kept.has(waiting.requestId));
-            if (left.length === 0) {
+            remaining = remaining.filter(waiting => !retained.has(waiting.requestId));
+            if (remaining.length === 0) {
                 return;
             }
         }
         // No second VM took them: they are safe only once the log has them, so the append does not wait for its turn.
-        this.#options.journal.write(events.billsNotCopied, { bills: left.length });
+        this.#options.journal.write(events.billsNotCopied, { bills: remaining.length });
         void this.#appendOnce();
     }
 
     async #copyToSecondPeer(): Promise<void> {
         for (const target of this.#options.getCopyTargets()) {
-            const left = [...this.#waiting.values()].filter(({ keepers }) =>
-                keepers.length < keepersAtLeaving && !keepers.some(keeper => keeper.id === target.id)
+            const remaining = [...this.#waiting.values()].filter(({ replicaHolders }) =>
+                replicaHolders.length < replicasOnShutdown && !replicaHolders.some(holder => holder.id === target.id)
             );
-            for (let start = 0; start < left.length; start += copyBillsInCall) {
-                const batch = left.slice(start, start + copyBillsInCall);
-                const kept = new Set(await target.copy(batch.map(unpack), []) ?? []);
-                for (const waiting of batch.filter(({ requestId }) => kept.has(requestId))) {
-                    waiting.keepers = [...waiting.keepers, target];
+            for (let start = 0; start < remaining.length; start += maxBillsPerCopyCall) {
+                const batch = remaining.slice(start, start + maxBillsPerCopyCall);
+                const retained = new Set(await target.copy(batch.map(unpack), []) ?? []);
+                for (const waiting of batch.filter(({ requestId }) => retained.has(requestId))) {
+                    waiting.replicaHolders = [...waiting.replicaHolders, target];
                 }
             }
         }
     }
 
-    async #handleCopied(waiting: WaitingBill, keepers: readonly BillCopyTarget[]): Promise<void> {
-        waiting.keepers = waiting.keepers.length === 0 ? keepers : [...waiting.keepers, ...keepers];
-        settleAll(waiting);
+    async #handleCopied(waiting: WaitingBill, replicaHolders: readonly BillCopyTarget[]): Promise<void> {
+        waiting.replicaHolders = waiting.replicaHolders.length === 0
+            ? replicaHolders
+            : [...waiting.replicaHolders, ...replicaHolders];
+        resolveAll(waiting);
         // The append may have overtaken the copy; its keeper would then never be told and append once more.
         if (this.#waiting.get(waiting.requestId) !== waiting) {
-            for (const keeper of keepers) {
-                await keeper.copy([], [waiting.requestId]);
+            for (const holder of replicaHolders) {
+                await holder.copy([], [waiting.requestId]);
             }
         }
     }
@@ -238,31 +245,31 @@
     }
 
     async #appendBatch(): Promise<void> {
-        const appended = await this.#appender.appendSome(unpackEach(this.#waiting.values()));
-        const told = new Map<BillCopyTarget, string[]>();
+        const appended = await this.#appender.appendBatch(unpackEach(this.#waiting.values()));
+        const appendedByHolder = new Map<BillCopyTarget, string[]>();
         for (const { requestId } of appended) {
             const waiting = this.#waiting.get(requestId);
             this.#waiting.delete(requestId);
             if (waiting === undefined) {
                 continue;
             }
-            settleAll(waiting);
-            for (const keeper of waiting.keepers) {
-                told.set(keeper, [...told.get(keeper) ?? [], requestId]);
+            resolveAll(waiting);
+            for (const holder of waiting.replicaHolders) {
+                appendedByHolder.set(holder, [...appendedByHolder.get(holder) ?? [], requestId]);
             }
         }
-        for (const [keeper, requestIds] of told) {
+        for (const [holder, requestIds] of appendedByHolder) {
             // Unheard, the keeper appends them once more, which the ledger removes.
-            void keeper.copy([], requestIds);
+            void holder.copy([], requestIds);
         }
     }
 }
 
-function settleAll(waiting: WaitingBill): void {
-    const { settlers } = waiting;
-    waiting.settlers = noSettlers;
-    for (const settler of settlers) {
-        settler(ok(undefined));
+function resolveAll(waiting: WaitingBill): void {
+    const { resolveCallbacks } = waiting;
+    waiting.resolveCallbacks = noResolveCallbacks;
+    for (const resolve of resolveCallbacks) {
+        resolve(ok(undefined));
     }
 }
 
--- a/src/bills/index.ts
+++ b/src/bills/index.ts
@@ -1,6 +1,6 @@
 /** Bills: copied to a second VM, appended in batches, counted once by the ledger. */
 export * from "./bill.js";
-export * from "./billKeeper.js";
+export * from "./billReplicaStore.js";
 export * from "./billWriter.js";
 export * from "./ledger.js";
 export * from "./ledgerFile.js";
--- a/src/bills/ledger.ts
+++ b/src/bills/ledger.ts
@@ -84,8 +84,8 @@
         // The run may have ended within a record, so that record is read again and its written bills are repeats.
         this.#offset = Math.max(this.#offset, offset - 1);
         this.#logTime = Math.max(this.#logTime, time);
-        this.#forget();
-        this.#count(bill);
+        this.#forgetExpired();
+        this.#addToTotals(bill);
     }
 
     /**
@@ -99,7 +99,7 @@
         }
         this.#offset = entry.offset;
         this.#logTime = Math.max(this.#logTime, entry.time);
-        this.#forget();
+        this.#forgetExpired();
         const body = billsBodySchema.safeParse(entry.record.body);
         if (entry.record.kind !== billsKind || !body.success) {
             return [];
@@ -109,7 +109,7 @@
         for (const bill of body.data.bills) {
             const total = this.#billed.get(bill.requestId)?.total ?? older.get(bill.requestId);
             if (total === undefined) {
-                this.#count(bill);
+                this.#addToTotals(bill);
                 first.push(bill);
             }
             else {
@@ -156,7 +156,7 @@
         return old.length === 0 ? new Map() : findOlder(new Set(old.map(bill => bill.requestId)));
     }
 
-    #forget(): void {
+    #forgetExpired(): void {
         const before = this.#logTime - (this.#options.windowMilliseconds ?? Number.POSITIVE_INFINITY);
         for (const [requestId, { time }] of this.#billed) {
             if (time >= before) {
@@ -166,7 +166,7 @@
         }
     }
 
-    #count(bill: Bill): void {
+    #addToTotals(bill: Bill): void {
         this.#requests += 1;
         this.#billed.set(bill.requestId, { total: bill.total, time: this.#logTime });
         const before = this.#workspaces.get(bill.workspace);
--- a/src/bills/ledgerFile.ts
+++ b/src/bills/ledgerFile.ts
@@ -21,12 +21,12 @@
 
     /**
      * Reads the lines of earlier runs, and cuts off a last line that has no end.
-     * @param take - Takes each line in order.
+     * @param onLine - Takes each line in order.
      */
-    restore(take: (line: LedgerLine) => void): void {
-        const rest = this.#read(take);
-        if (rest > 0) {
-            ftruncateSync(this.#descriptor, fstatSync(this.#descriptor).size - rest);
+    restore(onLine: (line: LedgerLine) => void): void {
+        const incompleteBytes = this.#readLines(onLine);
+        if (incompleteBytes > 0) {
+            ftruncateSync(this.#descriptor, fstatSync(this.#descriptor).size - incompleteBytes);
         }
     }
 
@@ -36,7 +36,7 @@
      */
     find(requestIds: ReadonlySet<string>): ReadonlyMap<string, number> {
         const found = new Map<string, number>();
-        this.#read(({ bill }) => {
+        this.#readLines(({ bill }) => {
             if (requestIds.has(bill.requestId)) {
                 found.set(bill.requestId, bill.total);
             }
@@ -55,14 +55,14 @@
     }
 
     /** Reads all lines, and returns how many bytes at the end belong to a line without an end. */
-    #read(take: (line: LedgerLine) => void): number {
+    #readLines(onLine: (line: LedgerLine) => void): number {
         const size = fstatSync(this.#descriptor).size;
         let position = 0;
         let rest: Buffer = Buffer.alloc(0);
         while (position < size) {
             const chunk = Buffer.alloc(Math.min(chunkBytes, size - position));
             position += readSync(this.#descriptor, chunk, 0, chunk.length, position);
-            rest = takeLines(Buffer.concat([rest, chunk]), take);
+            rest = parseLines(Buffer.concat([rest, chunk]), onLine);
         }
         return rest.length;
     }
@@ -73,10 +73,10 @@
     }
 }
 
-function takeLines(bytes: Buffer, take: (line: LedgerLine) => void): Buffer {
+function parseLines(bytes: Buffer, onLine: (line: LedgerLine) => void): Buffer {
     let start = 0;
     for (let end = bytes.indexOf(newline); end >= 0; end = bytes.indexOf(newline, start)) {
-        take(JSON.parse(bytes.toString("utf8", start, end)) as LedgerLine);
+        onLine(JSON.parse(bytes.toString("utf8", start, end)) as LedgerLine);
         start = end + 1;
     }
     return bytes.subarray(start);
--- a/src/bills/ledgerProgram.ts
+++ b/src/bills/ledgerProgram.ts
@@ -11,7 +11,7 @@
 import { LedgerFile } from "./ledgerFile.js";
 
 /** After this long a stop closes connections that are still at work. */
-const closeBoundMilliseconds = 1_000;
+const closeTimeoutMilliseconds = 1_000;
 /** Request identifiers stay in memory for so long, by the log's time; older ones are looked up in the file. */
 const defaultWindowMilliseconds = 24 * 3_600_000;
 
@@ -62,7 +62,7 @@
         });
         this.#file?.restore(line => {
             this.#ledger.restore(line);
-            this.#show([line.bill]);
+            this.#addToListing([line.bill]);
         });
         this.#reader = options.follow({
             stream: billsStream,
@@ -70,7 +70,7 @@
             onEntry: entry => {
                 const bills = this.#ledger.apply(entry);
                 this.#file?.write(bills.map((bill): LedgerLine => ({ offset: entry.offset, time: entry.time, bill })));
-                this.#show(bills);
+                this.#addToListing(bills);
             },
             onGap: earliest => this.#ledger.handleGap(earliest),
         });
@@ -102,9 +102,9 @@
             return;
         }
         const closed = new Promise<void>(resolve => server.close(() => resolve()));
-        const bound = setTimeout(() => server.closeAllConnections(), closeBoundMilliseconds);
+        const timer = setTimeout(() => server.closeAllConnections(), closeTimeoutMilliseconds);
         await closed;
-        clearTimeout(bound);
+        clearTimeout(timer);
     }
 
     /** Returns the totals. */
@@ -117,7 +117,7 @@
         };
     }
 
-    #show(bills: readonly Bill[]): void {
+    #addToListing(bills: readonly Bill[]): void {
         if (this.#options.listen !== undefined) {
             this.#bills.push(...bills);
         }
--- a/src/bills/peerBills.ts
+++ b/src/bills/peerBills.ts
@@ -3,12 +3,12 @@
  */
 import type { CopyBillsReply, CopyBillsRequest } from "../generated/peer.js";
 import type { Member, Membership, NodeIdentity, PeerClient } from "../membership/index.js";
-import type { BillKeeper } from "./billKeeper.js";
+import type { BillReplicaStore } from "./billReplicaStore.js";
 import type { BillCopyTarget } from "./billWriter.js";
 
-const callMilliseconds = 500;
+const callTimeoutMilliseconds = 500;
 /** After so many peers that do not answer, waiting for the log is the quicker way. */
-const maximumTargets = 3;
+const maxTargets = 3;
 
 /** Options of asking peers to keep copies. */
 export interface PeerBillsOptions {
@@ -29,22 +29,24 @@
     const { self, membership } = options;
     const others = membership.getAlive()
         .filter(member => member.id !== self.id && member.failureDomain !== self.failureDomain)
-        .sort((left, right) => rank(left, self) - rank(right, self) || compareFrom(self.id, left.id, right.id));
-    return others.slice(0, maximumTargets).map(member => createTarget(options, member));
+        .sort((left, right) =>
+            getRegionRank(left, self) - getRegionRank(right, self) || compareInRing(self.id, left.id, right.id)
+        );
+    return others.slice(0, maxTargets).map(member => createTarget(options, member));
 }
 
 /**
  * Answers a peer's call.
- * @param keeper - This node's keeper.
+ * @param store - This node's keeper.
  * @param request - The call.
  * @param getCounter - Gives this node's Lamport counter.
  */
 export function handleCopyBills(
-    keeper: BillKeeper,
+    store: BillReplicaStore,
     request: CopyBillsRequest,
     getCounter: () => number,
 ): CopyBillsReply {
-    const kept = keeper.keep(request.origin, request.bills, request.appended);
+    const kept = store.retain(request.origin, request.bills, request.appended);
     return { kept: [...kept], counter: getCounter() };
 }
 
@@ -58,18 +60,18 @@
                 appended: [...appended],
                 counter: getCounter(),
             };
-            const reply = await client.copyBills(member, request, callMilliseconds);
+            const reply = await client.copyBills(member, request, callTimeoutMilliseconds);
             return reply.match(({ kept }) => kept, () => undefined);
         },
     };
 }
 
-function rank(member: Member, self: NodeIdentity): number {
+function getRegionRank(member: Member, self: NodeIdentity): number {
     return member.region === self.region ? 0 : 1;
 }
 
 /** Orders identifiers in a ring that begins after this node's, so that not all nodes ask the same peer. */
-function compareFrom(start: string, left: string, right: string): number {
+function compareInRing(start: string, left: string, right: string): number {
     if ((left > start) !== (right > start)) {
         return left > start ? -1 : 1;
     }
--- a/src/claims/claimClient.ts
+++ b/src/claims/claimClient.ts
@@ -25,11 +25,11 @@
 import type { PoolDecision } from "./collectorPool.js";
 
 const defaultValidityMilliseconds = 20_000;
-const defaultRepeatMilliseconds = 10 * 60_000;
-const firstRepeatPauseMilliseconds = 500;
-const maximumRepeatPauseMilliseconds = 30_000;
+const defaultRetryTimeoutMilliseconds = 10 * 60_000;
+const initialRetryPauseMilliseconds = 500;
+const maxRetryPauseMilliseconds = 30_000;
 /** Longest outcome that is kept; a longer one is kept as "completed" without its text. */
-export const maximumOutcomeCharacters = 16_384;
+export const maxOutcomeCharacters = 16_384;
 
 /** What is wanted. */
 export interface ClaimRequest {
@@ -51,7 +51,7 @@
 }
 
 /** The key belongs to another claim. */
-export interface LostClaim {
+export interface DeniedClaim {
     /** `held`: the other has no outcome yet, and perhaps never will. `completed`: it has. */
     readonly kind: "held" | "completed";
     /** What the key is claimed for. */
@@ -61,10 +61,10 @@
 }
 
 /** How a claim ended. */
-export type ClaimVerdict = GrantedClaim | LostClaim;
+export type ClaimVerdict = GrantedClaim | DeniedClaim;
 
 /** Asks a partition's collector, wherever it runs. Undefined when it cannot be reached. */
-export type AskCollector = (
+export type RemoteDecider = (
     partition: number,
     operation: ClaimOperation,
 ) => Promise<PoolDecision | undefined>;
@@ -76,13 +76,16 @@
     readonly clock: Clock;
     readonly journal: Journal;
     /** Asks the partition's own collector on another node; undefined when that is this node or it is out of reach. */
-    readonly askPeer: AskCollector;
+    readonly decideRemotely: RemoteDecider;
     /** Decides on this node. */
-    readonly decideHere: (partition: number, operations: readonly ClaimOperation[]) => Promise<readonly PoolDecision[]>;
+    readonly decideLocally: (
+        partition: number,
+        operations: readonly ClaimOperation[],
+    ) => Promise<readonly PoolDecision[]>;
     /** How long a grant may be used without asking again. Must be far below the lifetime of a run's key. */
     readonly validityMilliseconds?: number;
     /** How long to go on writing a release or an outcome that the log did not confirm. */
-    readonly repeatMilliseconds?: number;
+    readonly retryTimeoutMilliseconds?: number;
     readonly createId?: () => string;
 }
 
@@ -90,7 +93,7 @@
 export class ClaimClient {
     readonly #options: ClaimClientOptions;
     readonly #createId: () => string;
-    readonly #repeats = new Set<NodeJS.Timeout>();
+    readonly #retryTimers = new Set<NodeJS.Timeout>();
     #isStopped = false;
 
     constructor(options: ClaimClientOptions) {
@@ -101,10 +104,10 @@
     /** Gives up the releases and outcomes that still wait for the log. */
     stop(): void {
         this.#isStopped = true;
-        for (const timer of this.#repeats) {
+        for (const timer of this.#retryTimers) {
             clearTimeout(timer);
         }
-        this.#repeats.clear();
+        this.#retryTimers.clear();
     }
 
     /**
@@ -120,7 +123,7 @@
         if (decided.isErr()) {
             if (decided.error.mayHaveTakenEffect && getPurpose(key) === "run") {
                 this.#options.journal.write(events.claimAbandoned, { request: request.requestId, claim: operation.id });
-                this.#repeatLater({ ...operation, kind: "release" }, startedAt);
+                this.#scheduleRetry({ ...operation, kind: "release" }, startedAt);
             }
             return err(decided.error);
         }
@@ -146,7 +149,7 @@
     async complete(
         options: { readonly key: string; readonly claimId: string; readonly value: string; readonly outcome: string; },
     ): Promise<Result<void, Failure>> {
-        const outcome = options.outcome.length > maximumOutcomeCharacters ? "" : options.outcome;
+        const outcome = options.outcome.length > maxOutcomeCharacters ? "" : options.outcome;
         const operation: ClaimOperation = {
             kind: "complete",
             id: options.claimId,
@@ -157,7 +160,7 @@
         const startedAt = this.#options.clock.monotonic();
         const decided = await this.#decide(operation);
         if (decided.isErr()) {
-            this.#repeatLater(operation, startedAt);
+            this.#scheduleRetry(operation, startedAt);
         }
         return decided.map(() => undefined);
     }
@@ -173,7 +176,7 @@
         const startedAt = this.#options.clock.monotonic();
         const decided = await this.#decide(operation);
         if (decided.isErr()) {
-            this.#repeatLater(operation, startedAt);
+            this.#scheduleRetry(operation, startedAt);
         }
         return decided.map(() => undefined);
     }
@@ -195,18 +198,18 @@
     }
 
     #createGrant({ id, key, value }: ClaimOperation, startedAt: number): GrantedClaim {
-        const validity = this.#options.validityMilliseconds ?? defaultValidityMilliseconds;
-        const isStillValid = () => this.#options.clock.monotonic() - startedAt < validity;
+        const validityMilliseconds = this.#options.validityMilliseconds ?? defaultValidityMilliseconds;
+        const isStillValid = () => this.#options.clock.monotonic() - startedAt < validityMilliseconds;
         return { kind: "granted", key, value, claimId: id, isStillValid };
     }
 
     async #decide(operation: ClaimOperation): Promise<Result<ClaimDecision, ClaimFailure>> {
         const partition = getPartition(operation.key, this.#options.partitions);
-        const remote = await this.#options.askPeer(partition, operation);
+        const remote = await this.#options.decideRemotely(partition, operation);
         if (remote?.decision !== undefined) {
             return ok(remote.decision);
         }
-        const [local] = await this.#options.decideHere(partition, [operation]);
+        const [local] = await this.#options.decideLocally(partition, [operation]);
         if (local.decision !== undefined) {
             return ok(local.decision);
         }
@@ -214,21 +217,25 @@
     }
 
     /** Goes on writing a release or an outcome that the log did not confirm, until it does or the time is over. */
-    #repeatLater(operation: ClaimOperation, startedAt: number, pauseMilliseconds = firstRepeatPauseMilliseconds): void {
+    #scheduleRetry(
+        operation: ClaimOperation,
+        startedAt: number,
+        pauseMilliseconds = initialRetryPauseMilliseconds,
+    ): void {
         if (this.#isStopped) {
             return;
         }
         const timer = setTimeout(async () => {
-            this.#repeats.delete(timer);
+            this.#retryTimers.delete(timer);
             const decided = await this.#decide(operation);
             const age = this.#options.clock.monotonic() - startedAt;
-            if (decided.isErr() && age < (this.#options.repeatMilliseconds ?? defaultRepeatMilliseconds)) {
-                const longer = Math.min(pauseMilliseconds * 2, maximumRepeatPauseMilliseconds);
-                this.#repeatLater(operation, startedAt, longer);
+            if (decided.isErr() && age < (this.#options.retryTimeoutMilliseconds ?? defaultRetryTimeoutMilliseconds)) {
+                const nextPauseMilliseconds = Math.min(pauseMilliseconds * 2, maxRetryPauseMilliseconds);
+                this.#scheduleRetry(operation, startedAt, nextPauseMilliseconds);
             }
         }, pauseMilliseconds);
         timer.unref();
-        this.#repeats.add(timer);
+        this.#retryTimers.add(timer);
     }
 }
 
--- a/src/claims/claimFold.ts
+++ b/src/claims/claimFold.ts
@@ -24,14 +24,14 @@
     /** How long a session's pin is kept after its last use in the log. */
     readonly pinMilliseconds: number;
     /** How long identifiers of records and of ended claims are kept to recognise a late repeat. */
-    readonly repeatMilliseconds: number;
+    readonly deduplicationMilliseconds: number;
 }
 
 /** The lifetimes when nothing else is set. */
 export const defaultLifetimes: ClaimLifetimes = {
     runMilliseconds: 24 * hourMilliseconds,
     pinMilliseconds: 72 * hourMilliseconds,
-    repeatMilliseconds: hourMilliseconds,
+    deduplicationMilliseconds: hourMilliseconds,
 };
 
 /** Who holds a key. */
@@ -122,8 +122,8 @@
             return { kind, id, verdict: "released", value: operation.value };
         }
         const holding = this.get(key);
-        const isOver = kind !== "claim" && holding?.id !== id;
-        if (holding === undefined || isOver) {
+        const hasEnded = kind !== "claim" && holding?.id !== id;
+        if (holding === undefined || hasEnded) {
             return { kind, id, verdict: "released", value: operation.value };
         }
         if (holding.outcome !== undefined) {
@@ -135,27 +135,27 @@
     /**
      * Returns the share of its lifetime that a pin has spent since its last use in the log.
      * @param key - The pin's key.
-     * @param waitedMilliseconds - Time that has passed since the last folded entry.
+     * @param elapsedMilliseconds - Time that has passed since the last folded entry.
      */
-    getPinAge(key: string, waitedMilliseconds: number): number {
+    getPinAgeFraction(key: string, elapsedMilliseconds: number): number {
         const holding = this.#pins.get(key);
-        const age = this.#logTime + waitedMilliseconds - (holding?.time ?? Number.NEGATIVE_INFINITY);
+        const age = this.#logTime + elapsedMilliseconds - (holding?.time ?? Number.NEGATIVE_INFINITY);
         return age / this.#lifetimes.pinMilliseconds;
     }
 
     /**
      * Returns the state as parts of a snapshot that each fit into a record.
      * @param snapshot - Identifier of the snapshot.
-     * @param itemsInPart - The most holdings, or remembered identifiers, in a part.
-     * @param bytesInPart - The most bytes of holdings in a part.
+     * @param maxItemsPerPart - The most holdings, or remembered identifiers, in a part.
+     * @param maxBytesPerPart - The most bytes of holdings in a part.
      */
-    createSnapshot(snapshot: string, itemsInPart: number, bytesInPart: number): readonly ClaimsSnapshotPart[] {
+    createSnapshot(snapshot: string, maxItemsPerPart: number, maxBytesPerPart: number): readonly ClaimsSnapshotPart[] {
         const chunks = [
-            ...splitHoldings([...this.#runs, ...this.#pins], itemsInPart, bytesInPart)
+            ...splitHoldings([...this.#runs, ...this.#pins], maxItemsPerPart, maxBytesPerPart)
                 .map(holdings => ({ holdings, endedClaims: [], recordIds: [] })),
-            ...split([...this.#endedClaims], itemsInPart)
+            ...split([...this.#endedClaims], maxItemsPerPart)
                 .map(endedClaims => ({ holdings: [], endedClaims, recordIds: [] })),
-            ...split([...this.#recordIds], itemsInPart)
+            ...split([...this.#recordIds], maxItemsPerPart)
                 .map(recordIds => ({ holdings: [], endedClaims: [], recordIds })),
         ];
         const parts = chunks.length === 0 ? [{ holdings: [], endedClaims: [], recordIds: [] }] : chunks;
@@ -258,8 +258,8 @@
     #expire(): void {
         expireHoldings(this.#runs, this.#logTime - this.#lifetimes.runMilliseconds);
         expireHoldings(this.#pins, this.#logTime - this.#lifetimes.pinMilliseconds);
-        expireTimes(this.#endedClaims, this.#logTime - this.#lifetimes.repeatMilliseconds);
-        expireTimes(this.#recordIds, this.#logTime - this.#lifetimes.repeatMilliseconds);
+        expireTimes(this.#endedClaims, this.#logTime - this.#lifetimes.deduplicationMilliseconds);
+        expireTimes(this.#recordIds, this.#logTime - this.#lifetimes.deduplicationMilliseconds);
     }
 }
 
@@ -291,15 +291,15 @@
 
 function splitHoldings(
     holdings: readonly (readonly [string, Holding])[],
-    itemsInPart: number,
-    bytesInPart: number,
+    maxItemsPerPart: number,
+    maxBytesPerPart: number,
 ): (Holding & { key: string; })[][] {
     const chunks: (Holding & { key: string; })[][] = [];
     let chunk: (Holding & { key: string; })[] = [];
     let bytes = 0;
     for (const [key, holding] of holdings) {
         const size = Buffer.byteLength(JSON.stringify({ key, ...holding }));
-        if (chunk.length > 0 && (chunk.length >= itemsInPart || bytes + size > bytesInPart)) {
+        if (chunk.length > 0 && (chunk.length >= maxItemsPerPart || bytes + size > maxBytesPerPart)) {
             chunks.push(chunk);
             chunk = [];
             bytes = 0;
--- a/src/claims/collector.ts
+++ b/src/claims/collector.ts
@@ -24,19 +24,19 @@
 import { getClaimsStream, PartitionReader } from "./partitionReader.js";
 
 const defaultBatchMilliseconds = 4;
-const defaultIntervalMilliseconds = 40;
-const defaultDecideMilliseconds = 2_000;
-const retryMilliseconds = 100;
+const defaultMinAppendIntervalMilliseconds = 40;
+const defaultDecisionTimeoutMilliseconds = 2_000;
+const retryPauseMilliseconds = 100;
 /** A pin that has spent this share of its lifetime is renewed in the log by its next use. */
-const pinRenewalAge = 0.5;
+const pinRenewalAgeFraction = 0.5;
 /** A pin that could not be renewed is still trusted up to this share. */
-const pinTrustAge = 0.75;
-const snapshotAttempts = 5;
-const operationsInRecord = 500;
-const bytesInRecord = 200_000;
-const snapshotItemsInPart = 1_000;
-const snapshotBytesInPart = 150_000;
-const defaultSnapshotMilliseconds = 15 * 60_000;
+const maxPinAgeFraction = 0.75;
+const maxSnapshotAttempts = 5;
+const maxOperationsPerRecord = 500;
+const maxBytesPerRecord = 200_000;
+const maxSnapshotItemsPerPart = 1_000;
+const maxSnapshotBytesPerPart = 150_000;
+const defaultSnapshotIntervalMilliseconds = 15 * 60_000;
 
 /** Options of a collector. */
 export interface CollectorOptions {
@@ -51,17 +51,17 @@
     /** How long an operation waits for others to share its record. */
     readonly batchMilliseconds?: number;
     /** Shortest time between two records of this partition; keeps the site under the log's rate limit. */
-    readonly intervalMilliseconds?: number;
+    readonly minAppendIntervalMilliseconds?: number;
     /** How long an operation may take in all. */
-    readonly decideMilliseconds?: number;
+    readonly decisionTimeoutMilliseconds?: number;
     /** How often a snapshot is written; well below the log's retention. */
-    readonly snapshotMilliseconds?: number;
+    readonly snapshotIntervalMilliseconds?: number;
     /** Tells whether this node is the one to write the partition's snapshots. */
     readonly isDesignated?: () => boolean;
     readonly createId?: () => string;
 }
 
-interface Pending {
+interface PendingOperation {
     readonly operation: ClaimOperation;
     readonly deadline: number;
     readonly resolve: (result: Result<ClaimDecision, ClaimFailure>) => void;
@@ -76,33 +76,33 @@
     readonly #reader: PartitionReader;
     readonly #createId: () => string;
     /** By kind and identifier: a claim and its release carry the same identifier. */
-    readonly #pending = new Map<string, Pending[]>();
-    readonly #queue: Pending[] = [];
+    readonly #pending = new Map<string, PendingOperation[]>();
+    readonly #queue: PendingOperation[] = [];
     #timer: NodeJS.Timeout | undefined;
     #snapshotTimer: NodeJS.Timeout | undefined;
     #isAppending = false;
     #lastAppendAt = Number.NEGATIVE_INFINITY;
-    #usedAt: number;
+    #lastUsedAt: number;
     #isStopped = false;
 
     constructor(options: CollectorOptions) {
         this.#options = options;
         this.#createId = options.createId ?? randomUUID;
-        this.#usedAt = options.clock.monotonic();
+        this.#lastUsedAt = options.clock.monotonic();
         this.#reader = new PartitionReader({
             partition: options.partition,
             follow: options.follow,
             clock: options.clock,
             journal: options.journal,
             lifetimes: options.lifetimes ?? defaultLifetimes,
-            onDecisions: decisions => this.#settle(decisions),
+            onDecisions: decisions => this.#resolveDecided(decisions),
         });
     }
 
     /** Begins to follow the partition. */
     start(): void {
         this.#reader.start();
-        const interval = this.#options.snapshotMilliseconds ?? defaultSnapshotMilliseconds;
+        const interval = this.#options.snapshotIntervalMilliseconds ?? defaultSnapshotIntervalMilliseconds;
         this.#snapshotTimer ??= setInterval(() => void this.#writeSnapshotWhenDue(), interval / 4);
         this.#snapshotTimer.unref();
     }
@@ -112,15 +112,15 @@
         this.#isStopped = true;
         clearTimeout(this.#timer);
         clearInterval(this.#snapshotTimer);
-        for (const waiting of [...this.#pending.values()].flat()) {
-            this.#finish(waiting, err(new ClaimFailure(waiting.mayHaveTakenEffect)));
+        for (const pending of [...this.#pending.values()].flat()) {
+            this.#resolve(pending, err(new ClaimFailure(pending.mayHaveTakenEffect)));
         }
         await this.#reader.stop();
     }
 
     /** Returns the milliseconds since the collector was last asked for anything. */
     getIdleTime(): number {
-        return this.#options.clock.monotonic() - this.#usedAt;
+        return this.#options.clock.monotonic() - this.#lastUsedAt;
     }
 
     /**
@@ -128,7 +128,7 @@
      * @param operation - The operation. Asked again with the same identifier, it is the same operation.
      */
     decide(operation: ClaimOperation): Promise<Result<ClaimDecision, ClaimFailure>> {
-        this.#usedAt = this.#options.clock.monotonic();
+        this.#lastUsedAt = this.#options.clock.monotonic();
         const known = this.#decideFromFold(operation);
         if (known !== undefined) {
             return Promise.resolve(ok(known));
@@ -136,19 +136,19 @@
         if (this.#isStopped) {
             return Promise.resolve(err(new ClaimFailure(false)));
         }
-        const milliseconds = this.#options.decideMilliseconds ?? defaultDecideMilliseconds;
+        const timeoutMilliseconds = this.#options.decisionTimeoutMilliseconds ?? defaultDecisionTimeoutMilliseconds;
         return new Promise(resolve => {
-            const pending: Pending = {
+            const pending: PendingOperation = {
                 operation,
-                deadline: this.#options.clock.monotonic() + milliseconds,
+                deadline: this.#options.clock.monotonic() + timeoutMilliseconds,
                 resolve,
                 timer: undefined,
                 mayHaveTakenEffect: false,
                 isDone: false,
             };
-            const name = getPendingName(operation.kind, operation.id);
-            this.#pending.set(name, [...this.#pending.get(name) ?? [], pending]);
-            pending.timer = setTimeout(() => this.#giveUp(pending), milliseconds);
+            const pendingKey = getPendingKey(operation.kind, operation.id);
+            this.#pending.set(pendingKey, [...this.#pending.get(pendingKey) ?? [], pending]);
+            pending.timer = setTimeout(() => this.#handleTimeout(pending), timeoutMilliseconds);
             this.#queue.push(pending);
             this.#schedule(this.#options.batchMilliseconds ?? defaultBatchMilliseconds);
         });
@@ -167,48 +167,48 @@
             return undefined;
         }
         if (getPurpose(operation.key) === "pin") {
-            return this.#readPin(operation, pinRenewalAge);
+            return this.#readPin(operation, pinRenewalAgeFraction);
         }
         const decision = fold.decide(operation);
         return decision.verdict === "granted" ? undefined : decision;
     }
 
     /** Answers from a pin that is younger than a share of its lifetime, so that it cannot have expired unseen. */
-    #readPin(operation: ClaimOperation, maximumAge: number): ClaimDecision | undefined {
+    #readPin(operation: ClaimOperation, maxAgeFraction: number): ClaimDecision | undefined {
         const fold = this.#reader.getFold();
-        const age = fold?.getPinAge(operation.key, this.#reader.getEntryAge());
-        return age !== undefined && age < maximumAge ? fold?.decide(operation) : undefined;
+        const age = fold?.getPinAgeFraction(operation.key, this.#reader.getEntryAge());
+        return age !== undefined && age < maxAgeFraction ? fold?.decide(operation) : undefined;
     }
 
     /** Answers when the time is over: sessions go on with the pins that they have while the log is away. */
-    #giveUp(pending: Pending): void {
+    #handleTimeout(pending: PendingOperation): void {
         const { operation, mayHaveTakenEffect } = pending;
         const isPin = operation.kind === "claim" && getPurpose(operation.key) === "pin";
-        const known = isPin ? this.#readPin(operation, pinTrustAge) : undefined;
-        this.#finish(pending, known === undefined ? err(new ClaimFailure(mayHaveTakenEffect)) : ok(known));
+        const known = isPin ? this.#readPin(operation, maxPinAgeFraction) : undefined;
+        this.#resolve(pending, known === undefined ? err(new ClaimFailure(mayHaveTakenEffect)) : ok(known));
     }
 
-    #settle(decisions: readonly ClaimDecision[]): void {
+    #resolveDecided(decisions: readonly ClaimDecision[]): void {
         for (const decision of decisions) {
-            for (const pending of this.#pending.get(getPendingName(decision.kind, decision.id)) ?? []) {
-                this.#finish(pending, ok(decision));
+            for (const pending of this.#pending.get(getPendingKey(decision.kind, decision.id)) ?? []) {
+                this.#resolve(pending, ok(decision));
             }
         }
     }
 
-    #finish(pending: Pending, result: Result<ClaimDecision, ClaimFailure>): void {
+    #resolve(pending: PendingOperation, result: Result<ClaimDecision, ClaimFailure>): void {
         if (pending.isDone) {
             return;
         }
         pending.isDone = true;
         clearTimeout(pending.timer);
-        const name = getPendingName(pending.operation.kind, pending.operation.id);
-        const others = (this.#pending.get(name) ?? []).filter(other => other !== pending);
+        const pendingKey = getPendingKey(pending.operation.kind, pending.operation.id);
+        const others = (this.#pending.get(pendingKey) ?? []).filter(other => other !== pending);
         if (others.length === 0) {
-            this.#pending.delete(name);
+            this.#pending.delete(pendingKey);
         }
         else {
-            this.#pending.set(name, others);
+            this.#pending.set(pendingKey, others);
         }
         pending.resolve(result);
     }
@@ -217,12 +217,12 @@
         if (this.#timer !== undefined || this.#isAppending || this.#isStopped || this.#queue.length === 0) {
             return;
         }
-        const interval = this.#options.intervalMilliseconds ?? defaultIntervalMilliseconds;
-        const earliest = this.#lastAppendAt + interval - this.#options.clock.monotonic();
+        const interval = this.#options.minAppendIntervalMilliseconds ?? defaultMinAppendIntervalMilliseconds;
+        const minDelayMilliseconds = this.#lastAppendAt + interval - this.#options.clock.monotonic();
         this.#timer = setTimeout(() => {
             this.#timer = undefined;
             void this.#appendBatch();
-        }, Math.max(waitMilliseconds, earliest));
+        }, Math.max(waitMilliseconds, minDelayMilliseconds));
     }
 
     async #appendBatch(): Promise<void> {
@@ -230,22 +230,22 @@
         if (batch.length > 0) {
             this.#isAppending = true;
             const operations = batch.map(pending => pending.operation);
-            await this.#appendUntilSettled(this.#createRecord(claimsKind, { operations }), batch);
+            await this.#appendWithRetries(this.#createRecord(claimsKind, { operations }), batch);
             this.#isAppending = false;
         }
         this.#schedule(0);
     }
 
-    #takeBatch(): readonly Pending[] {
-        const batch: Pending[] = [];
+    #takeBatch(): readonly PendingOperation[] {
+        const batch: PendingOperation[] = [];
         let bytes = 0;
-        while (this.#queue.length > 0 && batch.length < operationsInRecord) {
+        while (this.#queue.length > 0 && batch.length < maxOperationsPerRecord) {
             const size = Buffer.byteLength(JSON.stringify(this.#queue[0].operation));
-            if (batch.length > 0 && bytes + size > bytesInRecord) {
+            if (batch.length > 0 && bytes + size > maxBytesPerRecord) {
                 break;
             }
             const pending = this.#queue.shift();
-            if (pending !== undefined && !this.#isOver(pending)) {
+            if (pending !== undefined && !this.#isExpired(pending)) {
                 batch.push(pending);
                 bytes += size;
             }
@@ -258,9 +258,9 @@
      * process that was paused in between must not write what its callers were already told has failed, so the
      * deadline is looked at right before each append.
      */
-    async #appendUntilSettled(record: LogRecord, batch: readonly Pending[]): Promise<void> {
-        while (!this.#isStopped && batch.some(pending => !this.#isOver(pending))) {
-            const before = batch.map(pending => pending.mayHaveTakenEffect);
+    async #appendWithRetries(record: LogRecord, batch: readonly PendingOperation[]): Promise<void> {
+        while (!this.#isStopped && batch.some(pending => !this.#isExpired(pending))) {
+            const previousFlags = batch.map(pending => pending.mayHaveTakenEffect);
             for (const pending of batch) {
                 pending.mayHaveTakenEffect = true;
             }
@@ -271,34 +271,36 @@
             }
             if (isCertainlyNotAppended(appended.error)) {
                 for (const [index, pending] of batch.entries()) {
-                    pending.mayHaveTakenEffect = before[index];
+                    pending.mayHaveTakenEffect = previousFlags[index];
                 }
             }
-            await this.#pause(appended.error);
+            await this.#waitBeforeRetry(appended.error);
         }
     }
 
-    async #pause(failure: Failure): Promise<void> {
+    async #waitBeforeRetry(failure: Failure): Promise<void> {
         this.#options.journal.write(events.claimsAppendFailed, {
             partition: this.#options.partition,
             cause: failure.message,
         });
-        const milliseconds = failure.retryAfterMilliseconds ?? retryMilliseconds;
-        await new Promise(resolve => setTimeout(resolve, Math.min(milliseconds, defaultDecideMilliseconds)));
+        const retryAfterMilliseconds = failure.retryAfterMilliseconds ?? retryPauseMilliseconds;
+        await new Promise(resolve =>
+            setTimeout(resolve, Math.min(retryAfterMilliseconds, defaultDecisionTimeoutMilliseconds))
+        );
     }
 
-    #isOver(pending: Pending): boolean {
+    #isExpired(pending: PendingOperation): boolean {
         return pending.isDone || this.#options.clock.monotonic() >= pending.deadline;
     }
 
     async #writeSnapshotWhenDue(): Promise<void> {
         const fold = this.#reader.getFold();
-        const interval = this.#options.snapshotMilliseconds ?? defaultSnapshotMilliseconds;
+        const interval = this.#options.snapshotIntervalMilliseconds ?? defaultSnapshotIntervalMilliseconds;
         const isDesignated = this.#options.isDesignated?.() ?? true;
         if (fold === undefined || fold.getOffset() < 0 || !isDesignated || this.#reader.getSnapshotAge() < interval) {
             return;
         }
-        const parts = fold.createSnapshot(this.#createId(), snapshotItemsInPart, snapshotBytesInPart);
+        const parts = fold.createSnapshot(this.#createId(), maxSnapshotItemsPerPart, maxSnapshotBytesPerPart);
         for (const part of parts) {
             if (!await this.#appendPart(this.#createRecord(claimsSnapshotKind, part))) {
                 // The next round writes a whole new snapshot; readers ignore one with parts missing.
@@ -308,12 +310,12 @@
     }
 
     async #appendPart(record: LogRecord): Promise<boolean> {
-        for (let attempt = 0; attempt < snapshotAttempts && !this.#isStopped; attempt += 1) {
+        for (let attempt = 0; attempt < maxSnapshotAttempts && !this.#isStopped; attempt += 1) {
             const appended = await this.#options.append(getClaimsStream(this.#options.partition), record);
             if (appended.isOk()) {
                 return true;
             }
-            await this.#pause(appended.error);
+            await this.#waitBeforeRetry(appended.error);
         }
         return false;
     }
@@ -323,6 +325,6 @@
     }
 }
 
-function getPendingName(kind: ClaimOperation["kind"], id: string): string {
+function getPendingKey(kind: ClaimOperation["kind"], id: string): string {
     return `${kind} ${id}`;
 }
--- a/src/claims/collectorPool.ts
+++ b/src/claims/collectorPool.ts
@@ -5,8 +5,8 @@
 import type { ClaimDecision, ClaimOperation } from "./claimOperation.js";
 import type { Collector } from "./collector.js";
 
-const reassignMilliseconds = 2_000;
-const idleMilliseconds = 60_000;
+const reassignIntervalMilliseconds = 2_000;
+const idleTimeoutMilliseconds = 60_000;
 
 /** Options of a pool. */
 export interface CollectorPoolOptions {
@@ -40,7 +40,7 @@
     start(): void {
         this.#isStopped = false;
         this.#reassign();
-        this.#timer ??= setInterval(() => this.#reassign(), reassignMilliseconds);
+        this.#timer ??= setInterval(() => this.#reassign(), reassignIntervalMilliseconds);
         this.#timer.unref();
     }
 
@@ -94,7 +94,7 @@
             }
         }
         for (const [partition, collector] of this.#collectors) {
-            if (!this.#options.isDesignated(partition) && collector.getIdleTime() > idleMilliseconds) {
+            if (!this.#options.isDesignated(partition) && collector.getIdleTime() > idleTimeoutMilliseconds) {
                 this.#collectors.delete(partition);
                 void collector.stop();
             }
--- a/src/claims/partitionReader.ts
+++ b/src/claims/partitionReader.ts
@@ -42,16 +42,16 @@
     #gapEnd: number | undefined;
     /** Log time of the first entry after the gap: whatever is missing is older. */
     #missingBefore: number | undefined;
-    #parts = new Map<string, ClaimsSnapshotPart[]>();
-    #snapshotSeenAt: number;
-    #entryAt: number;
+    #snapshotParts = new Map<string, ClaimsSnapshotPart[]>();
+    #lastSnapshotAt: number;
+    #lastEntryAt: number;
     #isStopped = false;
 
     constructor(options: PartitionReaderOptions) {
         this.#options = options;
         this.#fold = new ClaimFold(options.lifetimes);
-        this.#snapshotSeenAt = options.clock.monotonic();
-        this.#entryAt = options.clock.monotonic();
+        this.#lastSnapshotAt = options.clock.monotonic();
+        this.#lastEntryAt = options.clock.monotonic();
         this.#reader = this.#createReader(0);
     }
 
@@ -73,12 +73,12 @@
 
     /** Returns the milliseconds since a whole snapshot of the partition was last read, or since the start. */
     getSnapshotAge(): number {
-        return this.#options.clock.monotonic() - this.#snapshotSeenAt;
+        return this.#options.clock.monotonic() - this.#lastSnapshotAt;
     }
 
     /** Returns the milliseconds since an entry was last read. */
     getEntryAge(): number {
-        return this.#options.clock.monotonic() - this.#entryAt;
+        return this.#options.clock.monotonic() - this.#lastEntryAt;
     }
 
     #createReader(from: number): StreamReader {
@@ -95,25 +95,25 @@
         this.#fold = new ClaimFold(this.#options.lifetimes);
         this.#gapEnd = earliest;
         this.#missingBefore = undefined;
-        this.#parts.clear();
+        this.#snapshotParts.clear();
     }
 
     #handleEntry(entry: LogEntry): void {
-        this.#entryAt = this.#options.clock.monotonic();
+        this.#lastEntryAt = this.#options.clock.monotonic();
         const decisions = this.#fold.apply(entry);
         if (this.#gapEnd === undefined) {
             this.#options.onDecisions(decisions, entry.record.id);
         }
         else {
             this.#missingBefore ??= entry.time;
-            this.#completeByAge();
+            this.#markCompleteByAge();
         }
         if (entry.record.kind === claimsSnapshotKind) {
             this.#handleSnapshotPart(entry.record.body);
         }
     }
 
-    #completeByAge(): void {
+    #markCompleteByAge(): void {
         const { runMilliseconds, pinMilliseconds } = this.#options.lifetimes;
         const age = this.#fold.getLogTime() - (this.#missingBefore ?? this.#fold.getLogTime());
         if (age > Math.max(runMilliseconds, pinMilliseconds)) {
@@ -126,20 +126,20 @@
         if (!parsed.success) {
             return;
         }
-        const parts = this.#parts.get(parsed.data.snapshot) ?? [];
+        const parts = this.#snapshotParts.get(parsed.data.snapshot) ?? [];
         if (parts.some(part => part.part === parsed.data.part)) {
             return;
         }
         parts.push(parsed.data);
-        this.#parts.set(parsed.data.snapshot, parts);
+        this.#snapshotParts.set(parsed.data.snapshot, parts);
         if (parts.length === parsed.data.parts) {
-            this.#parts.clear();
+            this.#snapshotParts.clear();
             this.#handleSnapshot(parts);
         }
     }
 
     #handleSnapshot(parts: readonly ClaimsSnapshotPart[]): void {
-        this.#snapshotSeenAt = this.#options.clock.monotonic();
+        this.#lastSnapshotAt = this.#options.clock.monotonic();
         const covers = parts[0].covers;
         // A complete fold is never replaced: a snapshot by a slow writer is older than it and would move it back. One
         // that leaves out records between what it covers and what can be read would only lead to the same gap again.
@@ -149,9 +149,9 @@
         this.#fold = ClaimFold.fromSnapshot(parts, this.#options.lifetimes);
         this.#gapEnd = undefined;
         this.#options.journal.write(events.claimsRestored, { partition: this.#options.partition, covers });
-        const finished = this.#reader;
+        const previousReader = this.#reader;
         this.#reader = this.#createReader(covers + 1);
         this.#reader.start();
-        void finished.stop();
+        void previousReader.stop();
     }
 }
--- a/src/claims/peerClaims.ts
+++ b/src/claims/peerClaims.ts
@@ -8,11 +8,11 @@
     DecideClaimsRequest,
 } from "../generated/peer.js";
 import type { Membership, PeerClient } from "../membership/index.js";
-import type { AskCollector } from "./claimClient.js";
+import type { RemoteDecider } from "./claimClient.js";
 import type { ClaimDecision, ClaimOperation } from "./claimOperation.js";
 import type { CollectorPool, PoolDecision } from "./collectorPool.js";
 
-const defaultCallMilliseconds = 1_000;
+const defaultCallTimeoutMilliseconds = 1_000;
 const unavailable = "unavailable";
 
 /** Options of asking peers. */
@@ -24,7 +24,7 @@
     /** Gives this node's Lamport counter. */
     readonly getCounter: () => number;
     /** How long a peer may take before this node collects itself. */
-    readonly callMilliseconds?: number;
+    readonly callTimeoutMilliseconds?: number;
 }
 
 /**
@@ -39,7 +39,7 @@
  * Creates the function that asks a partition's collector on another node.
  * @param options - How to reach it.
  */
-export function createAskCollector(options: PeerClaimsOptions): AskCollector {
+export function createRemoteDecider(options: PeerClaimsOptions): RemoteDecider {
     return async (partition, operation) => {
         const collector = options.membership.getCollector(getPartitionName(partition));
         if (collector === undefined || collector.id === options.self) {
@@ -48,17 +48,17 @@
         const request: DecideClaimsRequest = {
             sender: options.self,
             partition,
-            claims: [writeOperation(operation)],
+            claims: [encodeOperation(operation)],
             counter: options.getCounter(),
         };
-        const milliseconds = options.callMilliseconds ?? defaultCallMilliseconds;
-        const reply = await options.client.decideClaims(collector, request, milliseconds);
+        const timeoutMilliseconds = options.callTimeoutMilliseconds ?? defaultCallTimeoutMilliseconds;
+        const reply = await options.client.decideClaims(collector, request, timeoutMilliseconds);
         // A call that got no answer may have been carried out: the collector may still write the operation.
-        const unknown: PoolDecision = { id: operation.id, mayHaveTakenEffect: true };
+        const unknownDecision: PoolDecision = { id: operation.id, mayHaveTakenEffect: true };
         return reply.match(({ decisions }) => {
             const decision = decisions.find(found => found.id === operation.id);
-            return decision === undefined ? unknown : readDecision(operation, decision);
-        }, () => unknown);
+            return decision === undefined ? unknownDecision : decodeDecision(operation, decision);
+        }, () => unknownDecision);
     };
 }
 
@@ -73,15 +73,15 @@
     request: DecideClaimsRequest,
     getCounter: () => number,
 ): Promise<DecideClaimsReply> {
-    const decisions = await pool.decide(request.partition, request.claims.map(readOperation));
-    return { decisions: decisions.map(writeDecision), counter: getCounter() };
+    const decisions = await pool.decide(request.partition, request.claims.map(decodeOperation));
+    return { decisions: decisions.map(encodeDecision), counter: getCounter() };
 }
 
-function writeOperation({ id, key, value, kind, outcome }: ClaimOperation): Claim {
+function encodeOperation({ id, key, value, kind, outcome }: ClaimOperation): Claim {
     return { id, key, value, kind, outcome: outcome ?? "" };
 }
 
-function readOperation({ id, key, value, kind, outcome }: Claim): ClaimOperation {
+function decodeOperation({ id, key, value, kind, outcome }: Claim): ClaimOperation {
     switch (kind) {
         case "release":
             return { kind, id, key, value };
@@ -92,7 +92,7 @@
     }
 }
 
-function writeDecision({ id, decision, mayHaveTakenEffect }: PoolDecision): DecisionMessage {
+function encodeDecision({ id, decision, mayHaveTakenEffect }: PoolDecision): DecisionMessage {
     return {
         id,
         verdict: decision?.verdict ?? unavailable,
@@ -102,8 +102,8 @@
     };
 }
 
-function readDecision({ kind, id }: ClaimOperation, message: DecisionMessage): PoolDecision {
-    const verdict = readVerdict(message.verdict);
+function decodeDecision({ kind, id }: ClaimOperation, message: DecisionMessage): PoolDecision {
+    const verdict = parseVerdict(message.verdict);
     if (verdict === undefined) {
         return { id, mayHaveTakenEffect: message.mayHaveTakenEffect };
     }
@@ -111,7 +111,7 @@
     return { id, mayHaveTakenEffect: true, decision: { kind, id, verdict, value: message.value, outcome } };
 }
 
-function readVerdict(text: string): ClaimDecision["verdict"] | undefined {
+function parseVerdict(text: string): ClaimDecision["verdict"] | undefined {
     switch (text) {
         case "granted":
         case "held":
--- a/src/command/controlSession.ts
+++ b/src/command/controlSession.ts
@@ -73,7 +73,7 @@
         const { author, timeoutMilliseconds } = this.#options;
         const record = { id: randomUUID(), kind, format: recordFormat, writer: `rattanlock/${author}`, body };
         const known = this.#reader.getOffset();
-        const appended = await this.#client.appendSettled("control", record, known, timeoutMilliseconds);
+        const appended = await this.#client.appendAndConfirm("control", record, known, timeoutMilliseconds);
         if (appended.isErr()) {
             return err(appended.error);
         }
--- a/src/command/operatorSession.ts
+++ b/src/command/operatorSession.ts
@@ -70,7 +70,7 @@
     ): Promise<Result<Verdict, Failure>> {
         const { author, timeoutMilliseconds } = this.#options;
         const record = createPublishRecord({ author, reason, basedOn, changes }, `rattanlock/${author}`);
-        const appended = await this.#client.appendSettled("config", record, basedOn, timeoutMilliseconds);
+        const appended = await this.#client.appendAndConfirm("config", record, basedOn, timeoutMilliseconds);
         if (appended.isErr()) {
             return err(appended.error);
         }
--- a/src/entry/cradle.ts
+++ b/src/entry/cradle.ts
@@ -2,7 +2,7 @@
  * What the parts of an entry can ask the container for.
  */
 import type { Agent, Dispatcher } from "undici";
-import type { BillKeeper, BillWriter } from "../bills/index.js";
+import type { BillReplicaStore, BillWriter } from "../bills/index.js";
 import type { ClaimClient, CollectorPool } from "../claims/index.js";
 import type { Clock, RandomSource } from "../common/index.js";
 import type { ConfigurationReader, SnapshotWriter } from "../configuration/index.js";
@@ -79,7 +79,7 @@
     readonly claims: ClaimClient;
     readonly sessions: Sessions;
     readonly bills: BillWriter;
-    readonly billKeeper: BillKeeper;
+    readonly billKeeper: BillReplicaStore;
     readonly evidence: Evidence;
     readonly answerTimes: AnswerTimes;
     readonly exposures: Exposures;
--- a/src/entry/entry.ts
+++ b/src/entry/entry.ts
@@ -83,7 +83,7 @@
         await parts.driver.stop();
         await parts.orders.stop();
         // An entry that has not heard the news yet may still hand out this one's address, for callers to keep.
-        await sleep(timing.addressesKeepMilliseconds + parts.gossip.getSuspectMilliseconds());
+        await sleep(timing.addressesKeepMilliseconds + parts.gossip.getSuspicionTimeoutMilliseconds());
         await this.#drain();
         await parts.servicePipeline.settle();
         const flushed = await parts.bills.flush(flushMilliseconds);
--- a/src/entry/entryState.ts
+++ b/src/entry/entryState.ts
@@ -39,7 +39,7 @@
         }
         return getEffectiveAge({
             ownAgeMilliseconds,
-            isMajorityAway: membership.isMajorityAway(),
+            isMajorityAway: membership.isMajorityUnreachable(),
             others: this.#getOthers(),
             ownOffset: configuration.getOffset(),
         });
--- a/src/entry/parts/peerParts.ts
+++ b/src/entry/parts/peerParts.ts
@@ -1,12 +1,12 @@
 /**
  * The parts that face the other entries: gossip, membership, claims and bills.
  */
-import { BillKeeper, BillWriter, getBillCopyTargets, handleCopyBills } from "../../bills/index.js";
+import { BillReplicaStore, BillWriter, getBillCopyTargets, handleCopyBills } from "../../bills/index.js";
 import {
     ClaimClient,
     Collector,
     CollectorPool,
-    createAskCollector,
+    createRemoteDecider,
     getPartitionName,
     handleDecideClaims,
     SessionPins,
@@ -56,7 +56,7 @@
             journal,
             transport: peerClient.createGossipTransport(),
             periodMilliseconds: settings.timing.gossipIntervalMilliseconds,
-            bytesPerExchange: gossipBytes,
+            maxValueBytesPerMessage: gossipBytes,
         }),
     membership: ({ self, gossip, clock, journal }) => new Membership({ self, gossip, clock, journal }),
     collectors: ({ self, clock, journal, membership, log, follow, settings }) =>
@@ -73,7 +73,7 @@
                     journal,
                     writer: self.id,
                     batchMilliseconds: settings.timing.claimBatchMilliseconds,
-                    snapshotMilliseconds: settings.timing.snapshotIntervalMilliseconds,
+                    snapshotIntervalMilliseconds: settings.timing.snapshotIntervalMilliseconds,
                     isDesignated: () => isCollector(membership, self.id, partition),
                 }),
         }),
@@ -82,13 +82,13 @@
             partitions: claimPartitions,
             clock,
             journal,
-            askPeer: createAskCollector({
+            decideRemotely: createRemoteDecider({
                 self: self.id,
                 membership,
                 client: peerClient,
                 getCounter: () => journal.getCounter(),
             }),
-            decideHere: (partition, operations) => collectors.decide(partition, operations),
+            decideLocally: (partition, operations) => collectors.decide(partition, operations),
         }),
     sessions: ({ claims, clock, settings }) =>
         new Sessions({
@@ -104,7 +104,7 @@
             clock,
             journal,
             writer: self.id,
-            maximumBills: settings.limits.keptBills,
+            maxBills: settings.limits.keptBills,
             getIntervalMilliseconds: () =>
                 Math.max(
                     settings.timing.billFlushMilliseconds,
@@ -112,14 +112,14 @@
                 ),
         }),
     billKeeper: ({ log, clock, journal, self, membership, peerClient, settings }) =>
-        new BillKeeper({
+        new BillReplicaStore({
             append: (stream, record) => log.append(stream, record),
             getCopyTargets: createCopyTargets({ self, membership, peerClient, journal }),
             clock,
             journal,
             writer: self.id,
-            maximumBills: settings.limits.keptBills,
-            isGone: origin => isGone(membership, origin),
+            maxBills: settings.limits.keptBills,
+            hasDeparted: origin => isGone(membership, origin),
             getIncarnation: origin => membership.getIncarnation(origin),
         }),
     shared: ({ gossip, evidence, exposures, rollouts, runners, configuration, membership }) =>
--- a/src/entry/servicePipeline.ts
+++ b/src/entry/servicePipeline.ts
@@ -3,7 +3,7 @@
  */
 import { err, ok, type Result } from "neverthrow";
 import type { Bill, BillWriter } from "../bills/index.js";
-import { type ClaimClient, createRunKey, type GrantedClaim, type LostClaim } from "../claims/index.js";
+import { type ClaimClient, createRunKey, type DeniedClaim, type GrantedClaim } from "../claims/index.js";
 import { type Clock, Failure, type Outcome } from "../common/index.js";
 import type { EffectiveSettings } from "../configuration/index.js";
 import type { AdmissionController, RetryBudget, RunnerChooser } from "../decisions/index.js";
@@ -162,7 +162,7 @@
         }
     }
 
-    #answerForeignClaim(verdict: LostClaim): Result<ServiceReply, Refusal> {
+    #answerForeignClaim(verdict: DeniedClaim): Result<ServiceReply, Refusal> {
         this.#options.journal.write(events.claimHeldElsewhere, { request: verdict.value });
         if (verdict.kind === "completed" && verdict.outcome !== undefined) {
             return unpackAnswer(verdict.outcome)
--- a/src/log/logClient.ts
+++ b/src/log/logClient.ts
@@ -9,11 +9,11 @@
 import { createTransport, type LogResponse, type LogTransport } from "./transport.js";
 
 const defaultTimeoutMilliseconds = 5_000;
-const defaultSettleMilliseconds = 30_000;
-const settlePauseMilliseconds = 250;
-const settlePageLimit = 500;
+const defaultConfirmTimeoutMilliseconds = 30_000;
+const confirmPauseMilliseconds = 250;
+const searchPageLimit = 500;
 /** The log service takes no larger record. */
-export const maximumRecordBytes = 256 * 1024;
+export const maxRecordBytes = 256 * 1024;
 
 /** Options of a log client. */
 export interface LogClientOptions {
@@ -101,7 +101,7 @@
             return err(createTooNewFailure(stream, record));
         }
         const body = JSON.stringify(record);
-        if (Buffer.byteLength(body) > maximumRecordBytes) {
+        if (Buffer.byteLength(body) > maxRecordBytes) {
             return err(createTooLargeFailure(stream, Buffer.byteLength(body)));
         }
         const response = await this.#request({
@@ -160,27 +160,27 @@
      * @param stream - The stream to append to.
      * @param record - The record.
      * @param knownOffset - An offset that the record lies at or after, known before this call.
-     * @param deadlineMilliseconds - How long to go on trying.
+     * @param timeoutMilliseconds - How long to go on trying.
      */
-    async appendSettled(
+    async appendAndConfirm(
         stream: StreamName,
         record: LogRecord,
         knownOffset: number,
-        deadlineMilliseconds = defaultSettleMilliseconds,
+        timeoutMilliseconds = defaultConfirmTimeoutMilliseconds,
     ): Promise<Result<number, Failure>> {
-        const deadline = this.#clock.monotonic() + deadlineMilliseconds;
-        let uncertain = false;
+        const deadline = this.#clock.monotonic() + timeoutMilliseconds;
+        let isUncertain = false;
         let appended = await this.append(stream, record);
         for (;;) {
-            if (appended.isOk() && !uncertain) {
+            if (appended.isOk() && !isUncertain) {
                 return appended;
             }
             if (appended.isErr() && !isRetryable(appended.error)) {
                 return appended;
             }
-            uncertain ||= appended.isErr() && appended.error.kind === "unavailable";
-            if (uncertain) {
-                const found = await this.#find(stream, record.id, knownOffset);
+            isUncertain ||= appended.isErr() && appended.error.kind === "unavailable";
+            if (isUncertain) {
+                const found = await this.#findRecordOffset(stream, record.id, knownOffset);
                 if (found.isErr() && found.error.kind === "gone") {
                     return err(found.error);
                 }
@@ -188,10 +188,10 @@
                     return ok(found.value);
                 }
             }
-            const pause = appended.isErr() ? appended.error.retryAfterMilliseconds : undefined;
-            const pauseMilliseconds = pause ?? settlePauseMilliseconds;
+            const retryAfterMilliseconds = appended.isErr() ? appended.error.retryAfterMilliseconds : undefined;
+            const pauseMilliseconds = retryAfterMilliseconds ?? confirmPauseMilliseconds;
             if (this.#clock.monotonic() + pauseMilliseconds > deadline) {
-                return err(uncertain ? createUnsettledFailure(stream, record) : createRefusedFailure(stream));
+                return err(isUncertain ? createUnconfirmedFailure(stream, record) : createRefusedFailure(stream));
             }
             await this.#sleep(pauseMilliseconds);
             // Once an append was acknowledged only the reading is left; more repeats would fill the log for nothing.
@@ -201,10 +201,14 @@
         }
     }
 
-    async #find(stream: StreamName, id: string, knownOffset: number): Promise<Result<number | undefined, Failure>> {
+    async #findRecordOffset(
+        stream: StreamName,
+        id: string,
+        knownOffset: number,
+    ): Promise<Result<number | undefined, Failure>> {
         let from = knownOffset;
         for (;;) {
-            const page = await this.read(stream, from, { limit: settlePageLimit });
+            const page = await this.read(stream, from, { limit: searchPageLimit });
             if (page.isErr()) {
                 return err(page.error);
             }
@@ -227,7 +231,7 @@
             return failure === undefined ? ok(response) : err(failure);
         }
         catch (cause) {
-            return err(createLostFailure(request.url, request.method, cause));
+            return err(createNoResponseFailure(request.url, request.method, cause));
         }
     }
 }
@@ -278,7 +282,7 @@
     return undefined;
 }
 
-function createLostFailure(url: string, method: string, cause: unknown): Failure {
+function createNoResponseFailure(url: string, method: string, cause: unknown): Failure {
     const isAppend = method === "POST";
     return new Failure({
         kind: "unavailable",
@@ -293,13 +297,12 @@
 function createTooLargeFailure(stream: string, bytes: number): Failure {
     return new Failure({
         kind: "invalid-input",
-        message:
-            `A record of ${bytes} bytes for the stream ${stream} is above the log's bound of ${maximumRecordBytes}.`,
+        message: `A record of ${bytes} bytes for the stream ${stream} is above the log's bound of ${maxRecordBytes}.`,
         remedy: "Split it into several records.",
     });
 }
 
-function createUnsettledFailure(stream: string, record: LogRecord): Failure {
+function createUnconfirmedFailure(stream: string, record: LogRecord): Failure {
     return new Failure({
         kind: "unavailable",
         message: `It is unknown whether the record ${record.id} reached the stream ${stream}.`,
--- a/src/log/logFollower.ts
+++ b/src/log/logFollower.ts
@@ -8,8 +8,8 @@
 
 const pageLimit = 500;
 const defaultWaitMilliseconds = 2_000;
-const firstBackoffMilliseconds = 100;
-const maximumBackoffMilliseconds = 5_000;
+const initialBackoffMilliseconds = 100;
+const maxBackoffMilliseconds = 5_000;
 
 /** Options of a follower. */
 export interface LogFollowerOptions {
@@ -23,7 +23,7 @@
     /** Told when entries expired before they were read, before reading goes on from `earliest`. */
     readonly onGap: (earliest: number) => void;
     /** Told when everything that the log held was read. `askedAt` is the monotonic time at which that read was sent. */
-    readonly onCaughtUp?: (askedAt: number) => void;
+    readonly onCaughtUp?: (requestedAt: number) => void;
     readonly journal?: Journal;
     /** How long a long poll may wait for a new record. */
     readonly waitMilliseconds?: number;
@@ -37,7 +37,7 @@
     readonly #random: RandomSource;
     readonly #abort = new AbortController();
     #offset: number;
-    #answeredAt: number;
+    #lastContactAt: number;
     #failures = 0;
     #loop: Promise<void> | undefined;
 
@@ -46,7 +46,7 @@
         // Equal seeds would let every node return at the same moment after an outage and overload the log again.
         this.#random = options.random ?? new RandomSource(Math.floor(Math.random() * 2 ** 31));
         this.#offset = options.from;
-        this.#answeredAt = options.clock.monotonic();
+        this.#lastContactAt = options.clock.monotonic();
     }
 
     /** Begins to read. */
@@ -71,12 +71,12 @@
      * Measured from the arrival, an answer that lay in a socket while this process was paused would look fresh.
      */
     getContactAge(): number {
-        return this.#options.clock.monotonic() - this.#answeredAt;
+        return this.#options.clock.monotonic() - this.#lastContactAt;
     }
 
     async #run(): Promise<void> {
         while (!this.#abort.signal.aborted) {
-            const askedAt = this.#options.clock.monotonic();
+            const requestedAt = this.#options.clock.monotonic();
             const page = await this.#options.client.read(this.#options.stream, this.#offset, {
                 limit: pageLimit,
                 waitMilliseconds: this.#options.waitMilliseconds ?? defaultWaitMilliseconds,
@@ -86,11 +86,11 @@
                 return;
             }
             if (page.isOk()) {
-                this.#handleAnswer(askedAt);
-                this.#handlePage(page.value, askedAt);
+                this.#handleResponse(requestedAt);
+                this.#handlePage(page.value, requestedAt);
             }
             else if (page.error instanceof RetentionFailure) {
-                this.#handleAnswer(askedAt);
+                this.#handleResponse(requestedAt);
                 this.#handleGap(page.error.earliest);
             }
             else {
@@ -99,8 +99,8 @@
         }
     }
 
-    #handleAnswer(askedAt: number): void {
-        this.#answeredAt = askedAt;
+    #handleResponse(requestedAt: number): void {
+        this.#lastContactAt = requestedAt;
         if (this.#failures > 0) {
             this.#options.journal?.write(events.logRegained, {
                 stream: this.#options.stream,
@@ -110,7 +110,7 @@
         this.#failures = 0;
     }
 
-    #handlePage(page: LogPage, askedAt: number): void {
+    #handlePage(page: LogPage, requestedAt: number): void {
         for (const entry of page.entries) {
             if (entry.offset < this.#offset) {
                 continue;
@@ -123,7 +123,7 @@
             this.#options.onEntry(entry);
         }
         if (page.entries.length < pageLimit) {
-            this.#options.onCaughtUp?.(askedAt);
+            this.#options.onCaughtUp?.(requestedAt);
         }
     }
 
@@ -142,12 +142,12 @@
             this.#options.journal?.write(events.logLost, { stream: this.#options.stream, cause: failure.message });
         }
         this.#failures += 1;
-        const bound = Math.min(
-            maximumBackoffMilliseconds,
-            firstBackoffMilliseconds * 2 ** Math.min(this.#failures, 10),
+        const maxDelayMilliseconds = Math.min(
+            maxBackoffMilliseconds,
+            initialBackoffMilliseconds * 2 ** Math.min(this.#failures, 10),
         );
-        const jittered = bound * (0.5 + this.#random.next() / 2);
-        const milliseconds = Math.max(jittered, failure.retryAfterMilliseconds ?? 0);
+        const jitteredMilliseconds = maxDelayMilliseconds * (0.5 + this.#random.next() / 2);
+        const milliseconds = Math.max(jitteredMilliseconds, failure.retryAfterMilliseconds ?? 0);
         await waitUnlessAborted(milliseconds, this.#abort.signal);
     }
 }
--- a/src/measure/capacity/billSubjects.ts
+++ b/src/measure/capacity/billSubjects.ts
@@ -1,7 +1,7 @@
 /**
  * Bills for docs/CAPACITY.md: an entry's own during an outage of the log, and the copies that it keeps for others.
  */
-import { type Bill, BillKeeper, BillWriter } from "../../bills/index.js";
+import { type Bill, BillReplicaStore, BillWriter } from "../../bills/index.js";
 import { ManualClock } from "../../common/index.js";
 import { Journal } from "../../events/index.js";
 
@@ -20,7 +20,7 @@
             copy: bills => Promise.resolve(bills.map(bill => bill.requestId)),
         }],
         ...createShared(),
-        maximumBills: count * 2,
+        maxBills: count * 2,
     });
     await Promise.all(Array.from({ length: count }, (_, index) => writer.add(createBill(index))));
     return writer;
@@ -30,15 +30,15 @@
  * Builds a keeper of copies.
  * @param count - How many bills.
  */
-export function buildKeptBills(count: number): BillKeeper {
-    const keeper = new BillKeeper({
+export function buildKeptBills(count: number): BillReplicaStore {
+    const keeper = new BillReplicaStore({
         append: () => new Promise(() => undefined),
         ...createShared(),
-        isGone: () => false,
-        maximumBills: count * 2,
+        hasDeparted: () => false,
+        maxBills: count * 2,
     });
     for (let index = 0; index < count; index += 1) {
-        keeper.keep("entry-1", [JSON.stringify(createBill(index))], []);
+        keeper.retain("entry-1", [JSON.stringify(createBill(index))], []);
     }
     return keeper;
 }
--- a/src/measure/capacity/memberSubjects.ts
+++ b/src/measure/capacity/memberSubjects.ts
@@ -34,7 +34,7 @@
         journal,
         transport: { exchange: () => Promise.resolve(undefined), push: () => Promise.resolve(true) },
         periodMilliseconds: pauseMilliseconds,
-        bytesPerExchange: 1,
+        maxValueBytesPerMessage: 1,
     });
     const membership = new Membership({ self, gossip, clock, journal });
     membership.setVms(vms);
--- a/src/measure/gossipTraffic.ts
+++ b/src/measure/gossipTraffic.ts
@@ -56,7 +56,7 @@
             journal,
             transport: this.#createTransport(network),
             periodMilliseconds: basePeriodMilliseconds,
-            bytesPerExchange,
+            maxValueBytesPerMessage: bytesPerExchange,
         });
         this.membership = new Membership({ self, gossip: this.gossip, clock: this.clock, journal });
     }
--- a/src/membership/chooseAddresses.ts
+++ b/src/membership/chooseAddresses.ts
@@ -4,7 +4,7 @@
 import type { Member } from "./membership.js";
 
 /** Callers take so many addresses from an answer, at most. */
-const mostAddresses = 64;
+const maxAddresses = 64;
 
 /**
  * Chooses the members for one caller: those of its own failure domain first, then others, drawn anew for each caller so that
@@ -18,10 +18,10 @@
     failureDomain: string | undefined,
     random: () => number = Math.random,
 ): readonly Member[] {
-    const drawn = alive.map(member => ({
+    const ranked = alive.map(member => ({
         member,
         order: (member.failureDomain === failureDomain ? 0 : 1) + random(),
     }));
-    drawn.sort((first, second) => first.order - second.order);
-    return drawn.slice(0, mostAddresses).map(({ member }) => member);
+    ranked.sort((first, second) => first.order - second.order);
+    return ranked.slice(0, maxAddresses).map(({ member }) => member);
 }
--- a/src/membership/gossip.ts
+++ b/src/membership/gossip.ts
@@ -9,10 +9,10 @@
 import { events, type Journal } from "../events/index.js";
 import type { ExchangeReply, ExchangeRequest, Item, PushRequest } from "../generated/peer.js";
 import type { Vm } from "../world/index.js";
-import { readDigest, writeDigest } from "./gossipMessages.js";
-import { getPeriod, getSpreadTime, getSuspectTime, getValueBytes } from "./gossipPace.js";
-import { GossipPartners, mostPartners } from "./gossipPartners.js";
+import { decodeDigest, encodeDigest } from "./gossipMessages.js";
+import { GossipPartners, maxPartners } from "./gossipPartners.js";
 import { type DigestLine, GossipState, incarnationKey } from "./gossipState.js";
+import { getMaxValueBytes, getPeriod, getPropagationTime, getSuspicionTimeout } from "./gossipTiming.js";
 import type { GossipTransport, NodeIdentity, PeerAddress } from "./peerAddress.js";
 import { newestProtocol, oldestProtocol } from "./protocol.js";
 import { shuffle } from "./shuffle.js";
@@ -28,9 +28,9 @@
 const pushFanOut = 4;
 const pushHops = 5;
 /** One exchange in so many goes to a peer that seems dead, so that two halves find each other again after a cut. */
-const revivalShare = 0.15;
+const unresponsivePeerProbability = 0.15;
 /** An origin that has left the VM list is remembered until it has been silent for so long. */
-const forgetMilliseconds = 60_000;
+const originRetentionMilliseconds = 60_000;
 
 /** Takes a value that is new here. Undefined when its origin removed it. */
 export type GossipListener = (origin: string, key: string, value: Buffer | undefined) => void;
@@ -44,7 +44,7 @@
     readonly transport: GossipTransport;
     readonly periodMilliseconds: number;
     /** The most bytes of values in one message; the digest comes on top. Large sites send less. */
-    readonly bytesPerExchange: number;
+    readonly maxValueBytesPerMessage: number;
 }
 
 /** Publishes this node's values and learns those of others. */
@@ -156,12 +156,12 @@
         }
         this.#peers = peers;
         this.#partners.retain(peers);
-        this.#forgetGone();
+        this.#removeDepartedOrigins();
     }
 
     /** Exchanges with one random peer now. */
     async exchangeOnce(): Promise<void> {
-        this.#forgetGone();
+        this.#removeDepartedOrigins();
         this.#heartbeat += 1;
         this.#state.setHeartbeat(this.#options.self.id, this.#heartbeat, this.#options.clock.monotonic());
         const peer = this.#pickPeer();
@@ -170,17 +170,17 @@
         }
         const request: ExchangeRequest = {
             ...this.#createEnvelope(),
-            ...writeDigest(this.#state, this.#getLines()),
+            ...encodeDigest(this.#state, this.#getDigestLines()),
             items: [],
         };
-        const sent = this.#getVersions();
+        const sentVersions = this.#getVersions();
         const reply = await this.#options.transport.exchange(peer, request);
         if (reply === undefined) {
-            this.#partners.markUnanswered(peer.id, this.#options.clock.monotonic());
+            this.#partners.markUnresponsive(peer.id, this.#options.clock.monotonic());
             return;
         }
-        this.#partners.markAnswered(peer.id);
-        this.#handleReply(peer, reply, sent);
+        this.#partners.markResponsive(peer.id);
+        this.#handleReply(peer, reply, sentVersions);
     }
 
     /**
@@ -189,23 +189,23 @@
      */
     handleExchange(request: ExchangeRequest): ExchangeReply {
         this.#options.journal.observe(request.counter);
-        this.#partners.markAnswered(request.sender);
-        const lines = readDigest(this.#state, request);
-        this.#observe(lines);
-        const theirs = new Map(lines.map(line => [line.origin, line]));
-        const wants: DigestLine[] = [];
-        const news: DigestLine[] = [];
-        for (const line of this.#getLines()) {
-            const other = theirs.get(line.origin) ?? { origin: line.origin, heartbeat: 0, version: 0 };
-            if (line.heartbeat > other.heartbeat || line.version !== other.version) {
-                news.push(line);
+        this.#partners.markResponsive(request.sender);
+        const lines = decodeDigest(this.#state, request);
+        this.#applyDigest(lines);
+        const peerLines = new Map(lines.map(line => [line.origin, line]));
+        const outdatedLines: DigestLine[] = [];
+        const updates: DigestLine[] = [];
+        for (const line of this.#getDigestLines()) {
+            const peerLine = peerLines.get(line.origin) ?? { origin: line.origin, heartbeat: 0, version: 0 };
+            if (line.heartbeat > peerLine.heartbeat || line.version !== peerLine.version) {
+                updates.push(line);
             }
-            if (line.version > other.version) {
-                wants.push(other);
+            if (line.version > peerLine.version) {
+                outdatedLines.push(peerLine);
             }
         }
-        const items = this.#state.collect(shuffle(wants, this.#options.random), this.#getValueBytes());
-        return { ...this.#createEnvelope(), ...writeDigest(this.#state, news), items };
+        const items = this.#state.collect(shuffle(outdatedLines, this.#options.random), this.#getMaxValueBytes());
+        return { ...this.#createEnvelope(), ...encodeDigest(this.#state, updates), items };
     }
 
     /**
@@ -216,10 +216,10 @@
     handlePush(request: PushRequest): number {
         this.#options.journal.observe(request.counter);
         const bases = new Map(request.bases.map(base => [base.origin, base.version]));
-        const newer = this.#takeIn(request.items, bases);
+        const newer = this.#applyItems(request.items, bases);
         if (request.hops > 0 && newer.length > 0) {
-            const skipped = new Set([this.#options.self.id, request.sender, ...newer.map(item => item.origin)]);
-            this.#push(newer, request.hops - 1, skipped);
+            const excluded = new Set([this.#options.self.id, request.sender, ...newer.map(item => item.origin)]);
+            this.#push(newer, request.hops - 1, excluded);
         }
         return this.#options.journal.getCounter();
     }
@@ -232,28 +232,28 @@
         }, this.getPeriodMilliseconds() * jitter);
     }
 
-    #handleReply(peer: PeerAddress, reply: ExchangeReply, sent: ReadonlyMap<string, number>): void {
+    #handleReply(peer: PeerAddress, reply: ExchangeReply, sentVersions: ReadonlyMap<string, number>): void {
         this.#options.journal.observe(reply.counter);
-        const lines = readDigest(this.#state, reply);
-        this.#observe(lines);
-        this.#takeIn(reply.items, sent);
-        const wants = lines.filter(line => line.version < this.#state.getLine(line.origin).version);
-        if (wants.length === 0) {
+        const lines = decodeDigest(this.#state, reply);
+        this.#applyDigest(lines);
+        this.#applyItems(reply.items, sentVersions);
+        const outdatedLines = lines.filter(line => line.version < this.#state.getDigestLine(line.origin).version);
+        if (outdatedLines.length === 0) {
             return;
         }
-        const items = this.#state.collect(shuffle(wants, this.#options.random), this.#getValueBytes());
+        const items = this.#state.collect(shuffle(outdatedLines, this.#options.random), this.#getMaxValueBytes());
         const origins = new Set(items.map(item => item.origin));
-        const bases = wants.filter(want => origins.has(want.origin));
+        const bases = outdatedLines.filter(line => origins.has(line.origin));
         const { sender, counter } = this.#createEnvelope();
         void this.#options.transport.push(peer, { sender, counter, items, bases, hops: 0 });
     }
 
     /** Takes digest lines in: heartbeats of others, and what is said of this node itself. */
-    #observe(lines: readonly DigestLine[]): void {
+    #applyDigest(lines: readonly DigestLine[]): void {
         const now = this.#options.clock.monotonic();
         for (const line of lines) {
             if (line.origin === this.#options.self.id) {
-                this.#overtake(line);
+                this.#renumberOwnValues(line);
             }
             else {
                 this.#state.setHeartbeat(line.origin, line.heartbeat, now);
@@ -265,7 +265,7 @@
      * Renumbers this node's values above what others remember of an earlier run of it. That happens when the wall
      * clock went back over a restart; peers would otherwise take every new value for an old one.
      */
-    #overtake(line: DigestLine): void {
+    #renumberOwnValues(line: DigestLine): void {
         this.#heartbeat = Math.max(this.#heartbeat, line.heartbeat);
         if (line.version <= this.#version) {
             return;
@@ -292,7 +292,7 @@
         return item;
     }
 
-    #takeIn(items: readonly Item[], bases: ReadonlyMap<string, number>): Item[] {
+    #applyItems(items: readonly Item[], bases: ReadonlyMap<string, number>): Item[] {
         const newer: Item[] = [];
         for (const item of items) {
             if (item.origin === this.#options.self.id) {
@@ -314,10 +314,13 @@
         return newer;
     }
 
-    #push(items: Item[], hops: number, skipped: ReadonlySet<string>): void {
-        const { heard } = this.#dividePeers();
-        const known = heard.length >= mostPartners ? heard : [...this.#peers.values()];
-        const peers = shuffle(this.#partners.select(known.filter(peer => !skipped.has(peer.id))), this.#options.random);
+    #push(items: Item[], hops: number, excluded: ReadonlySet<string>): void {
+        const { responsive } = this.#classifyPeers();
+        const candidates = responsive.length >= maxPartners ? responsive : [...this.#peers.values()];
+        const peers = shuffle(
+            this.#partners.select(candidates.filter(peer => !excluded.has(peer.id))),
+            this.#options.random,
+        );
         const { sender, counter } = this.#createEnvelope();
         for (const peer of peers.slice(0, pushFanOut)) {
             void this.#options.transport.push(peer, { sender, counter, items, bases: [], hops });
@@ -325,36 +328,39 @@
     }
 
     #pickPeer(): PeerAddress | undefined {
-        const { quiet, heard } = this.#dividePeers();
-        const isRevival = quiet.length > 0 && this.#options.random.next() < revivalShare;
-        const candidates = isRevival ? quiet : this.#partners.select(heard.length > 0 ? heard : quiet);
+        const { unresponsive, responsive } = this.#classifyPeers();
+        const picksUnresponsive = unresponsive.length > 0 && this.#options.random.next() < unresponsivePeerProbability;
+        const candidates = picksUnresponsive
+            ? unresponsive
+            : this.#partners.select(responsive.length > 0 ? responsive : unresponsive);
         return candidates.length === 0
             ? undefined
             : candidates[this.#options.random.nextInteger(candidates.length)];
     }
 
     /** Divides the peers into those that were not heard of for long or did not answer, and the others. */
-    #dividePeers(): { readonly quiet: PeerAddress[]; readonly heard: PeerAddress[]; } {
-        const quiet: PeerAddress[] = [];
-        const heard: PeerAddress[] = [];
-        const quietMilliseconds = this.getSuspectMilliseconds();
-        const unansweredSince = this.#options.clock.monotonic() - quietMilliseconds;
+    #classifyPeers(): { readonly unresponsive: PeerAddress[]; readonly responsive: PeerAddress[]; } {
+        const unresponsive: PeerAddress[] = [];
+        const responsive: PeerAddress[] = [];
+        const suspicionTimeoutMilliseconds = this.getSuspicionTimeoutMilliseconds();
+        const unresponsiveSince = this.#options.clock.monotonic() - suspicionTimeoutMilliseconds;
         for (const peer of this.#peers.values()) {
             const age = this.getHeartbeatAge(peer.id);
-            const isUnanswered = this.#partners.wasUnanswered(peer.id, unansweredSince);
-            (age === undefined || age > quietMilliseconds || isUnanswered ? quiet : heard).push(peer);
+            const isUnresponsive = this.#partners.wasUnresponsive(peer.id, unresponsiveSince);
+            (age === undefined || age > suspicionTimeoutMilliseconds || isUnresponsive ? unresponsive : responsive)
+                .push(peer);
         }
-        return { quiet, heard };
+        return { unresponsive, responsive };
     }
 
     /** Returns how long a heartbeat may stay unchanged before its node is suspected. */
-    getSuspectMilliseconds(): number {
-        return getSuspectTime(this.getPeriodMilliseconds(), this.#peers.size);
+    getSuspicionTimeoutMilliseconds(): number {
+        return getSuspicionTimeout(this.getPeriodMilliseconds(), this.#peers.size);
     }
 
     /** Returns how long news of a node takes to reach all others. */
-    getSpreadMilliseconds(): number {
-        return getSpreadTime(this.getPeriodMilliseconds(), this.#peers.size);
+    getPropagationMilliseconds(): number {
+        return getPropagationTime(this.getPeriodMilliseconds(), this.#peers.size);
     }
 
     /** Returns the time between two exchanges that this node begins. */
@@ -362,16 +368,16 @@
         return getPeriod(this.#options.periodMilliseconds, this.#peers.size);
     }
 
-    #getValueBytes(): number {
-        return getValueBytes(this.#options.bytesPerExchange, this.getPeriodMilliseconds(), this.#peers.size);
+    #getMaxValueBytes(): number {
+        return getMaxValueBytes(this.#options.maxValueBytesPerMessage, this.getPeriodMilliseconds(), this.#peers.size);
     }
 
-    #forgetGone(): void {
+    #removeDepartedOrigins(): void {
         for (const origin of [...this.#state.getOrigins()]) {
             if (origin === this.#options.self.id || this.#peers.has(origin)) {
                 continue;
             }
-            if ((this.getHeartbeatAge(origin) ?? Number.POSITIVE_INFINITY) > forgetMilliseconds) {
+            if ((this.getHeartbeatAge(origin) ?? Number.POSITIVE_INFINITY) > originRetentionMilliseconds) {
                 this.#state.remove(origin);
                 this.#options.journal.write(events.memberForgotten, { member: origin });
             }
@@ -383,15 +389,15 @@
         return { sender: this.#options.self.id, oldestProtocol, newestProtocol, counter };
     }
 
-    #getLines(): DigestLine[] {
+    #getDigestLines(): DigestLine[] {
         const lines: DigestLine[] = [];
         for (const origin of this.#state.getOrigins()) {
-            lines.push(this.#state.getLine(origin));
+            lines.push(this.#state.getDigestLine(origin));
         }
         return lines;
     }
 
     #getVersions(): ReadonlyMap<string, number> {
-        return new Map(this.#getLines().map(line => [line.origin, line.version]));
+        return new Map(this.#getDigestLines().map(line => [line.origin, line.version]));
     }
 }
--- a/src/membership/gossipMessages.ts
+++ b/src/membership/gossipMessages.ts
@@ -20,7 +20,7 @@
  * @param state - The state that the lines come from.
  * @param lines - The lines.
  */
-export function writeDigest(state: GossipState, lines: Iterable<DigestLine>): DigestMessage {
+export function encodeDigest(state: GossipState, lines: Iterable<DigestLine>): DigestMessage {
     const message: DigestMessage = { digest: [], origins: [], heartbeats: [], versions: [] };
     for (const line of lines) {
         const hash = state.getHash(line.origin);
@@ -40,7 +40,7 @@
  * @param state - The state that knows the origins.
  * @param message - The message.
  */
-export function readDigest(state: GossipState, message: DigestMessage): DigestLine[] {
+export function decodeDigest(state: GossipState, message: DigestMessage): DigestLine[] {
     const lines: DigestLine[] = [...message.digest];
     for (const [index, hash] of message.origins.entries()) {
         const origin = state.getByHash(hash);
--- a/src/membership/gossipPartners.ts
+++ b/src/membership/gossipPartners.ts
@@ -9,14 +9,14 @@
  * open thousands of connections as a large site starts, and each costs both sides milliseconds while callers wait. Two choices of
  * each node keep a random graph in one piece; one that does not answer is replaced, and four leave time for that.
  */
-export const mostPartners = 4;
+export const maxPartners = 4;
 
 /** Chooses partners by a rank that is each node's own: all peers at a small site. */
 export class GossipPartners {
     readonly #self: string;
     readonly #ranks = new Map<string, number>();
     /** Monotonic milliseconds at which a peer did not answer; others take its place long before it is suspected. */
-    readonly #unansweredAt = new Map<string, number>();
+    readonly #unresponsiveAt = new Map<string, number>();
 
     /** @param self - Identifier of the node that chooses. */
     constructor(self: string) {
@@ -28,7 +28,7 @@
      * @param peers - Their identifiers.
      */
     retain(peers: ReadonlyMap<string, unknown>): void {
-        for (const known of [this.#ranks, this.#unansweredAt]) {
+        for (const known of [this.#ranks, this.#unresponsiveAt]) {
             for (const id of known.keys()) {
                 if (!peers.has(id)) {
                     known.delete(id);
@@ -38,13 +38,13 @@
     }
 
     /** Notes that a peer did not answer. */
-    markUnanswered(peer: string, now: number): void {
-        this.#unansweredAt.set(peer, now);
+    markUnresponsive(peer: string, now: number): void {
+        this.#unresponsiveAt.set(peer, now);
     }
 
     /** Notes that a peer answered, or asked. */
-    markAnswered(peer: string): void {
-        this.#unansweredAt.delete(peer);
+    markResponsive(peer: string): void {
+        this.#unresponsiveAt.delete(peer);
     }
 
     /**
@@ -52,8 +52,8 @@
      * @param peer - The peer.
      * @param since - What lies further back says nothing any more, in monotonic milliseconds.
      */
-    wasUnanswered(peer: string, since: number): boolean {
-        return (this.#unansweredAt.get(peer) ?? Number.NEGATIVE_INFINITY) > since;
+    wasUnresponsive(peer: string, since: number): boolean {
+        return (this.#unresponsiveAt.get(peer) ?? Number.NEGATIVE_INFINITY) > since;
     }
 
     /**
@@ -61,11 +61,11 @@
      * @param peers - The peers.
      */
     select(peers: readonly PeerAddress[]): readonly PeerAddress[] {
-        if (peers.length <= mostPartners) {
+        if (peers.length <= maxPartners) {
             return peers;
         }
         const ranked = [...peers].sort((first, second) => this.#getRank(second.id) - this.#getRank(first.id));
-        return ranked.slice(0, mostPartners);
+        return ranked.slice(0, maxPartners);
     }
 
     #getRank(peer: string): number {
--- a/src/membership/gossipState.ts
+++ b/src/membership/gossipState.ts
@@ -103,7 +103,7 @@
      * Returns how far an origin is known.
      * @param origin - The origin.
      */
-    getLine(origin: string): DigestLine {
+    getDigestLine(origin: string): DigestLine {
         const state = this.#origins.get(origin);
         return { origin, heartbeat: state?.heartbeat ?? 0, version: state?.version ?? 0 };
     }
@@ -166,16 +166,16 @@
 
     /**
      * Collects the values that a peer lacks, in the order of versions for each origin, within a number of bytes.
-     * @param wants - How far the peer knows each origin.
-     * @param maximumBytes - The bytes that all together may take. The first value is sent even if it is larger.
+     * @param peerLines - How far the peer knows each origin.
+     * @param maxBytes - The bytes that all together may take. The first value is sent even if it is larger.
      */
-    collect(wants: readonly DigestLine[], maximumBytes: number): Item[] {
+    collect(peerLines: readonly DigestLine[], maxBytes: number): Item[] {
         const items: Item[] = [];
         let bytes = 0;
-        for (const { origin, version } of wants) {
+        for (const { origin, version } of peerLines) {
             for (const item of this.#getNewer(origin, version)) {
                 bytes += item.origin.length + item.key.length + item.value.length + itemOverheadBytes;
-                if (bytes > maximumBytes && items.length > 0) {
+                if (bytes > maxBytes && items.length > 0) {
                     return items;
                 }
                 items.push(item);
--- a/src/membership/memberDirectory.ts
+++ b/src/membership/memberDirectory.ts
@@ -48,7 +48,7 @@
         const unreadable: string[] = [];
         let hasChanged = false;
         for (const [id, value] of changed) {
-            if (this.#set(id, value)) {
+            if (this.#applyRecord(id, value)) {
                 hasChanged = true;
             }
             else {
@@ -61,7 +61,7 @@
         return unreadable;
     }
 
-    #set(id: string, value: Buffer | undefined): boolean {
+    #applyRecord(id: string, value: Buffer | undefined): boolean {
         if (value === undefined) {
             this.#records.delete(id);
             return true;
--- a/src/membership/membership.ts
+++ b/src/membership/membership.ts
@@ -15,14 +15,14 @@
 const leavingKey = "leaving";
 const offsetKey = "configuration-offset";
 /** A member counts as dead after so many times the time after which it is suspected. */
-const deadFactor = 3;
+const deadTimeoutFactor = 3;
 /** A silent member's protocol still binds for so long: it may only be cut off. */
-const defaultRecentMilliseconds = 10 * 60_000;
+const defaultProtocolRetentionMilliseconds = 10 * 60_000;
 /**
  * A member that was just listed is presumed alive for so long at a small site, in milliseconds, and for as long as news takes to reach
  * all nodes at a larger one. Longer, callers of a node that has just started would be sent to nodes that are gone.
  */
-const leastPresumedMilliseconds = 3_000;
+const minGracePeriodMilliseconds = 3_000;
 const majority = 0.5;
 /** The list of members is worked out anew after so long; it is asked for with every claim. */
 const cacheMilliseconds = 100;
@@ -38,7 +38,7 @@
 
 type PublishedNode = z.infer<typeof nodeSchema>;
 
-interface ReadNode {
+interface ParsedNode {
     readonly value: Buffer | undefined;
     readonly node: PublishedNode | undefined;
 }
@@ -55,7 +55,7 @@
     /** Milliseconds since it was last known to live. */
     readonly heartbeatAge: number;
     /** Whether anything was ever heard of it here. */
-    readonly isHeard: boolean;
+    readonly hasBeenSeen: boolean;
 }
 
 /** Options of membership. */
@@ -67,7 +67,7 @@
     /** The protocol versions that this program reads; tests give others. */
     readonly protocol?: ProtocolRange;
     /** How long a silent member's protocol still binds. */
-    readonly recentMilliseconds?: number;
+    readonly protocolRetentionMilliseconds?: number;
 }
 
 /** Knows the members. */
@@ -78,7 +78,7 @@
     readonly #listedAt = new Map<string, number>();
     readonly #states = new Map<string, MemberState>();
     /** What members published of themselves, read once: with hundreds of them, reading it at each look took most of it. */
-    readonly #nodes = new Map<string, ReadNode>();
+    readonly #parsedNodes = new Map<string, ParsedNode>();
     #vms: readonly Vm[] = [];
     #isLeaving = false;
     #configurationOffset = -1;
@@ -91,7 +91,7 @@
         const { address, peerPort, failureDomain, region } = options.self;
         const node = { address, peerPort, failureDomain, region, ...this.#protocol };
         options.gossip.set(nodeKey, Buffer.from(JSON.stringify(node)));
-        options.gossip.onUpdate((...[, key]) => this.#takeUpdate(key));
+        options.gossip.onUpdate((...[, key]) => this.#handleUpdate(key));
     }
 
     /**
@@ -109,7 +109,7 @@
             if (!listed.has(id)) {
                 this.#listedAt.delete(id);
                 this.#states.delete(id);
-                this.#nodes.delete(id);
+                this.#parsedNodes.delete(id);
             }
         }
         this.#cache = undefined;
@@ -143,11 +143,11 @@
      * starts, nobody has heard of anybody: a node that took itself for the only one would read the store in everybody's place and
      * send all callers to itself, and one that has heard of a few would send them all to those few.
      */
-    getPresumed(): readonly Member[] {
+    getPresumedAlive(): readonly Member[] {
         const { gossip } = this.#options;
-        const presumedMilliseconds = Math.max(leastPresumedMilliseconds, gossip.getSpreadMilliseconds());
-        return this.getMembers().filter(({ state, isHeard, heartbeatAge }) =>
-            state === "alive" || !isHeard && heartbeatAge < presumedMilliseconds
+        const gracePeriodMilliseconds = Math.max(minGracePeriodMilliseconds, gossip.getPropagationMilliseconds());
+        return this.getMembers().filter(({ state, hasBeenSeen, heartbeatAge }) =>
+            state === "alive" || !hasBeenSeen && heartbeatAge < gracePeriodMilliseconds
         );
     }
 
@@ -175,9 +175,10 @@
      */
     getCommonProtocol(): number {
         let common = this.#protocol.newest;
-        const recent = this.#options.recentMilliseconds ?? defaultRecentMilliseconds;
+        const retentionMilliseconds = this.#options.protocolRetentionMilliseconds
+            ?? defaultProtocolRetentionMilliseconds;
         for (const member of this.getMembers()) {
-            if (member.heartbeatAge <= recent) {
+            if (member.heartbeatAge <= retentionMilliseconds) {
                 common = Math.min(common, member.protocol.newest);
             }
         }
@@ -218,7 +219,7 @@
     }
 
     /** Tells whether at most half of the listed entries is known to live: this side of a cut is not the greater one. */
-    isMajorityAway(): boolean {
+    isMajorityUnreachable(): boolean {
         return this.getReachableShare() <= majority;
     }
 
@@ -242,7 +243,7 @@
     }
 
     /** Values of others that say nothing of members, such as evidence on roll-outs, come many times a second in a large site. */
-    #takeUpdate(key: string): void {
+    #handleUpdate(key: string): void {
         if (key === nodeKey || key === leavingKey || key === offsetKey || key === incarnationKey) {
             this.#cache = undefined;
         }
@@ -255,7 +256,7 @@
             protocol: this.#protocol,
             configurationOffset: this.#configurationOffset,
             heartbeatAge: 0,
-            isHeard: true,
+            hasBeenSeen: true,
         };
     }
 
@@ -266,8 +267,8 @@
         const offset = gossip.get(vm.id, offsetKey);
         const age = gossip.getHeartbeatAge(vm.id);
         const isLeaving = vm.state === "leaving" || gossip.get(vm.id, leavingKey) !== undefined;
-        const state = this.#judge(age, isLeaving);
-        this.#noteState(vm.id, state);
+        const state = this.#determineState(age, isLeaving);
+        this.#recordState(vm.id, state);
         return {
             id: vm.id,
             address: vm.address,
@@ -280,33 +281,33 @@
                 : { oldest: node.oldest, newest: node.newest },
             configurationOffset: offset === undefined ? -1 : Number(offset.toString()),
             heartbeatAge: age ?? listedAge,
-            isHeard: age !== undefined,
+            hasBeenSeen: age !== undefined,
         };
     }
 
     #readNode(id: string): PublishedNode | undefined {
         const value = this.#options.gossip.get(id, nodeKey);
-        const known = this.#nodes.get(id);
+        const known = this.#parsedNodes.get(id);
         if (known !== undefined && known.value === value) {
             return known.node;
         }
         const node = parseNode(value);
-        this.#nodes.set(id, { value, node });
+        this.#parsedNodes.set(id, { value, node });
         return node;
     }
 
-    #judge(age: number | undefined, isLeaving: boolean): MemberState {
-        const suspect = this.#options.gossip.getSuspectMilliseconds();
-        if (age === undefined || age > suspect * deadFactor) {
+    #determineState(age: number | undefined, isLeaving: boolean): MemberState {
+        const suspicionTimeout = this.#options.gossip.getSuspicionTimeoutMilliseconds();
+        if (age === undefined || age > suspicionTimeout * deadTimeoutFactor) {
             return "dead";
         }
         if (isLeaving) {
             return "leaving";
         }
-        return age > suspect ? "suspect" : "alive";
+        return age > suspicionTimeout ? "suspect" : "alive";
     }
 
-    #noteState(id: string, state: MemberState): void {
+    #recordState(id: string, state: MemberState): void {
         const before = this.#states.get(id);
         if (before === state) {
             return;
--- a/src/membership/peerClient.ts
+++ b/src/membership/peerClient.ts
@@ -20,15 +20,15 @@
 } from "../generated/peer.js";
 import type { GossipTransport, PeerAddress } from "./peerAddress.js";
 import { newestProtocol, protocolKey } from "./protocol.js";
-import { StateConversation } from "./stateConversation.js";
+import { StateQueryStream } from "./stateQueryStream.js";
 
 const defaultDeadlineMilliseconds = 1_000;
 /** A connection without calls is closed after so long; gossip would otherwise hold one to each of 350 nodes. */
-const idleMilliseconds = 60_000;
-const firstBackoffMilliseconds = 200;
-const maximumBackoffMilliseconds = 2_000;
+const idleTimeoutMilliseconds = 60_000;
+const initialBackoffMilliseconds = 200;
+const maxBackoffMilliseconds = 2_000;
 /** Finds connections whose far side vanished without closing them, such as behind a cut. */
-const keepaliveMilliseconds = 5_000;
+const keepaliveIntervalMilliseconds = 5_000;
 const keepaliveTimeoutMilliseconds = 2_000;
 
 type UnaryCall<Request, Reply> = (
@@ -52,7 +52,7 @@
 export class PeerClient {
     readonly #deadlineMilliseconds: number;
     readonly #clients = new Map<string, GeneratedClient>();
-    readonly #conversations = new Map<string, StateConversation>();
+    readonly #stateStreams = new Map<string, StateQueryStream>();
     readonly #newestProtocol: number;
     /** Created with the first call: a node that starts serves callers before it loads what it needs for peers. */
     #metadata: Metadata | undefined;
@@ -75,10 +75,10 @@
 
     /** Closes all connections. */
     close(): void {
-        for (const conversation of this.#conversations.values()) {
+        for (const conversation of this.#stateStreams.values()) {
             conversation.close("the client was closed");
         }
-        this.#conversations.clear();
+        this.#stateStreams.clear();
         for (const client of this.#clients.values()) {
             client.close();
         }
@@ -93,8 +93,8 @@
         const targets = new Set([...peers].map(getTarget));
         for (const [target, client] of this.#clients) {
             if (!targets.has(target)) {
-                this.#conversations.get(target)?.close("the peer is gone");
-                this.#conversations.delete(target);
+                this.#stateStreams.get(target)?.close("the peer is gone");
+                this.#stateStreams.delete(target);
                 client.close();
                 this.#clients.delete(target);
             }
@@ -125,60 +125,60 @@
     copyBills(
         peer: PeerAddress,
         request: CopyBillsRequest,
-        milliseconds?: number,
+        timeoutMilliseconds?: number,
     ): Promise<Result<CopyBillsReply, Failure>> {
         const client = this.#getClient(peer);
-        return this.#call(client.copyBills.bind(client), request, milliseconds);
+        return this.#call(client.copyBills.bind(client), request, timeoutMilliseconds);
     }
 
     /** Asks a collector to decide claims. */
     decideClaims(
         peer: PeerAddress,
         request: DecideClaimsRequest,
-        milliseconds?: number,
+        timeoutMilliseconds?: number,
     ): Promise<Result<DecideClaimsReply, Failure>> {
         const client = this.#getClient(peer);
-        return this.#call(client.decideClaims.bind(client), request, milliseconds);
+        return this.#call(client.decideClaims.bind(client), request, timeoutMilliseconds);
     }
 
     /** Asks for folded state. */
     fetchState(
         peer: PeerAddress,
         request: FetchStateRequest,
-        milliseconds?: number,
+        timeoutMilliseconds?: number,
     ): Promise<Result<FetchStateReply, Failure>> {
         const client = this.#getClient(peer);
-        return this.#call(client.fetchState.bind(client), request, milliseconds);
+        return this.#call(client.fetchState.bind(client), request, timeoutMilliseconds);
     }
 
     /**
      * Asks for folded state on a call that stays open between questions.
      * @param peer - Whom to ask.
      * @param request - The question.
-     * @param milliseconds - How long the answer may take.
+     * @param timeoutMilliseconds - How long the answer may take.
      */
     followState(
         peer: PeerAddress,
         request: FetchStateRequest,
-        milliseconds: number,
+        timeoutMilliseconds: number,
     ): Promise<Result<FetchStateReply, Failure>> {
         const target = getTarget(peer);
-        let conversation = this.#conversations.get(target);
-        if (conversation === undefined) {
-            conversation = new StateConversation({
+        let stateStream = this.#stateStreams.get(target);
+        if (stateStream === undefined) {
+            stateStream = new StateQueryStream({
                 open: () => this.#getClient(peer).followState(this.#getMetadata()),
-                onSilence: () => this.#renew(target),
+                onTimeout: () => this.#closeClient(target),
             });
-            this.#conversations.set(target, conversation);
+            this.#stateStreams.set(target, stateStream);
         }
-        return conversation.ask(request, milliseconds);
+        return stateStream.query(request, timeoutMilliseconds);
     }
 
     /**
      * Lets go of a connection that fell silent. It may stay open and carry nothing for good, and every further call on it would
      * wait in vain until the keep-alive of the library ends it seconds later; the next call opens another one.
      */
-    #renew(target: string): void {
+    #closeClient(target: string): void {
         this.#clients.get(target)?.close();
         this.#clients.delete(target);
     }
@@ -217,10 +217,10 @@
             "grpc.enable_http_proxy": 0,
             // Clients share connections otherwise, and a new client would go on with one that fell silent.
             "grpc.use_local_subchannel_pool": 1,
-            "grpc.client_idle_timeout_ms": idleMilliseconds,
-            "grpc.initial_reconnect_backoff_ms": firstBackoffMilliseconds,
-            "grpc.max_reconnect_backoff_ms": maximumBackoffMilliseconds,
-            "grpc.keepalive_time_ms": keepaliveMilliseconds,
+            "grpc.client_idle_timeout_ms": idleTimeoutMilliseconds,
+            "grpc.initial_reconnect_backoff_ms": initialBackoffMilliseconds,
+            "grpc.max_reconnect_backoff_ms": maxBackoffMilliseconds,
+            "grpc.keepalive_time_ms": keepaliveIntervalMilliseconds,
             "grpc.keepalive_timeout_ms": keepaliveTimeoutMilliseconds,
             ...serverName === undefined ? {} : { "grpc.ssl_target_name_override": serverName },
         };
@@ -229,10 +229,10 @@
     #call<Request, Reply>(
         call: UnaryCall<Request, Reply>,
         request: Request,
-        milliseconds = this.#deadlineMilliseconds,
+        timeoutMilliseconds = this.#deadlineMilliseconds,
     ): Promise<Result<Reply, Failure>> {
         return new Promise(resolve => {
-            call(request, this.#getMetadata(), { deadline: Date.now() + milliseconds }, (error, reply) => {
+            call(request, this.#getMetadata(), { deadline: Date.now() + timeoutMilliseconds }, (error, reply) => {
                 resolve(error ? err(createCallFailure(error)) : ok(reply));
             });
         });
--- a/src/membership/peerServer.ts
+++ b/src/membership/peerServer.ts
@@ -30,7 +30,7 @@
 import { CredentialSource } from "./peerCredentials.js";
 import { oldestProtocol, protocolKey } from "./protocol.js";
 
-const stopMilliseconds = 2_000;
+const shutdownTimeoutMilliseconds = 2_000;
 
 /** Answers one kind of call, given the newest protocol that the caller reads. */
 export type PeerHandler<Request, Reply> = (request: Request, protocol: number) => Reply | Promise<Reply>;
@@ -59,11 +59,13 @@
 export class PeerServer {
     readonly #options: PeerServerOptions;
     readonly #server = new Server();
-    readonly #source: CredentialSource | undefined;
+    readonly #credentialSource: CredentialSource | undefined;
 
     constructor(options: PeerServerOptions) {
         this.#options = options;
-        this.#source = options.credentials === undefined ? undefined : new CredentialSource(options.credentials);
+        this.#credentialSource = options.credentials === undefined
+            ? undefined
+            : new CredentialSource(options.credentials);
         const { handlers } = options;
         this.#server.addService(PeerService, {
             exchange: this.#adapt(handlers.exchange),
@@ -71,7 +73,7 @@
             copyBills: this.#adapt(handlers.copyBills),
             decideClaims: this.#adapt(handlers.decideClaims),
             fetchState: this.#adapt(handlers.fetchState),
-            followState: this.#adaptConversation(handlers.fetchState),
+            followState: this.#adaptStream(handlers.fetchState),
         });
     }
 
@@ -81,10 +83,11 @@
      */
     start(): Promise<Result<number, Failure>> {
         const { address, port } = this.#options;
-        const serverCredentials = this.#source?.createServerCredentials() ?? ServerCredentials.createInsecure();
+        const serverCredentials = this.#credentialSource?.createServerCredentials()
+            ?? ServerCredentials.createInsecure();
         return new Promise(resolve => {
-            this.#server.bindAsync(`${address}:${port}`, serverCredentials, (error, bound) => {
-                resolve(error ? err(createBindFailure(address, port, error)) : ok(bound));
+            this.#server.bindAsync(`${address}:${port}`, serverCredentials, (error, boundPort) => {
+                resolve(error ? err(createBindFailure(address, port, error)) : ok(boundPort));
             });
         });
     }
@@ -95,7 +98,7 @@
             const timer = setTimeout(() => {
                 this.#server.forceShutdown();
                 resolve();
-            }, stopMilliseconds);
+            }, shutdownTimeoutMilliseconds);
             this.#server.tryShutdown(() => {
                 clearTimeout(timer);
                 resolve();
@@ -108,7 +111,7 @@
      * @param credentials - The renewed credentials.
      */
     setCredentials(credentials: Credentials): void {
-        this.#source?.set(credentials);
+        this.#credentialSource?.set(credentials);
     }
 
     #adapt<Request, Reply>(handler: PeerHandler<Request, Reply>): handleUnaryCall<Request, Reply> {
@@ -126,7 +129,7 @@
         };
     }
 
-    #adaptConversation(
+    #adaptStream(
         handler: PeerHandler<FetchStateRequest, FetchStateReply>,
     ): handleBidiStreamingCall<FollowStateRequest, FollowStateReply> {
         return call => {
--- a/src/membership/stateConversation.ts
+++ b/src/membership/stateQueryStream.ts
@@ -12,46 +12,46 @@
 
 type Call = ClientDuplexStream<FollowStateRequest, FollowStateReply>;
 
-type Settle = (result: Result<FetchStateReply, Failure>) => void;
+type ResolveCallback = (result: Result<FetchStateReply, Failure>) => void;
 
 /** Asks one peer. */
-export class StateConversation {
+export class StateQueryStream {
     readonly #open: () => Call;
-    readonly #onSilence: () => void;
-    readonly #pending = new Map<number, Settle>();
+    readonly #onTimeout: () => void;
+    readonly #pending = new Map<number, ResolveCallback>();
     #call: Call | undefined;
     #lastId = 0;
 
     /**
      * @param options - `open` opens the call; `onSilence` is told when an answer is overdue.
      */
-    constructor(options: { readonly open: () => Call; readonly onSilence: () => void; }) {
+    constructor(options: { readonly open: () => Call; readonly onTimeout: () => void; }) {
         this.#open = options.open;
-        this.#onSilence = options.onSilence;
+        this.#onTimeout = options.onTimeout;
     }
 
     /**
      * Asks a question.
-     * @param question - The question.
-     * @param milliseconds - How long the answer may take.
+     * @param request - The question.
+     * @param timeoutMilliseconds - How long the answer may take.
      */
-    ask(question: FetchStateRequest, milliseconds: number): Promise<Result<FetchStateReply, Failure>> {
-        const call = this.#call ??= this.#start();
+    query(request: FetchStateRequest, timeoutMilliseconds: number): Promise<Result<FetchStateReply, Failure>> {
+        const call = this.#call ??= this.#startCall();
         this.#lastId += 1;
         const id = this.#lastId;
         return new Promise(resolve => {
             const timer = setTimeout(() => {
-                settle(err(createFailure(`no answer within ${milliseconds} ms`)));
+                resolveQuery(err(createFailure(`no answer within ${timeoutMilliseconds} ms`)));
                 this.close("an answer is overdue");
-                this.#onSilence();
-            }, milliseconds);
-            const settle: Settle = result => {
+                this.#onTimeout();
+            }, timeoutMilliseconds);
+            const resolveQuery: ResolveCallback = result => {
                 clearTimeout(timer);
                 this.#pending.delete(id);
                 resolve(result);
             };
-            this.#pending.set(id, settle);
-            call.write({ id, question });
+            this.#pending.set(id, resolveQuery);
+            call.write({ id, question: request });
         });
     }
 
@@ -63,25 +63,25 @@
         const call = this.#call;
         this.#call = undefined;
         call?.cancel();
-        for (const settle of [...this.#pending.values()]) {
-            settle(err(createFailure(reason)));
+        for (const resolveQuery of [...this.#pending.values()]) {
+            resolveQuery(err(createFailure(reason)));
         }
     }
 
-    #start(): Call {
+    #startCall(): Call {
         const call = this.#open();
         call.on("data", ({ id, answer }: FollowStateReply) => {
             const result = answer === undefined ? err(createFailure("it can't tell")) : ok(answer);
             this.#pending.get(id)?.(result);
         });
-        const end = (reason: string): void => {
+        const handleEnd = (reason: string): void => {
             // A call that was given up reports its end too; the one after it must not suffer for that.
             if (this.#call === call) {
                 this.close(reason);
             }
         };
-        call.on("error", error => end(error.message));
-        call.on("end", () => end("the peer ended the call"));
+        call.on("error", error => handleEnd(error.message));
+        call.on("end", () => handleEnd("the peer ended the call"));
         return call;
     }
 }
--- a/src/platform/nodeParts.ts
+++ b/src/platform/nodeParts.ts
@@ -148,7 +148,7 @@
             journal,
             transport: peerClient.createGossipTransport(),
             periodMilliseconds: gossipIntervalMilliseconds,
-            bytesPerExchange: maxGossipBytes,
+            maxValueBytesPerMessage: maxGossipBytes,
         }),
     membership: ({ self, gossip, clock, journal }) => new Membership({ self, gossip, clock, journal }),
     directory: ({ membership }) => new MemberDirectory(vms => membership.setVms(vms)),
@@ -217,7 +217,7 @@
         return new SiteServer({
             isReady: () => topics.getRoutes() !== undefined && !shutdown.hasStarted,
             getAddresses: failureDomain =>
-                chooseAddresses(membership.getPresumed(), failureDomain).map(member => {
+                chooseAddresses(membership.getPresumedAlive(), failureDomain).map(member => {
                     const port = directory.getCallerPort(member.id) ?? settings.listen.callers.port;
                     return `${member.address}:${port}`;
                 }),
--- a/src/platform/platformTopics.ts
+++ b/src/platform/platformTopics.ts
@@ -9,7 +9,7 @@
 import type { Rollouts } from "../rollouts/index.js";
 import type { RouteTable } from "../routing/index.js";
 import {
-    answerPeer,
+    handleFetchState,
     type KeyedRecord,
     TopicFollower,
     type TopicFollowerOptions,
@@ -103,7 +103,7 @@
             staleMilliseconds: minBoundMilliseconds * staleShare,
         };
         const statusTiming = { waitMilliseconds: statusWaitMilliseconds, staleMilliseconds: statusStaleMilliseconds };
-        const waitForPeers = (): Promise<void> => this.#status.waitLoaded(peerDiscoveryTimeoutMilliseconds);
+        const waitForPeers = (): Promise<void> => this.#status.waitUntilLoaded(peerDiscoveryTimeoutMilliseconds);
         this.#operator = this.#createFollower(
             topics.operator,
             { ...operatorTiming, waitForPeers },
@@ -143,7 +143,7 @@
         if (remainingMilliseconds <= 0 || followers.every(follower => follower.state.isLoaded())) {
             return undefined;
         }
-        return Promise.all(followers.map(follower => follower.waitLoaded(remainingMilliseconds)));
+        return Promise.all(followers.map(follower => follower.waitUntilLoaded(remainingMilliseconds)));
     }
 
     /** Ends following. */
@@ -178,7 +178,7 @@
         if (follower === undefined) {
             throw new Error(`The topic ${request.stream} is not followed here.`);
         }
-        return answerPeer(follower, request, this.#options.suspensionClock);
+        return handleFetchState(follower, request, this.#options.suspensionClock);
     }
 
     #createFollower(
@@ -194,7 +194,7 @@
             journal,
             pickReader: detours => {
                 const isLoaded = this.#followers.get(topic)?.state.isLoaded() === true;
-                return this.#sources.pick({ topic, storeReader, isLoaded, detours });
+                return this.#sources.pick({ topic, storeReader, isLoaded, fallbackReads: detours });
             },
             onChanges,
             outageMilliseconds,
--- a/src/platform/storeClient.ts
+++ b/src/platform/storeClient.ts
@@ -146,7 +146,7 @@
             // Pages are no snapshot: what changed after the first page is read again from that page's end.
             end ??= page.value.end_offset;
             if (!page.value.has_more) {
-                return ok({ records: [...records.values()], isComplete: true, end, confirmedAt });
+                return ok({ records: [...records.values()], isComplete: true, endOffset: end, confirmedAt });
             }
         }
     }
@@ -226,7 +226,7 @@
         position += lengthBytes + length;
         offset += 1;
     }
-    return ok({ records, isComplete: false, end: offset, confirmedAt });
+    return ok({ records, isComplete: false, endOffset: offset, confirmedAt });
 }
 
 function parseJson<T>(body: Buffer, schema: z.ZodType<T>): Result<T, Failure> {
--- a/src/topics/index.ts
+++ b/src/topics/index.ts
@@ -1,7 +1,7 @@
 /** Topics of the platform's store: reading them, folding them, and knowing how old a belief is. */
 export * from "./keyedTopic.js";
 export * from "./peerTopics.js";
-export * from "./readerChoice.js";
+export * from "./readSource.js";
 export * from "./topicFollower.js";
 export * from "./topicSources.js";
 export * from "./topicState.js";
--- a/src/topics/keyedTopic.ts
+++ b/src/topics/keyedTopic.ts
@@ -18,7 +18,7 @@
     /** Whether the records are the newest of every key, so that keys that are missing were removed. */
     readonly isComplete: boolean;
     /** The offset to read on from. */
-    readonly end: number;
+    readonly endOffset: number;
     /** Monotonic milliseconds at which nothing newer was in the store, at least. */
     readonly confirmedAt: number;
 }
--- a/src/topics/peerTopics.ts
+++ b/src/topics/peerTopics.ts
@@ -10,17 +10,17 @@
 import type { TopicFollower } from "./topicFollower.js";
 
 /** How long a peer may take beyond the wait that it was asked for; a peer that is away must not be waited for longer. */
-const answerMilliseconds = 500;
+const responseTimeoutMilliseconds = 500;
 /** A peer waits no longer than this, whatever it is asked. */
-const longestWaitMilliseconds = 10_000;
+const maxWaitMilliseconds = 10_000;
 
 const stateSchema = z.array(z.tuple([z.string(), z.number(), z.string().optional()]));
 
 /** Asks a peer for state. */
-export type AskPeer = (
+export type PeerStateQuery = (
     peer: PeerAddress,
     request: FetchStateRequest,
-    milliseconds: number,
+    timeoutMilliseconds: number,
 ) => Promise<Result<FetchStateReply, Failure>>;
 
 /** What a reader through a peer is made with. */
@@ -28,15 +28,16 @@
     readonly topic: string;
     readonly peer: PeerAddress;
     readonly clock: Clock;
-    readonly ask: AskPeer;
+    readonly query: PeerStateQuery;
 }
 
 /** Creates a reader of a topic through a peer that follows it. */
 export function createPeerReader(options: PeerTopicOptions): KeyedTopicReader {
     return {
         source: "peer",
-        readAll: () => read(options, { knownOffset: 0, waitMilliseconds: 0, whole: true }),
-        readSince: (from, waitMilliseconds) => read(options, { knownOffset: from, waitMilliseconds, whole: false }),
+        readAll: () => readFromPeer(options, { knownOffset: 0, waitMilliseconds: 0, whole: true }),
+        readSince: (from, waitMilliseconds) =>
+            readFromPeer(options, { knownOffset: from, waitMilliseconds, whole: false }),
     };
 }
 
@@ -46,29 +47,29 @@
  * @param request - The question.
  * @param clock - Tells ages.
  */
-export async function answerPeer(
+export async function handleFetchState(
     follower: TopicFollower,
     request: FetchStateRequest,
     clock: Clock,
 ): Promise<FetchStateReply> {
     const receivedAt = clock.monotonic();
     if (!request.whole) {
-        await follower.waitLoaded(Math.min(request.waitMilliseconds, longestWaitMilliseconds));
+        await follower.waitUntilLoaded(Math.min(request.waitMilliseconds, maxWaitMilliseconds));
     }
     if (!follower.state.isLoaded()) {
         throw new Error("The topic has not been read here yet.");
     }
     const page = request.whole
-        ? follower.state.getWhole()
-        : await follower.waitSince(request.knownOffset, Math.min(request.waitMilliseconds, longestWaitMilliseconds));
+        ? follower.state.getCompletePage()
+        : await follower.waitForChanges(request.knownOffset, Math.min(request.waitMilliseconds, maxWaitMilliseconds));
     // Whoever asks for everything knows nothing: an old state, with its age, beats none.
-    if (follower.isLost() && !request.whole) {
+    if (follower.isDegraded() && !request.whole) {
         throw new Error("The topic can't be read here at the moment.");
     }
     const now = clock.monotonic();
     return {
         newer: page.records.length > 0,
-        offset: page.end,
+        offset: page.endOffset,
         state: encodeRecords(page.records),
         counter: 0,
         // Rounded up: a belief must never seem younger than it is.
@@ -78,21 +79,21 @@
     };
 }
 
-async function read(
-    { topic, peer, clock, ask }: PeerTopicOptions,
-    wanted: Pick<FetchStateRequest, "knownOffset" | "waitMilliseconds" | "whole">,
+async function readFromPeer(
+    { topic, peer, clock, query }: PeerTopicOptions,
+    requestFields: Pick<FetchStateRequest, "knownOffset" | "waitMilliseconds" | "whole">,
 ): Promise<Result<TopicPage, Failure>> {
     const sentAt = clock.monotonic();
-    const reply = await ask(
+    const reply = await query(
         peer,
-        { ...wanted, stream: topic, counter: 0 },
-        wanted.waitMilliseconds + answerMilliseconds,
+        { ...requestFields, stream: topic, counter: 0 },
+        requestFields.waitMilliseconds + responseTimeoutMilliseconds,
     );
     return reply.andThen(({ state, offset, complete, heldMilliseconds, ageMilliseconds }) =>
         decodeRecords(state).map(records => ({
             records,
             isComplete: complete,
-            end: offset,
+            endOffset: offset,
             // The answer left the peer no sooner than the question was sent plus the time it was held. An answer that was
             // long on its way is therefore never taken for a fresh one.
             confirmedAt: sentAt + heldMilliseconds - ageMilliseconds,
--- a/src/topics/readerChoice.ts
+++ b/src/topics/readSource.ts
@@ -4,7 +4,7 @@
 import type { Member } from "../membership/index.js";
 
 /** At least so many nodes of a failure domain hear from one of their own; fewer hear from the one that reads the store. */
-const leastNodesOfDomain = 8;
+const minNodesForRelay = 8;
 
 /** Where to read. */
 export type ReadSource =
@@ -12,7 +12,7 @@
     | { readonly kind: "peer"; readonly peer: Member; };
 
 /** What the choice rests on. */
-export interface ReaderChoiceOptions {
+export interface ReadSourceOptions {
     readonly self: string;
     readonly failureDomain: string;
     /** Nodes that are taken to live, this one among them. */
@@ -20,7 +20,7 @@
     /** Whether the state is old, or reading failed: the usual source does not do. */
     readonly isStale: boolean;
     /** How often another source than the usual one was tried since the state was last fresh. */
-    readonly detours: number;
+    readonly fallbackReads: number;
     /** Tells whether a node did not answer just now, so that the next by rank takes its place. */
     readonly isAvoided: (node: string) => boolean;
     /** Ranks a node; the first by rank reads. */
@@ -34,26 +34,28 @@
  * are tried in turn: a node that the store turns away hears from one that it serves.
  * @param options - What the choice rests on.
  */
-export function chooseReader(options: ReaderChoiceOptions): ReadSource {
-    const { self, failureDomain, alive, isStale, detours, isAvoided, getRank } = options;
+export function chooseReadSource(options: ReadSourceOptions): ReadSource {
+    const { self, failureDomain, alive, isStale, fallbackReads, isAvoided, getRank } = options;
     if (isStale) {
         const others = alive.filter(member => member.id !== self);
-        if (detours === 0 || detours % 2 === 1 || others.length === 0) {
+        if (fallbackReads === 0 || fallbackReads % 2 === 1 || others.length === 0) {
             return { kind: "store" };
         }
-        return { kind: "peer", peer: others[(detours / 2 - 1) % others.length] };
+        return { kind: "peer", peer: others[(fallbackReads / 2 - 1) % others.length] };
     }
-    const usual = alive.filter(member => !isAvoided(member.id));
-    const near = usual.filter(member => member.failureDomain === failureDomain);
-    const relay = near.length >= leastNodesOfDomain ? findFirst(near, getRank) : undefined;
+    const candidates = alive.filter(member => !isAvoided(member.id));
+    const sameDomain = candidates.filter(member => member.failureDomain === failureDomain);
+    const relay = sameDomain.length >= minNodesForRelay ? findHighestRanked(sameDomain, getRank) : undefined;
     if (relay !== undefined && relay.id !== self) {
         return { kind: "peer", peer: relay };
     }
-    const reader = findFirst(usual, getRank);
-    return reader === undefined || reader.id === self ? { kind: "store" } : { kind: "peer", peer: reader };
+    const storeReader = findHighestRanked(candidates, getRank);
+    return storeReader === undefined || storeReader.id === self
+        ? { kind: "store" }
+        : { kind: "peer", peer: storeReader };
 }
 
-function findFirst(group: readonly Member[], getRank: (node: string) => number): Member | undefined {
+function findHighestRanked(group: readonly Member[], getRank: (node: string) => number): Member | undefined {
     let first: Member | undefined;
     let firstRank = -1;
     for (const member of group) {
--- a/src/topics/topicFollower.ts
+++ b/src/topics/topicFollower.ts
@@ -7,11 +7,11 @@
 import { TopicState } from "./topicState.js";
 
 /** Pause after a failed read, in milliseconds; doubled up to the longest one. */
-const firstPauseMilliseconds = 100;
+const initialBackoffMilliseconds = 100;
 /** A source that failed is passed over for so long while another one does, in milliseconds. */
-const detourMilliseconds = 2_000;
+const fallbackMilliseconds = 2_000;
 /** Kept short: after an outage every second without the store is a second in which keyed requests are refused. */
-const longestPauseMilliseconds = 400;
+const maxBackoffMilliseconds = 400;
 
 /** Options of a follower. */
 export interface TopicFollowerOptions {
@@ -20,9 +20,9 @@
     readonly journal: Journal;
     /**
      * Picks whom to read from, anew for each read.
-     * @param detours - Reads in a row that failed or left the state old; 0 when the last one was as it should be.
+     * @param fallbackReads - Reads in a row that failed or left the state old; 0 when the last one was as it should be.
      */
-    readonly pickReader: (detours: number) => KeyedTopicReader;
+    readonly pickReader: (fallbackReads: number) => KeyedTopicReader;
     /** A state that was confirmed longer ago than this is old: whoever it is read from lags behind, in milliseconds. */
     readonly staleMilliseconds: number;
     /** A state that nobody could confirm for so long was followed by an outage of the store, in milliseconds. */
@@ -52,8 +52,8 @@
     readonly #waiters = new Set<() => void>();
     #failures = 0;
     #isFailing = false;
-    #detours = 0;
-    #detourUntil = Number.NEGATIVE_INFINITY;
+    #fallbackReads = 0;
+    #fallbackUntil = Number.NEGATIVE_INFINITY;
     #outageEndedAt = Number.NEGATIVE_INFINITY;
     #isStopped = false;
     #running: Promise<void> | undefined;
@@ -70,11 +70,11 @@
     /** Ends after the read that is under way. */
     stop(): void {
         this.#isStopped = true;
-        this.#wake();
+        this.#notifyWaiters();
     }
 
     /** Resolves when the follower has ended. */
-    async settle(): Promise<void> {
+    async waitUntilStopped(): Promise<void> {
         await this.#running;
     }
 
@@ -92,7 +92,7 @@
      * Tells whether reading fails or leaves the state old, so that peers had better ask somebody else. The failure of one peer is
      * not enough: the next read goes elsewhere at once.
      */
-    isLost(): boolean {
+    isDegraded(): boolean {
         return this.#isFailing || this.getAge() > this.#options.staleMilliseconds;
     }
 
@@ -100,7 +100,7 @@
      * Takes in a page that came from elsewhere.
      * @param page - The page.
      */
-    offer(page: TopicPage): void {
+    applyPage(page: TopicPage): void {
         // The first read of a node that has just started ends no outage: nothing that it knows can have lapsed.
         if (this.state.isLoaded() && this.getAge() > this.#options.outageMilliseconds) {
             this.#outageEndedAt = this.#options.clock.monotonic();
@@ -109,7 +109,7 @@
         if (changed.length > 0) {
             this.#options.onChanges(changed);
         }
-        this.#wake();
+        this.#notifyWaiters();
     }
 
     /**
@@ -118,8 +118,8 @@
      * @param from - The offset.
      * @param waitMilliseconds - How long to wait at most.
      */
-    async waitSince(from: number, waitMilliseconds: number): Promise<TopicPage> {
-        await this.#waitUntil(() => this.state.getEnd() > from || this.isLost(), waitMilliseconds);
+    async waitForChanges(from: number, waitMilliseconds: number): Promise<TopicPage> {
+        await this.#waitUntil(() => this.state.getEndOffset() > from || this.isDegraded(), waitMilliseconds);
         return this.state.getSince(from);
     }
 
@@ -128,7 +128,7 @@
      * away, they would all go on reading the store.
      * @param waitMilliseconds - How long to wait at most.
      */
-    async waitLoaded(waitMilliseconds: number): Promise<void> {
+    async waitUntilLoaded(waitMilliseconds: number): Promise<void> {
         await this.#waitUntil(() => this.state.isLoaded(), waitMilliseconds);
     }
 
@@ -137,46 +137,46 @@
             return;
         }
         await new Promise<void>(resolve => {
-            const done = (): void => {
+            const check = (): void => {
                 if (isDone() || this.#isStopped) {
                     finish();
                 }
             };
             const finish = (): void => {
                 clearTimeout(timer);
-                this.#waiters.delete(done);
+                this.#waiters.delete(check);
                 resolve();
             };
             const timer = setTimeout(finish, waitMilliseconds);
-            this.#waiters.add(done);
+            this.#waiters.add(check);
         });
     }
 
     async #run(): Promise<void> {
         while (!this.#isStopped) {
-            const reader = this.#options.pickReader(this.#detours);
+            const reader = this.#options.pickReader(this.#fallbackReads);
             const isFirst = !this.state.isLoaded();
             const read = isFirst
                 ? await reader.readAll()
-                : await reader.readSince(this.state.getEnd(), this.#options.waitMilliseconds);
+                : await reader.readSince(this.state.getEndOffset(), this.#options.waitMilliseconds);
             if (read.isErr()) {
-                this.#takeDetour();
+                this.#startFallback();
                 await this.#recover(reader, read.error);
                 continue;
             }
-            const hasChanges = this.state.getEnd() < read.value.end;
-            this.offer(read.value);
+            const hasChanges = this.state.getEndOffset() < read.value.endOffset;
+            this.applyPage(read.value);
             if (this.getAge() > this.#options.staleMilliseconds) {
-                this.#takeDetour();
-                await this.#pause(this.#detours);
+                this.#startFallback();
+                await this.#backOff(this.#fallbackReads);
                 continue;
             }
-            this.#noteRegained();
+            this.#recordRecovery();
             if (isFirst) {
                 await this.#options.waitForPeers?.();
             }
-            if (this.#options.clock.monotonic() >= this.#detourUntil) {
-                this.#detours = 0;
+            if (this.#options.clock.monotonic() >= this.#fallbackUntil) {
+                this.#fallbackReads = 0;
             }
             if (hasChanges) {
                 await this.#sleep(this.#options.getPause?.() ?? 0);
@@ -185,16 +185,19 @@
     }
 
     /** A source that does on a detour is stayed with for a while, so that the usual one is not asked in vain each time. */
-    #takeDetour(): void {
-        this.#detours += 1;
-        this.#detourUntil = this.#options.clock.monotonic() + detourMilliseconds;
+    #startFallback(): void {
+        this.#fallbackReads += 1;
+        this.#fallbackUntil = this.#options.clock.monotonic() + fallbackMilliseconds;
     }
 
     /** The first detour is taken at once: the usual reader may just have died. */
-    async #pause(detours: number): Promise<void> {
-        if (detours > 1) {
-            const pause = Math.min(longestPauseMilliseconds, firstPauseMilliseconds * 2 ** Math.min(10, detours - 2));
-            await this.#sleep(pause);
+    async #backOff(fallbackReads: number): Promise<void> {
+        if (fallbackReads > 1) {
+            const backoffMilliseconds = Math.min(
+                maxBackoffMilliseconds,
+                initialBackoffMilliseconds * 2 ** Math.min(10, fallbackReads - 2),
+            );
+            await this.#sleep(backoffMilliseconds);
         }
     }
 
@@ -206,33 +209,33 @@
 
     async #recover(reader: KeyedTopicReader, failure: Failure): Promise<void> {
         if (failure.kind === "gone") {
-            const whole = await reader.readAll();
-            if (whole.isOk()) {
-                this.#noteRegained();
-                this.offer(whole.value);
+            const page = await reader.readAll();
+            if (page.isOk()) {
+                this.#recordRecovery();
+                this.applyPage(page.value);
                 return;
             }
         }
-        this.#noteLost(reader, failure);
+        this.#recordFailure(reader, failure);
         if (this.#isFailing) {
             const doublings = Math.min(10, this.#failures - 1);
-            await this.#sleep(Math.min(longestPauseMilliseconds, firstPauseMilliseconds * 2 ** doublings));
+            await this.#sleep(Math.min(maxBackoffMilliseconds, initialBackoffMilliseconds * 2 ** doublings));
         }
     }
 
-    #noteLost(reader: KeyedTopicReader, failure: Failure): void {
+    #recordFailure(reader: KeyedTopicReader, failure: Failure): void {
         this.#failures += 1;
         if (this.#failures === 1) {
             const { name, journal } = this.#options;
-            journal.write(events.topicLost, { topic: name, offset: this.state.getEnd(), cause: failure.message });
+            journal.write(events.topicLost, { topic: name, offset: this.state.getEndOffset(), cause: failure.message });
         }
         if (!this.#isFailing && (reader.source === "store" || this.#failures > 1)) {
             this.#isFailing = true;
-            this.#wake();
+            this.#notifyWaiters();
         }
     }
 
-    #noteRegained(): void {
+    #recordRecovery(): void {
         if (this.#failures === 0) {
             return;
         }
@@ -246,7 +249,7 @@
         this.#isFailing = false;
     }
 
-    #wake(): void {
+    #notifyWaiters(): void {
         for (const waiter of [...this.#waiters]) {
             waiter();
         }
--- a/src/topics/topicSources.ts
+++ b/src/topics/topicSources.ts
@@ -6,7 +6,7 @@
 import type { Membership, NodeIdentity, PeerAddress, PeerClient } from "../membership/index.js";
 import type { KeyedTopicReader } from "./keyedTopic.js";
 import { createPeerReader } from "./peerTopics.js";
-import { chooseReader } from "./readerChoice.js";
+import { chooseReadSource } from "./readSource.js";
 
 /** A node that could not tell what the store holds is passed over for so long, in milliseconds; a restart takes about two seconds. */
 const avoidMilliseconds = 3_000;
@@ -29,7 +29,7 @@
     /** Whether the topic has been read once. */
     readonly isLoaded: boolean;
     /** Reads in a row that failed or left the state old. */
-    readonly detours: number;
+    readonly fallbackReads: number;
 }
 
 /** Picks sources, and remembers which peers did not answer. */
@@ -48,25 +48,27 @@
      * Picks the source of a read.
      * @param read - The read.
      */
-    pick({ topic, storeReader, isLoaded, detours }: TopicRead): KeyedTopicReader {
+    pick({ topic, storeReader, isLoaded, fallbackReads }: TopicRead): KeyedTopicReader {
         const { self, membership } = this.#options;
-        const source = chooseReader({
+        const source = chooseReadSource({
             self: self.id,
             failureDomain: self.failureDomain,
-            alive: membership.getPresumed(),
+            alive: membership.getPresumedAlive(),
             isAvoided: node => this.#isAvoided(node),
             // One failure is the usual source's, which is avoided from then on; the next by rank is as good.
-            isStale: !isLoaded || detours > 1,
-            detours: isLoaded ? detours - 1 : detours,
+            isStale: !isLoaded || fallbackReads > 1,
+            fallbackReads: isLoaded ? fallbackReads - 1 : fallbackReads,
             getRank: node => this.#getRank(node),
         });
         if (source.kind === "peer") {
             return this.#createPeerReader(topic, source.peer);
         }
         const seeds = this.#options.getSeeds();
-        const seed = seeds[Math.floor(detours / 2) % Math.max(1, seeds.length)];
+        const seed = seeds[Math.floor(fallbackReads / 2) % Math.max(1, seeds.length)];
         const isAlone = membership.getAlive().length <= 1;
-        if (isAlone && detours > 0 && detours % 2 === 0 && seed !== undefined && seed.host !== self.address) {
+        if (
+            isAlone && fallbackReads > 0 && fallbackReads % 2 === 0 && seed !== undefined && seed.host !== self.address
+        ) {
             // Nobody is known yet, since the store that would tell does not answer.
             return this.#createPeerReader(topic, { id: seed.host, address: seed.host, peerPort: seed.port });
         }
@@ -97,8 +99,8 @@
             topic,
             peer,
             clock,
-            ask: async (to, request, milliseconds) => {
-                const reply = await peerClient.followState(to, request, milliseconds);
+            query: async (to, request, timeoutMilliseconds) => {
+                const reply = await peerClient.followState(to, request, timeoutMilliseconds);
                 if (reply.isErr()) {
                     this.#avoid(to.id);
                 }
--- a/src/topics/topicState.ts
+++ b/src/topics/topicState.ts
@@ -4,20 +4,20 @@
 import type { KeyedRecord, TopicPage } from "./keyedTopic.js";
 
 /** Removed keys that are remembered, so that peers who read through this node hear of the removal. */
-const mostTombstones = 1_000;
+const maxTombstones = 1_000;
 
 /** Folds pages. Offsets decide: an older record never replaces a newer one, whoever delivers it last. */
 export class TopicState {
     readonly #records = new Map<string, KeyedRecord>();
-    #end = 0;
+    #endOffset = 0;
     #confirmedAt = Number.NEGATIVE_INFINITY;
     #isLoaded = false;
     /** Removals before this offset are no longer remembered. */
-    #forgottenBefore = 0;
+    #prunedBefore = 0;
 
     /** Returns the offset up to which the state is folded. */
-    getEnd(): number {
-        return this.#end;
+    getEndOffset(): number {
+        return this.#endOffset;
     }
 
     /** Tells whether the state has ever been complete. */
@@ -49,8 +49,13 @@
     }
 
     /** Returns everything. */
-    getWhole(): TopicPage {
-        return { records: [...this.getAll()], isComplete: true, end: this.#end, confirmedAt: this.#confirmedAt };
+    getCompletePage(): TopicPage {
+        return {
+            records: [...this.getAll()],
+            isComplete: true,
+            endOffset: this.#endOffset,
+            confirmedAt: this.#confirmedAt,
+        };
     }
 
     /**
@@ -58,8 +63,8 @@
      * @param from - The offset.
      */
     getSince(from: number): TopicPage {
-        if (from < this.#forgottenBefore) {
-            return this.getWhole();
+        if (from < this.#prunedBefore) {
+            return this.getCompletePage();
         }
         const records: KeyedRecord[] = [];
         for (const record of this.#records.values()) {
@@ -67,7 +72,7 @@
                 records.push(record);
             }
         }
-        return { records, isComplete: false, end: this.#end, confirmedAt: this.#confirmedAt };
+        return { records, isComplete: false, endOffset: this.#endOffset, confirmedAt: this.#confirmedAt };
     }
 
     /**
@@ -86,12 +91,12 @@
             changed.push(...this.#removeMissing(page));
             this.#isLoaded = true;
         }
-        this.#end = Math.max(this.#end, page.end);
+        this.#endOffset = Math.max(this.#endOffset, page.endOffset);
         // A page from a peer that lags behind confirms only what it has seen itself.
-        if (page.end >= this.#end) {
+        if (page.endOffset >= this.#endOffset) {
             this.#confirmedAt = Math.max(this.#confirmedAt, page.confirmedAt);
         }
-        this.#forgetTombstones();
+        this.#pruneTombstones();
         return changed.sort((first, second) => first.offset - second.offset);
     }
 
@@ -110,8 +115,8 @@
         const listed = new Set(page.records.map(record => record.key));
         const removed: KeyedRecord[] = [];
         for (const record of [...this.#records.values()]) {
-            if (record.value !== undefined && !listed.has(record.key) && record.offset < page.end) {
-                const tombstone = { key: record.key, value: undefined, offset: page.end - 1 };
+            if (record.value !== undefined && !listed.has(record.key) && record.offset < page.endOffset) {
+                const tombstone = { key: record.key, value: undefined, offset: page.endOffset - 1 };
                 this.#records.delete(record.key);
                 this.#records.set(record.key, tombstone);
                 removed.push(tombstone);
@@ -120,15 +125,15 @@
         return removed;
     }
 
-    #forgetTombstones(): void {
-        let excess = this.#records.size - mostTombstones;
+    #pruneTombstones(): void {
+        let excess = this.#records.size - maxTombstones;
         for (const record of this.#records.values()) {
             if (excess <= 0) {
                 return;
             }
             if (record.value === undefined) {
                 this.#records.delete(record.key);
-                this.#forgottenBefore = Math.max(this.#forgottenBefore, record.offset + 1);
+                this.#prunedBefore = Math.max(this.#prunedBefore, record.offset + 1);
                 excess -= 1;
             }
         }
--- a/test/bills/billKeeper.test.ts
+++ b/test/bills/billReplicaStore.test.ts
@@ -1,6 +1,6 @@
 import { expect } from "earl";
 import { describe, it } from "node:test";
-import { BillKeeper, BillWriter, Ledger } from "../../src/bills/index.js";
+import { BillReplicaStore, BillWriter, Ledger } from "../../src/bills/index.js";
 import { ManualClock, systemClock } from "../../src/common/index.js";
 import { createBill, createCopyTarget } from "../fixtures/bills.js";
 import { createJournal } from "../fixtures/journals.js";
@@ -10,42 +10,42 @@
     readonly log: MemoryLog;
     readonly clock: ManualClock;
     readonly gone: Set<string>;
-    readonly keeper: BillKeeper;
+    readonly keeper: BillReplicaStore;
 }
 
-function createSetup(handOverTo?: BillKeeper): Setup {
+function createSetup(transferTarget?: BillReplicaStore): Setup {
     const log = new MemoryLog();
     const clock = new ManualClock();
     const gone = new Set<string>();
-    const keeper = new BillKeeper({
+    const keeper = new BillReplicaStore({
         append: log.append,
         clock,
         journal: createJournal("keeper").journal,
         writer: "keeper",
-        isGone: origin => gone.has(origin),
-        confirmMilliseconds: 1_000,
-        getCopyTargets: () => handOverTo === undefined ? [] : [createCopyTarget("next", handOverTo, "keeper")],
+        hasDeparted: origin => gone.has(origin),
+        confirmTimeoutMilliseconds: 1_000,
+        getCopyTargets: () => transferTarget === undefined ? [] : [createCopyTarget("next", transferTarget, "keeper")],
     });
     return { log, clock, gone, keeper };
 }
 
-function keep(keeper: BillKeeper, ...requestIds: string[]): readonly string[] {
-    return keeper.keep("entry-a", requestIds.map(id => JSON.stringify(createBill(id))), []);
+function retainBills(store: BillReplicaStore, ...requestIds: string[]): readonly string[] {
+    return store.retain("entry-a", requestIds.map(id => JSON.stringify(createBill(id))), []);
 }
 
 describe("BillKeeper", () => {
     describe("keep", () => {
         it("names what it keeps and leaves out what it cannot read", () => {
             const { keeper } = createSetup();
-            expect(keeper.keep("entry-a", [JSON.stringify(createBill("r1")), "{", "{}"], [])).toEqual(["r1"]);
+            expect(keeper.retain("entry-a", [JSON.stringify(createBill("r1")), "{", "{}"], [])).toEqual(["r1"]);
         });
 
         it("drops copies only when told that they are appended", async () => {
             const { keeper, log } = createSetup();
-            keep(keeper, "r1", "r2");
+            retainBills(keeper, "r1", "r2");
             await keeper.appendDue();
             expect(keeper.getSize()).toEqual(2);
-            keeper.keep("entry-a", [], ["r1"]);
+            keeper.retain("entry-a", [], ["r1"]);
             expect(keeper.getSize()).toEqual(1);
             expect(log.getEntries("bills").length).toEqual(0);
         });
@@ -56,17 +56,17 @@
         // its origin up among all members every second, the entry's loop would stand still, and so would every answer.
         it("looks an origin up once, however many of its bills are kept", async () => {
             const lookUps: string[] = [];
-            const keeper = new BillKeeper({
+            const keeper = new BillReplicaStore({
                 append: new MemoryLog().append,
                 clock: new ManualClock(),
                 journal: createJournal("keeper").journal,
                 writer: "keeper",
-                isGone: origin => {
+                hasDeparted: origin => {
                     lookUps.push(origin);
                     return false;
                 },
             });
-            keep(keeper, ...Array.from({ length: 500 }, (_, index) => `r${index}`));
+            retainBills(keeper, ...Array.from({ length: 500 }, (_, index) => `r${index}`));
             await keeper.appendDue();
             expect(lookUps).toEqual(["entry-a"]);
         });
@@ -97,7 +97,7 @@
         // The origin lives but its word that the bill is appended was lost, or it never managed to append.
         it("appends what its origin did not confirm in time", async () => {
             const { keeper, log, clock } = createSetup();
-            keep(keeper, "r1");
+            retainBills(keeper, "r1");
             clock.advance(1_001);
             await keeper.appendDue();
             expect(log.getEntries("bills").length).toEqual(1);
@@ -107,7 +107,7 @@
         it("keeps copies until the log confirms them", async () => {
             for (const fate of ["dropped", "lost", "overloaded"] as const) {
                 const { keeper, log, gone } = createSetup();
-                keep(keeper, "r1");
+                retainBills(keeper, "r1");
                 gone.add("entry-a");
                 log.fate = () => fate;
                 await keeper.appendDue();
@@ -122,7 +122,7 @@
         it("hands copies to another keeper, under their own origin", async () => {
             const next = createSetup();
             const { keeper, log } = createSetup(next.keeper);
-            keep(keeper, "r1");
+            retainBills(keeper, "r1");
             log.fate = () => "dropped";
             expect(await keeper.flush(0)).toEqual(0);
             next.gone.add("entry-a");
@@ -132,7 +132,7 @@
 
         it("tells how many copies no one took", async () => {
             const { keeper, log } = createSetup();
-            keep(keeper, "r1", "r2");
+            retainBills(keeper, "r1", "r2");
             log.fate = () => "dropped";
             expect(await keeper.flush(0)).toEqual(2);
         });
--- a/test/bills/billWriter.test.ts
+++ b/test/bills/billWriter.test.ts
@@ -1,8 +1,8 @@
 import { expect } from "earl";
 import { afterEach, describe, it } from "node:test";
-import { type BillCopyTarget, BillKeeper, BillWriter, Ledger } from "../../src/bills/index.js";
+import { type BillCopyTarget, BillReplicaStore, BillWriter, Ledger } from "../../src/bills/index.js";
 import { RandomSource, systemClock } from "../../src/common/index.js";
-import { maximumRecordBytes } from "../../src/log/index.js";
+import { maxRecordBytes } from "../../src/log/index.js";
 import { createBill, createCopyTarget } from "../fixtures/bills.js";
 import { createJournal } from "../fixtures/journals.js";
 import { MemoryLog } from "../fixtures/memoryLog.js";
@@ -13,7 +13,7 @@
 function createWriter(
     log: MemoryLog,
     targets: readonly BillCopyTarget[],
-    options: { readonly maximumBills?: number; readonly copyMilliseconds?: number; } = {},
+    options: { readonly maxBills?: number; readonly copyTimeoutMilliseconds?: number; } = {},
 ): BillWriter {
     const { journal } = createJournal("entry-a");
     const writer = new BillWriter({
@@ -29,9 +29,9 @@
     return writer;
 }
 
-function createKeeper(log: MemoryLog, isGone = () => false): BillKeeper {
+function createReplicaStore(log: MemoryLog, hasDeparted = () => false): BillReplicaStore {
     const { journal } = createJournal("keeper");
-    return new BillKeeper({ append: log.append, clock: systemClock, journal, writer: "keeper", isGone });
+    return new BillReplicaStore({ append: log.append, clock: systemClock, journal, writer: "keeper", hasDeparted });
 }
 
 function readLedger(log: MemoryLog): Ledger {
@@ -52,7 +52,7 @@
     describe("add", () => {
         it("resolves once a peer keeps a copy, before the log has the bill", async () => {
             const log = new MemoryLog();
-            const keeper = createKeeper(log);
+            const keeper = createReplicaStore(log);
             const writer = createWriter(log, [createCopyTarget("b", keeper)]);
             expect((await writer.add(createBill("r1"))).isOk()).toEqual(true);
             expect(keeper.getSize()).toEqual(1);
@@ -62,9 +62,15 @@
         it("asks the next peer when the first does not answer or has no room", async () => {
             const log = new MemoryLog();
             const { journal } = createJournal();
-            const options = { append: log.append, clock: systemClock, journal, writer: "full", isGone: () => false };
-            const full = new BillKeeper({ ...options, maximumBills: 0 });
-            const keeper = createKeeper(log);
+            const options = {
+                append: log.append,
+                clock: systemClock,
+                journal,
+                writer: "full",
+                hasDeparted: () => false,
+            };
+            const full = new BillReplicaStore({ ...options, maxBills: 0 });
+            const keeper = createReplicaStore(log);
             const writer = createWriter(log, [
                 createCopyTarget("cut", undefined),
                 createCopyTarget("full", full),
@@ -87,7 +93,7 @@
         it("fails in time when neither a peer nor the log takes the bill, and keeps it", async () => {
             const log = new MemoryLog();
             log.fate = () => "dropped";
-            const writer = createWriter(log, [], { copyMilliseconds: 30 });
+            const writer = createWriter(log, [], { copyTimeoutMilliseconds: 30 });
             expect((await writer.add(createBill("r1"))).isErr()).toEqual(true);
             log.fate = () => "taken";
             expect((await writer.flush(1_000)).isOk()).toEqual(true);
@@ -96,7 +102,7 @@
 
         it("takes a second bill of the same request for the same", async () => {
             const log = new MemoryLog();
-            const keeper = createKeeper(log);
+            const keeper = createReplicaStore(log);
             const writer = createWriter(log, [createCopyTarget("b", keeper)]);
             const added = await Promise.all([writer.add(createBill("r1")), writer.add(createBill("r1"))]);
             expect(added.map(result => result.isOk())).toEqual([true, true]);
@@ -108,7 +114,7 @@
     describe("start", () => {
         it("appends many bills in a record and tells the keeper", async () => {
             const log = new MemoryLog();
-            const keeper = createKeeper(log);
+            const keeper = createReplicaStore(log);
             const writer = createWriter(log, [createCopyTarget("b", keeper)]);
             await Promise.all(Array.from({ length: 300 }, (...[, index]) => writer.add(createBill(`r${index}`))));
             writer.start();
@@ -121,14 +127,14 @@
         // Names in other scripts take three bytes a character; a record past the log's bound would be refused for ever.
         it("keeps records below the log's bound, in bytes", async () => {
             const log = new MemoryLog();
-            const writer = createWriter(log, [createCopyTarget("b", createKeeper(log))]);
+            const writer = createWriter(log, [createCopyTarget("b", createReplicaStore(log))]);
             const application = "\u6d88".repeat(3_000);
             for (let index = 0; index < 60; index += 1) {
                 await writer.add(createBill(`r${index}`, { application }));
             }
             expect((await writer.flush(1_000)).isOk()).toEqual(true);
             for (const { record } of log.getEntries("bills")) {
-                expect(Buffer.byteLength(JSON.stringify(record)) <= maximumRecordBytes).toEqual(true);
+                expect(Buffer.byteLength(JSON.stringify(record)) <= maxRecordBytes).toEqual(true);
             }
             expect(readLedger(log).getSize()).toEqual(60);
         });
@@ -140,7 +146,7 @@
                 const log = new MemoryLog();
                 const fates = ["taken", "lost", "dropped", "dropped", "overloaded"] as const;
                 log.fate = () => fates[random.nextInteger(fates.length)];
-                const writer = createWriter(log, [createCopyTarget("b", createKeeper(log))]);
+                const writer = createWriter(log, [createCopyTarget("b", createReplicaStore(log))]);
                 writer.start();
                 for (let index = 0; index < 50; index += 1) {
                     await writer.add(createBill(`r${index}`));
@@ -156,7 +162,7 @@
         it("refuses new work before the buffer ends, and still takes in what is answered", async () => {
             const log = new MemoryLog();
             log.fate = () => "dropped";
-            const writer = createWriter(log, [createCopyTarget("b", createKeeper(log))], { maximumBills: 10 });
+            const writer = createWriter(log, [createCopyTarget("b", createReplicaStore(log))], { maxBills: 10 });
             for (let index = 0; index < 7; index += 1) {
                 await writer.add(createBill(`r${index}`));
             }
@@ -175,7 +181,7 @@
         it("leaves bills to two peers when the log does not answer", async () => {
             const log = new MemoryLog();
             log.fate = () => "dropped";
-            const keepers = [createKeeper(log), createKeeper(log)];
+            const keepers = [createReplicaStore(log), createReplicaStore(log)];
             const writer = createWriter(log, keepers.map((keeper, index) => createCopyTarget(`k${index}`, keeper)));
             await writer.add(createBill("r1"));
             expect((await writer.flush(10)).isOk()).toEqual(true);
@@ -185,7 +191,7 @@
         it("fails when a bill is nowhere else", async () => {
             const log = new MemoryLog();
             log.fate = () => "dropped";
-            const writer = createWriter(log, [], { copyMilliseconds: 10 });
+            const writer = createWriter(log, [], { copyTimeoutMilliseconds: 10 });
             await writer.add(createBill("r1"));
             expect((await writer.flush(10)).isErr()).toEqual(true);
         });
--- a/test/bills/ledgerMain.test.ts
+++ b/test/bills/ledgerMain.test.ts
@@ -4,7 +4,7 @@
 import { join } from "node:path";
 import { after, describe, it } from "node:test";
 import { fileURLToPath } from "node:url";
-import { type Bill, BillKeeper, BillWriter, type LedgerReport } from "../../src/bills/index.js";
+import { type Bill, BillReplicaStore, BillWriter, type LedgerReport } from "../../src/bills/index.js";
 import { systemClock } from "../../src/common/index.js";
 import { LogClient } from "../../src/log/index.js";
 import {
@@ -45,7 +45,7 @@
             const client = new LogClient({ url, clock: systemClock, timeoutMilliseconds: 500 });
             const { journal } = createJournal("entry-a");
             const base = { append: client.append.bind(client), clock: systemClock, journal };
-            const keeper = new BillKeeper({ ...base, writer: "keeper", isGone: () => true });
+            const keeper = new BillReplicaStore({ ...base, writer: "keeper", hasDeparted: () => true });
             const writer = new BillWriter({
                 ...base,
                 writer: "entry-a",
--- a/test/claims/claimClient.test.ts
+++ b/test/claims/claimClient.test.ts
@@ -16,8 +16,8 @@
     return node;
 }
 
-async function claim(node: ClaimNode, requestId: string, wanted = key): Promise<ClaimVerdict | undefined> {
-    const claimed = await node.client.claim({ key: wanted, value: requestId, requestId });
+async function claim(node: ClaimNode, requestId: string, requestedKey = key): Promise<ClaimVerdict | undefined> {
+    const claimed = await node.client.claim({ key: requestedKey, value: requestId, requestId });
     return claimed.unwrapOr(undefined);
 }
 
@@ -29,7 +29,7 @@
     return verdict;
 }
 
-function isAnyGranted(log: MemoryLog): boolean {
+function hasAnyRecord(log: MemoryLog): boolean {
     return log.getEntries("claims-0").length + log.getEntries("claims-1").length > 0;
 }
 
@@ -115,7 +115,7 @@
             const other = createNode({ log, name: "other" });
             log.isReadingCut = true;
             expect(await claim(node, "r1")).toEqual(undefined);
-            expect(isAnyGranted(log)).toEqual(true);
+            expect(hasAnyRecord(log)).toEqual(true);
             log.isReadingCut = false;
             log.wake();
             expect((await claim(other, "r2"))?.kind).toEqual("held");
@@ -130,7 +130,7 @@
                 log.fate = record => record.writer === "dying" ? fate : "taken";
                 const dying = createNode({ log, name: "dying", decideMilliseconds: 100 });
                 const attempt = claim(dying, "r1");
-                await waitUntil(() => fate === "overloaded" || isAnyGranted(log), "the claim was sent");
+                await waitUntil(() => fate === "overloaded" || hasAnyRecord(log), "the claim was sent");
                 await dying.stop();
                 await attempt;
                 const next = await claim(createNode({ log, name: "next" }), "r1");
@@ -151,7 +151,7 @@
             await waitUntil(() => node.clock.monotonic() > 0, "the first append was refused");
             log.fate = () => "taken";
             expect(await attempt).toEqual(undefined);
-            expect(isAnyGranted(log)).toEqual(false);
+            expect(hasAnyRecord(log)).toEqual(false);
         });
     });
 
--- a/test/claims/claimFold.test.ts
+++ b/test/claims/claimFold.test.ts
@@ -4,7 +4,7 @@
 import { ClaimFold, type ClaimLifetimes, type ClaimOperation } from "../../src/claims/index.js";
 import type { LogEntry } from "../../src/log/record.js";
 
-const lifetimes: ClaimLifetimes = { runMilliseconds: 1_000, pinMilliseconds: 2_000, repeatMilliseconds: 500 };
+const lifetimes: ClaimLifetimes = { runMilliseconds: 1_000, pinMilliseconds: 2_000, deduplicationMilliseconds: 500 };
 const runKey = "run:w/k";
 const pinKey = "pin:w/s";
 
--- a/test/claims/collector.test.ts
+++ b/test/claims/collector.test.ts
@@ -1,7 +1,7 @@
 import { expect } from "earl";
 import { afterEach, describe, it } from "node:test";
 import { createRunKey, getPartition } from "../../src/claims/index.js";
-import { maximumRecordBytes } from "../../src/log/index.js";
+import { maxRecordBytes } from "../../src/log/index.js";
 import { type ClaimNode, createClaimNode } from "../fixtures/claimNodes.js";
 import { MemoryLog } from "../fixtures/memoryLog.js";
 import { waitUntil } from "../fixtures/waiting.js";
@@ -61,7 +61,7 @@
             const claimed = await Promise.all(attempts);
             expect(claimed.every(result => result.isOk())).toEqual(true);
             for (const entry of [...log.getEntries("claims-0"), ...log.getEntries("claims-1")]) {
-                expect(Buffer.byteLength(JSON.stringify(entry.record)) <= maximumRecordBytes).toEqual(true);
+                expect(Buffer.byteLength(JSON.stringify(entry.record)) <= maxRecordBytes).toEqual(true);
             }
         });
 
--- a/test/entry/stateFetcher.test.ts
+++ b/test/entry/stateFetcher.test.ts
@@ -50,7 +50,7 @@
         protocol: { oldest: 1, newest: 1 },
         configurationOffset: 7,
         heartbeatAge: 0,
-        isHeard: true,
+        hasBeenSeen: true,
     };
 }
 
--- a/test/log/logClient.test.ts
+++ b/test/log/logClient.test.ts
@@ -60,7 +60,7 @@
             const log = new MemoryLog();
             log.append(createRecord("other"));
             log.failAppends("lost-acknowledgement");
-            const result = await createClient(log).client.appendSettled("config", createRecord("a"), 1);
+            const result = await createClient(log).client.appendAndConfirm("config", createRecord("a"), 1);
             expect(result._unsafeUnwrap()).toEqual(1);
             expect(log.getEntries().length).toEqual(2);
         });
@@ -78,7 +78,7 @@
                 },
             });
             log.failAppends("lost-record");
-            const result = await client.appendSettled("config", createRecord("a"), 0);
+            const result = await client.appendAndConfirm("config", createRecord("a"), 0);
             expect(log.getEntries().length).toEqual(2);
             expect(result._unsafeUnwrap()).toEqual(0);
         });
@@ -87,7 +87,7 @@
             const log = new MemoryLog();
             log.failAppends("overloaded");
             const { client, pauses } = createClient(log);
-            expect((await client.appendSettled("config", createRecord("a"), 0))._unsafeUnwrap()).toEqual(0);
+            expect((await client.appendAndConfirm("config", createRecord("a"), 0))._unsafeUnwrap()).toEqual(0);
             expect(pauses).toEqual([2_000]);
         });
 
@@ -95,7 +95,7 @@
         it("says that the outcome is unknown at the deadline", async () => {
             const log = new MemoryLog();
             log.setDown(true);
-            const failure = (await createClient(log).client.appendSettled("config", createRecord("a"), 0, 1_000))
+            const failure = (await createClient(log).client.appendAndConfirm("config", createRecord("a"), 0, 1_000))
                 ._unsafeUnwrapErr();
             expect(failure.kind).toEqual("unavailable");
             expect(failure.message.startsWith("It is unknown")).toEqual(true);
--- a/test/log/memoryLog.ts
+++ b/test/log/memoryLog.ts
@@ -12,7 +12,7 @@
     readonly #faults: AppendFault[] = [];
     #earliest = 0;
     #isDown = false;
-    readonly send: LogTransport = request => this.#answer(request);
+    readonly send: LogTransport = request => this.#respond(request);
 
     getEntries(): readonly LogEntry[] {
         return this.#entries;
@@ -38,14 +38,14 @@
         return offset;
     }
 
-    async #answer(request: LogRequest): Promise<LogResponse> {
+    async #respond(request: LogRequest): Promise<LogResponse> {
         if (this.#isDown) {
             throw new Error("connection refused");
         }
-        return request.method === "POST" ? this.#answerAppend(request) : this.#answerRead(request);
+        return request.method === "POST" ? this.#respondToAppend(request) : this.#respondToRead(request);
     }
 
-    #answerAppend(request: LogRequest): LogResponse {
+    #respondToAppend(request: LogRequest): LogResponse {
         const fault = this.#faults.shift();
         if (fault === "overloaded") {
             return { status: 429, retryAfterSeconds: 2, body: "{}" };
@@ -63,7 +63,7 @@
         return { status: 200, body: JSON.stringify({ offset, time: offset }) };
     }
 
-    async #answerRead(request: LogRequest): Promise<LogResponse> {
+    async #respondToRead(request: LogRequest): Promise<LogResponse> {
         const query = new URL(request.url).searchParams;
         const earliest = this.#earliest;
         const next = this.#entries.length;
@@ -84,11 +84,11 @@
 }
 
 /** Waits until a condition holds, and fails after a bound. */
-export async function waitFor(condition: () => boolean, what: string): Promise<void> {
+export async function waitFor(condition: () => boolean, description: string): Promise<void> {
     const deadline = Date.now() + 10_000;
     while (!condition()) {
         if (Date.now() > deadline) {
-            throw new Error(`Waited in vain for: ${what}`);
+            throw new Error(`Waited in vain for: ${description}`);
         }
         await new Promise(resolve => setTimeout(resolve, 2));
     }
--- a/test/membership/chooseAddresses.test.ts
+++ b/test/membership/chooseAddresses.test.ts
@@ -13,7 +13,7 @@
         protocol: { oldest: 1, newest: 1 },
         configurationOffset: 0,
         heartbeatAge: 0,
-        isHeard: true,
+        hasBeenSeen: true,
     }));
 }
 
--- a/test/membership/gossip.test.ts
+++ b/test/membership/gossip.test.ts
@@ -3,7 +3,7 @@
 import { createGossipSite, type GossipSite } from "../fixtures/gossipSite.js";
 
 const size = 8;
-const periodsToSpread = 12;
+const periodsToPropagate = 12;
 
 function readAll(site: GossipSite, origin: string, key: string): (string | undefined)[] {
     const others = site.nodes.filter(node => !node.isDown);
@@ -20,7 +20,7 @@
             const site = createGossipSite(size);
             for (const value of ["first", "second"]) {
                 site.nodes[0].gossip.set("load", Buffer.from(value));
-                await site.run(periodsToSpread);
+                await site.run(periodsToPropagate);
                 expect(isKnownToAll(site, "entry-0", "load", value)).toEqual(true);
             }
         });
@@ -53,9 +53,9 @@
                 }
             });
             site.nodes[0].gossip.set("load", Buffer.from("a"));
-            await site.run(periodsToSpread);
+            await site.run(periodsToPropagate);
             site.nodes[0].gossip.remove("load");
-            await site.run(periodsToSpread);
+            await site.run(periodsToPropagate);
             expect(heard).toEqual(["a", undefined]);
         });
     });
@@ -64,9 +64,9 @@
         it("removes a key from all nodes", async () => {
             const site = createGossipSite(size);
             site.nodes[0].gossip.set("load", Buffer.from("a"));
-            await site.run(periodsToSpread);
+            await site.run(periodsToPropagate);
             site.nodes[0].gossip.remove("load");
-            await site.run(periodsToSpread);
+            await site.run(periodsToPropagate);
             expect(readAll(site, "entry-0", "load")).toEqual(Array.from({ length: size }, () => undefined));
         });
     });
@@ -139,7 +139,7 @@
             gossip.set("halt", Buffer.from("h"), { urgent: true });
             await site.settle();
             expect(site.nodes[1].gossip.get("entry-0", "halt")?.toString()).toEqual("h");
-            await site.run(periodsToSpread);
+            await site.run(periodsToPropagate);
             expect(isKnownToAll(site, "entry-0", "earlier", "e")).toEqual(true);
         });
 
@@ -149,7 +149,7 @@
             const site = createGossipSite(5);
             site.nodes[0].gossip.set("load", Buffer.from("before"));
             site.nodes[0].gossip.set("stale", Buffer.from("before"));
-            await site.run(periodsToSpread);
+            await site.run(periodsToPropagate);
             site.nodes[0].isDown = true;
             await site.run(3);
             const month = 30 * 86_400_000;
@@ -157,7 +157,7 @@
             const restarted = site.add("entry-0", { address, clockOffsetMilliseconds: -month });
             restarted.gossip.set("load", Buffer.from("after"));
             site.listAll(site.nodes.slice(1).map(node => node.vm));
-            await site.run(periodsToSpread * 2);
+            await site.run(periodsToPropagate * 2);
             const others = site.nodes.slice(1, 5);
             expect(others.map(node => node.gossip.get("entry-0", "load")?.toString())).toEqual(
                 others.map(() => "after"),
@@ -171,10 +171,10 @@
             const site = createGossipSite(3);
             const stranger = site.add("stranger");
             stranger.membership.setVms(site.nodes.map(node => node.vm));
-            await site.run(periodsToSpread);
+            await site.run(periodsToPropagate);
             expect(site.nodes[0].gossip.get("stranger", "node")).toEqual(undefined);
             site.listAll();
-            await site.run(periodsToSpread);
+            await site.run(periodsToPropagate);
             expect(site.nodes[0].gossip.get("stranger", "node") === undefined).toEqual(false);
         });
     });
