--- a/test/membership/membership.test.ts
+++ b/test/membership/membership.test.ts
@@ -4,10 +4,10 @@
 import { createGossipSite, type GossipNode, type GossipSite } from "../fixtures/gossipSite.js";
 
 const size = 8;
-const periodsToSpread = 12;
+const periodsToPropagate = 12;
 /** Longer than it takes to suspect a silent member, and to take it for dead. */
-const periodsToSuspect = 16;
-const periodsToDie = 50;
+const periodsUntilSuspected = 16;
+const periodsUntilDead = 50;
 
 function getState(node: GossipNode, id: string): string | undefined {
     return node.membership.get(id)?.state;
@@ -18,9 +18,9 @@
     return new Set(others.map(node => getState(node, id)));
 }
 
-async function createSettledSite(): Promise<GossipSite> {
+async function createConvergedSite(): Promise<GossipSite> {
     const site = createGossipSite(size);
-    await site.run(periodsToSpread);
+    await site.run(periodsToPropagate);
     return site;
 }
 
@@ -29,31 +29,31 @@
         it("shows every listed entry as alive once it was heard, and as dead before", async () => {
             const site = createGossipSite(size);
             expect(getState(site.nodes[0], "entry-1")).toEqual("dead");
-            await site.run(periodsToSpread);
+            await site.run(periodsToPropagate);
             expect(site.nodes[0].membership.getAlive().length).toEqual(size);
         });
 
         it("suspects a member that fell silent, then takes it for dead, then for alive when it is back", async () => {
-            const site = await createSettledSite();
+            const site = await createConvergedSite();
             site.nodes[3].isDown = true;
-            await site.run(periodsToSuspect + 4);
+            await site.run(periodsUntilSuspected + 4);
             expect(getStates(site, "entry-3")).toEqual(new Set(["suspect"]));
-            await site.run(periodsToDie);
+            await site.run(periodsUntilDead);
             expect(getStates(site, "entry-3")).toEqual(new Set(["dead"]));
             site.nodes[3].isDown = false;
-            await site.run(periodsToSpread);
+            await site.run(periodsToPropagate);
             expect(getStates(site, "entry-3")).toEqual(new Set(["alive"]));
         });
 
         // A switch drops packets in one direction between two entries, or all packets towards one. The entries still
         // hear of each other through the rest, and must not take each other for dead and split the work.
         it("keeps members alive through cuts that go one way", async () => {
-            const site = await createSettledSite();
+            const site = await createConvergedSite();
             site.cuts.add("entry-0>entry-1");
             for (const node of site.nodes) {
                 site.cuts.add(`${node.vm.id}>entry-5`);
             }
-            await site.run(periodsToDie);
+            await site.run(periodsUntilDead);
             for (const node of site.nodes) {
                 if (node.vm.id !== "entry-5") {
                     expect(node.membership.getAlive().length).toEqual(size);
@@ -64,18 +64,18 @@
         // A VM is replaced by another on the same address. What the old one said must not be taken for the new one's
         // word, and the old one must not live on because somebody answers at its address.
         it("tells a replaced VM from the one before on the same address", async () => {
-            const site = await createSettledSite();
+            const site = await createConvergedSite();
             const old = site.nodes[2];
             old.membership.announceLeaving();
-            await site.run(periodsToSpread);
+            await site.run(periodsToPropagate);
             old.isDown = true;
             const fresh = site.add("entry-new", { address: old.vm.address });
             site.listAll([...site.nodes.map(node => node.vm)]);
-            await site.run(periodsToDie + periodsToSpread);
+            await site.run(periodsUntilDead + periodsToPropagate);
             expect(getStates(site, "entry-2")).toEqual(new Set(["dead"]));
             expect(getStates(site, "entry-new")).toEqual(new Set(["alive"]));
             site.listAll(site.nodes.filter(node => node !== old).map(node => node.vm));
-            await site.run(periodsToDie);
+            await site.run(periodsUntilDead);
             expect(site.nodes[0].membership.get("entry-2")).toEqual(undefined);
             expect(site.nodes[0].gossip.get("entry-2", "node")).toEqual(undefined);
             expect(fresh.membership.getAlive().length).toEqual(size);
@@ -89,11 +89,11 @@
         it("counts on members that were just listed, until they had time to be heard", async () => {
             const site = createGossipSite(size, { periodMilliseconds: 150 });
             const [{ membership, clock }] = site.nodes;
-            expect([membership.getAlive().length, membership.getPresumed().length]).toEqual([1, size]);
+            expect([membership.getAlive().length, membership.getPresumedAlive().length]).toEqual([1, size]);
             clock.advance(4_000);
-            expect(membership.getPresumed().length).toEqual(1);
-            await site.run(periodsToSpread);
-            expect(membership.getPresumed().length).toEqual(size);
+            expect(membership.getPresumedAlive().length).toEqual(1);
+            await site.run(periodsToPropagate);
+            expect(membership.getPresumedAlive().length).toEqual(size);
         });
 
         // The power of a large fleet fails and comes back. A few seconds later each node has heard of some of the others only; told of
@@ -105,7 +105,7 @@
             for (let period = 0; period < 12; period += 1) {
                 await fleet.run(1);
                 for (const { membership } of fleet.nodes) {
-                    expect(membership.getPresumed().length).toEqual(fleetSize);
+                    expect(membership.getPresumedAlive().length).toEqual(fleetSize);
                 }
             }
             for (const { membership } of fleet.nodes) {
@@ -116,7 +116,7 @@
 
     describe("announceLeaving", () => {
         it("tells all members at once", async () => {
-            const site = await createSettledSite();
+            const site = await createConvergedSite();
             site.nodes[0].membership.announceLeaving();
             await site.settle();
             expect(getStates(site, "entry-0")).toEqual(new Set(["leaving"]));
@@ -133,11 +133,11 @@
             site.listAll();
             const newer = site.get("newer");
             expect(newer.membership.getCommonProtocol()).toEqual(1);
-            await site.run(periodsToSpread);
+            await site.run(periodsToPropagate);
             expect(newer.membership.getCommonProtocol()).toEqual(newestProtocol);
             site.nodes[0].isDown = true;
             site.nodes[1].isDown = true;
-            await site.run(periodsToDie);
+            await site.run(periodsUntilDead);
             expect(getState(newer, "entry-0")).toEqual("dead");
             expect(newer.membership.getCommonProtocol()).toEqual(newestProtocol);
             site.listAll([newer.vm]);
@@ -157,7 +157,7 @@
 
     describe("getCollector", () => {
         it("is the same at all members, spreads partitions and moves only those of a member that left", async () => {
-            const site = await createSettledSite();
+            const site = await createConvergedSite();
             const partitions = Array.from({ length: 64 }, (...[, index]) => `claims-${index}`);
             const collect = (node: GossipNode) => partitions.map(name => node.membership.getCollector(name)?.id);
             const before = collect(site.nodes[0]);
@@ -174,7 +174,7 @@
     describe("isMajorityAway", () => {
         // The site is cut in two. The smaller side must know that it is the smaller one.
         it("is true on the smaller side of a cut and false on the greater", async () => {
-            const site = await createSettledSite();
+            const site = await createConvergedSite();
             const smaller = ["entry-0", "entry-1", "entry-2"];
             for (const one of smaller) {
                 for (const node of site.nodes.filter(other => !smaller.includes(other.vm.id))) {
@@ -182,11 +182,11 @@
                     site.cuts.add(`${node.vm.id}>${one}`);
                 }
             }
-            await site.run(periodsToDie);
-            expect(site.nodes[0].membership.isMajorityAway()).toEqual(true);
-            expect(site.nodes[5].membership.isMajorityAway()).toEqual(false);
+            await site.run(periodsUntilDead);
+            expect(site.nodes[0].membership.isMajorityUnreachable()).toEqual(true);
+            expect(site.nodes[5].membership.isMajorityUnreachable()).toEqual(false);
             site.cuts.clear();
-            await site.run(periodsToDie);
+            await site.run(periodsUntilDead);
             expect(site.nodes[0].membership.getReachableShare()).toEqual(1);
         });
     });
--- a/test/membership/peerCalls.test.ts
+++ b/test/membership/peerCalls.test.ts
@@ -1,8 +1,8 @@
 import { expect } from "earl";
 import { createServer, type Server as TcpServer, type Socket } from "node:net";
 import { afterEach, describe, it } from "node:test";
-import { BillKeeper, BillWriter, getBillCopyTargets, handleCopyBills } from "../../src/bills/index.js";
-import { createAskCollector, handleDecideClaims } from "../../src/claims/index.js";
+import { BillReplicaStore, BillWriter, getBillCopyTargets, handleCopyBills } from "../../src/bills/index.js";
+import { createRemoteDecider, handleDecideClaims } from "../../src/claims/index.js";
 import { type Credentials, RandomSource, systemClock } from "../../src/common/index.js";
 import {
     Gossip,
@@ -23,7 +23,7 @@
 
 const network = "127.50.5";
 const emptyPush = { sender: "b", items: [], counter: 0, hops: 0, bases: [] };
-const finishers: (() => Promise<unknown> | unknown)[] = [];
+const cleanups: (() => Promise<unknown> | unknown)[] = [];
 
 function createIdentity(id: string, host: number, peerPort: number): NodeIdentity {
     return { id, address: `${network}.${host}`, peerPort, failureDomain: `domain-${host}`, region: "manila" };
@@ -58,19 +58,19 @@
     const address = `${network}.${host}`;
     const server = new PeerServer({ address, port: 0, handlers, journal: createJournal().journal, credentials });
     const port = (await server.start())._unsafeUnwrap();
-    finishers.push(() => server.stop());
+    cleanups.push(() => server.stop());
     return { server, identity: createIdentity(`entry-${host}`, host, port) };
 }
 
 function createClient(credentials?: Credentials, deadlineMilliseconds?: number): PeerClient {
     const client = new PeerClient({ credentials, deadlineMilliseconds });
-    finishers.push(() => client.close());
+    cleanups.push(() => client.close());
     return client;
 }
 
 describe("PeerClient", () => {
     afterEach(async () => {
-        for (const finish of finishers.splice(0).reverse()) {
+        for (const finish of cleanups.splice(0).reverse()) {
             await finish();
         }
     });
@@ -105,7 +105,7 @@
             const sockets = new Set<Socket>();
             const silent: TcpServer = createServer(socket => sockets.add(socket));
             await new Promise<void>(resolve => silent.listen(0, `${network}.2`, resolve));
-            finishers.push(() => {
+            cleanups.push(() => {
                 for (const socket of sockets) {
                     socket.destroy();
                 }
@@ -132,7 +132,7 @@
                 journal: createJournal().journal,
             });
             expect((await second.start()).isOk()).toEqual(true);
-            finishers.push(() => second.stop());
+            cleanups.push(() => second.stop());
             await waitUntil(async () => (await client.push(first.identity, emptyPush)).isOk(), "the peer answers");
         });
     });
@@ -173,7 +173,7 @@
 
 describe("peer calls between entries", () => {
     afterEach(async () => {
-        for (const finish of finishers.splice(0).reverse()) {
+        for (const finish of cleanups.splice(0).reverse()) {
             await finish();
         }
     });
@@ -198,12 +198,12 @@
                 journal,
                 transport: createClient().createGossipTransport(),
                 periodMilliseconds: 20,
-                bytesPerExchange: 8_000,
+                maxValueBytesPerMessage: 8_000,
             });
             gossips.push(gossip);
             memberships.push(new Membership({ self: identity, gossip, clock: systemClock, journal }));
             vms.push({ ...identity, port: 1, role: "entry", pool: "", state: "live" });
-            finishers.push(() => gossip.stop());
+            cleanups.push(() => gossip.stop());
             gossip.start();
         }
         for (const membership of memberships) {
@@ -219,12 +219,12 @@
     it("carry claims to the collector, and its verdict back", async () => {
         const log = new MemoryLog();
         const collector = createClaimNode({ log, name: "collector" });
-        finishers.push(() => collector.stop());
+        cleanups.push(() => collector.stop());
         const { identity } = await startServer(
             21,
             createHandlers({ decideClaims: request => handleDecideClaims(collector.pool, request, () => 0) }),
         );
-        const ask = createAskCollector({
+        const ask = createRemoteDecider({
             self: "asker",
             membership: { getCollector: () => identity as Member },
             client: createClient(),
@@ -246,7 +246,7 @@
         const log = new MemoryLog();
         const { journal } = createJournal();
         const base = { append: log.append, clock: systemClock, journal };
-        const keeper = new BillKeeper({ ...base, writer: "keeper", isGone: () => false });
+        const keeper = new BillReplicaStore({ ...base, writer: "keeper", hasDeparted: () => false });
         const handlers = createHandlers({ copyBills: request => handleCopyBills(keeper, request, () => 0) });
         const { identity } = await startServer(31, handlers);
         const self = createIdentity("entry-a", 32, 1);
--- a/test/membership/stateConversation.test.ts
+++ b/test/membership/stateQueryStream.test.ts
@@ -7,10 +7,10 @@
 import { createJournal } from "../fixtures/journals.js";
 
 const network = "127.50.16";
-const milliseconds = 400;
-const finishers: (() => Promise<unknown> | unknown)[] = [];
+const timeoutMilliseconds = 400;
+const cleanups: (() => Promise<unknown> | unknown)[] = [];
 
-function createQuestion(knownOffset: number): FetchStateRequest {
+function createRequest(knownOffset: number): FetchStateRequest {
     return { stream: "topic", knownOffset, counter: 0, waitMilliseconds: 0, whole: false };
 }
 
@@ -20,19 +20,25 @@
 }
 
 async function startServer(host: string, port: number, fetchState: PeerHandlers["fetchState"]): Promise<PeerServer> {
-    const unwanted = (): never => {
+    const failUnexpectedCall = (): never => {
         throw new Error("not wanted");
     };
-    const handlers = { exchange: unwanted, push: unwanted, copyBills: unwanted, decideClaims: unwanted, fetchState };
+    const handlers = {
+        exchange: failUnexpectedCall,
+        push: failUnexpectedCall,
+        copyBills: failUnexpectedCall,
+        decideClaims: failUnexpectedCall,
+        fetchState,
+    };
     const server = new PeerServer({ address: host, port, handlers, journal: createJournal().journal });
     (await server.start())._unsafeUnwrap();
-    finishers.push(() => server.stop());
+    cleanups.push(() => server.stop());
     return server;
 }
 
 function createClient(): PeerClient {
     const client = new PeerClient();
-    finishers.push(() => client.close());
+    cleanups.push(() => client.close());
     return client;
 }
 
@@ -43,9 +49,9 @@
 /** Leads connections to a target; those that are open when it is told so carry nothing any more, without an end. */
 async function startRelay(host: string, target: { readonly host: string; readonly port: number; }) {
     const open = new Set<Socket>();
-    const silent = new Set<Socket>();
-    const lead = (from: Socket, to: Socket): void => {
-        from.on("data", bytes => silent.has(from) || to.write(bytes));
+    const stalled = new Set<Socket>();
+    const pipe = (from: Socket, to: Socket): void => {
+        from.on("data", bytes => stalled.has(from) || to.write(bytes));
         from.on("error", () => {
             // The other side gave the connection up.
         });
@@ -53,11 +59,11 @@
     };
     const server = createServer(socket => {
         const other = connect(target.port, target.host);
-        lead(socket, other);
-        lead(other, socket);
+        pipe(socket, other);
+        pipe(other, socket);
     });
     await new Promise<void>(resolve => server.listen(0, host, resolve));
-    finishers.push(() => {
+    cleanups.push(() => {
         for (const socket of open) {
             socket.destroy();
         }
@@ -66,7 +72,7 @@
     const address = server.address();
     const silence = (): void => {
         for (const socket of open) {
-            silent.add(socket);
+            stalled.add(socket);
         }
     };
     return { port: typeof address === "object" ? address?.port ?? 0 : 0, silence };
@@ -74,7 +80,7 @@
 
 describe("StateConversation", () => {
     afterEach(async () => {
-        for (const finish of finishers.splice(0).reverse()) {
+        for (const finish of cleanups.splice(0).reverse()) {
             await finish();
         }
     });
@@ -89,7 +95,7 @@
         const peer = createPeer(host, 7_100);
         const order: number[] = [];
         const answers = await Promise.all([1, 2, 3].map(async offset => {
-            const answer = await client.followState(peer, createQuestion(offset), milliseconds);
+            const answer = await client.followState(peer, createRequest(offset), timeoutMilliseconds);
             order.push(offset);
             return answer._unsafeUnwrap().offset;
         }));
@@ -107,7 +113,9 @@
         });
         const client = createClient();
         const results = await Promise.all(
-            [1, 2, 3].map(offset => client.followState(createPeer(host, 7_100), createQuestion(offset), milliseconds)),
+            [1, 2, 3].map(offset =>
+                client.followState(createPeer(host, 7_100), createRequest(offset), timeoutMilliseconds)
+            ),
         );
         expect(results.map(result => result.isOk())).toEqual([true, false, true]);
     });
@@ -120,12 +128,12 @@
         const relay = await startRelay(`${network}.5`, { host, port: 7_100 });
         const peer = createPeer(`${network}.5`, relay.port);
         const client = createClient();
-        expect((await client.followState(peer, createQuestion(1), milliseconds)).isOk()).toEqual(true);
+        expect((await client.followState(peer, createRequest(1), timeoutMilliseconds)).isOk()).toEqual(true);
         relay.silence();
-        expect((await client.followState(peer, createQuestion(2), milliseconds)).isErr()).toEqual(true);
+        expect((await client.followState(peer, createRequest(2), timeoutMilliseconds)).isErr()).toEqual(true);
         // The library's own keep-alive would end the connection after seven seconds.
         const isAnswered = async (): Promise<boolean> =>
-            (await client.followState(peer, createQuestion(3), milliseconds)).isOk();
+            (await client.followState(peer, createRequest(3), timeoutMilliseconds)).isOk();
         await waitUntil(isAnswered, { what: "an answer on a new connection", boundMilliseconds: 5_000 });
     });
 
@@ -135,13 +143,13 @@
         const first = await startServer(host, 7_100, () => new Promise<FetchStateReply>(() => undefined));
         const client = createClient();
         const peer = createPeer(host, 7_100);
-        const asked = client.followState(peer, createQuestion(1), 10_000);
+        const asked = client.followState(peer, createRequest(1), 10_000);
         await new Promise(resolve => setTimeout(resolve, 100));
         await first.stop();
         expect((await asked).isErr()).toEqual(true);
         await startServer(host, 7_100, ({ knownOffset }) => createReply(knownOffset));
         const isBack = async (): Promise<boolean> =>
-            (await client.followState(peer, createQuestion(2), milliseconds)).isOk();
+            (await client.followState(peer, createRequest(2), timeoutMilliseconds)).isOk();
         await waitUntil(isBack, { what: "the peer" });
     });
 });
--- a/test/platform/decode.test.ts
+++ b/test/platform/decode.test.ts
@@ -111,7 +111,7 @@
             { key: "a", value: Buffer.from("1"), offset: 40 },
             { key: "b", value: undefined, offset: 41 },
         ]);
-        expect([page.end, page.confirmedAt]).toEqual([42, 5]);
+        expect([page.endOffset, page.confirmedAt]).toEqual([42, 5]);
     });
 
     it("fails on an answer that ends early", () => {
--- a/test/proofs/membershipChanges.test.ts
+++ b/test/proofs/membershipChanges.test.ts
@@ -108,7 +108,7 @@
         journal,
         transport: client.createGossipTransport(),
         periodMilliseconds: 100,
-        bytesPerExchange: 65_536,
+        maxValueBytesPerMessage: 65_536,
     });
     const protocol = { oldest: 0, newest: 0 };
     const membership = new Membership({ self, gossip, clock: systemClock, journal, protocol });
--- a/test/topics/readerChoice.test.ts
+++ b/test/topics/readSource.test.ts
@@ -2,7 +2,7 @@
 import { describe, it } from "node:test";
 import { getUnitRank } from "../../src/decisions/index.js";
 import type { Member } from "../../src/membership/index.js";
-import { chooseReader, type ReadSource } from "../../src/topics/index.js";
+import { chooseReadSource, type ReadSource } from "../../src/topics/index.js";
 
 function createMembers(count: number, getDomain: (index: number) => string = () => "north"): Member[] {
     return Array.from({ length: count }, (...[, index]) => ({
@@ -15,7 +15,7 @@
         protocol: { oldest: 1, newest: 1 },
         configurationOffset: 0,
         heartbeatAge: 0,
-        isHeard: true,
+        hasBeenSeen: true,
     }));
 }
 
@@ -23,14 +23,14 @@
 
 function chooseAll(alive: readonly Member[], isAvoided: (node: string) => boolean = () => false): ReadSource[] {
     return alive.map(({ id, failureDomain }) =>
-        chooseReader({ self: id, failureDomain, alive, isStale: false, detours: 0, isAvoided, getRank })
+        chooseReadSource({ self: id, failureDomain, alive, isStale: false, fallbackReads: 0, isAvoided, getRank })
     );
 }
 
 /** Returns how many sources lie between a node and the store. */
-function countSteps(alive: readonly Member[], sources: readonly ReadSource[], index: number): number {
+function countHops(alive: readonly Member[], sources: readonly ReadSource[], index: number): number {
     const source = sources[index];
-    return source.kind === "store" ? 0 : 1 + countSteps(alive, sources, alive.indexOf(source.peer));
+    return source.kind === "store" ? 0 : 1 + countHops(alive, sources, alive.indexOf(source.peer));
 }
 
 describe("chooseReader", () => {
@@ -46,7 +46,7 @@
         expect(sources.filter(source => source.kind === "store").length).toEqual(1);
         const heardBy = new Map<Member, number>();
         for (const [index, source] of sources.entries()) {
-            expect(countSteps(alive, sources, index) <= 2).toEqual(true);
+            expect(countHops(alive, sources, index) <= 2).toEqual(true);
             if (source.kind === "peer") {
                 heardBy.set(source.peer, (heardBy.get(source.peer) ?? 0) + 1);
             }
@@ -72,12 +72,12 @@
         const kinds = Array.from(
             { length: 5 },
             (...[, detours]) =>
-                chooseReader({
+                chooseReadSource({
                     self: "node-0",
                     failureDomain: "north",
                     alive,
                     isStale: true,
-                    detours,
+                    fallbackReads: detours,
                     isAvoided: () => false,
                     getRank,
                 }),
--- a/test/topics/topicFollower.test.ts
+++ b/test/topics/topicFollower.test.ts
@@ -5,22 +5,22 @@
 import { type KeyedTopicReader, TopicFollower, type TopicPage } from "../../src/topics/index.js";
 import { createJournal } from "../fixtures/journals.js";
 
-type Read = Result<TopicPage, Failure>;
+type ReadResult = Result<TopicPage, Failure>;
 
-function createPage(offset: number, confirmedAt: number, isComplete = false): Read {
+function createPage(offset: number, confirmedAt: number, isComplete = false): ReadResult {
     const records = [{ key: "config", value: Buffer.from(String(offset)), offset }];
-    return ok({ records, isComplete, end: offset + 1, confirmedAt });
+    return ok({ records, isComplete, endOffset: offset + 1, confirmedAt });
 }
 
-function createFailure(kind: "unavailable" | "gone"): Read {
+function createFailure(kind: "unavailable" | "gone"): ReadResult {
     return err(new Failure({ kind, message: "No.", remedy: "Again." }));
 }
 
 /** Follows a topic of which each read gives the next of the given answers; ends with the last one. */
 async function follow(
-    answers: readonly Read[],
+    answers: readonly ReadResult[],
     clock = new ManualClock(1_000),
-    passing = 0,
+    elapsedMilliseconds = 0,
     source: KeyedTopicReader["source"] = "store",
 ) {
     const { journal, lines } = createJournal();
@@ -29,17 +29,17 @@
     const values: string[] = [];
     const pauses: number[] = [];
     let next = 0;
-    const answer = (call: string): Promise<Read> => {
+    const answer = (call: string): Promise<ReadResult> => {
         calls.push(call);
-        const given = answers[next];
+        const result = answers[next];
         next += 1;
         if (next === 2) {
-            clock.advance(passing);
+            clock.advance(elapsedMilliseconds);
         }
         if (next >= answers.length) {
             follower.stop();
         }
-        return Promise.resolve(given);
+        return Promise.resolve(result);
     };
     const reader: KeyedTopicReader = {
         source,
@@ -65,7 +65,7 @@
         },
     });
     follower.start();
-    await follower.settle();
+    await follower.waitUntilStopped();
     return { follower, clock, calls, detours, values, lines, pauses };
 }
 
@@ -103,7 +103,7 @@
             onChanges: () => undefined,
         });
         follower.start();
-        await follower.settle();
+        await follower.waitUntilStopped();
         expect(order).toEqual(["all", "peers known", "since"]);
     });
 
@@ -151,8 +151,8 @@
     // configuration seconds too late.
     it("tells waiting peers at once that reading fails", async () => {
         const { follower } = await follow([createPage(4, 1_000, true), createFailure("unavailable")]);
-        expect(follower.isLost()).toEqual(true);
-        expect((await follower.waitSince(5, 60_000)).records).toEqual([]);
+        expect(follower.isDegraded()).toEqual(true);
+        expect((await follower.waitForChanges(5, 60_000)).records).toEqual([]);
     });
 
     // A node hears from a peer that dies. Had it told those who hear from it in turn, all of them would turn to the store, though
@@ -164,14 +164,14 @@
             0,
             "peer",
         );
-        expect([follower.isLost(), pauses]).toEqual([false, [40]]);
+        expect([follower.isDegraded(), pauses]).toEqual([false, [40]]);
         const failed = await follow(
             [createPage(4, 1_000, true), createFailure("unavailable"), createFailure("unavailable")],
             undefined,
             0,
             "peer",
         );
-        expect(failed.follower.isLost()).toEqual(true);
+        expect(failed.follower.isDegraded()).toEqual(true);
     });
 
     // The records of 90 nodes come one by one as a site starts. Read one by one at each node, they are 8,100 reads.
@@ -183,15 +183,15 @@
     it("lets a waiting peer know of a change at once, and of nothing after its wait", async () => {
         const { follower } = await follow([createPage(4, 1_000, true)]);
         // Ages are counted from now on.
-        const waited = follower.waitSince(5, 10_000);
-        follower.offer({
+        const waited = follower.waitForChanges(5, 10_000);
+        follower.applyPage({
             records: [{ key: "config", value: Buffer.from("6"), offset: 6 }],
             isComplete: false,
-            end: 7,
+            endOffset: 7,
             confirmedAt: 0,
         });
-        expect((await waited).end).toEqual(7);
-        expect((await follower.waitSince(7, 1)).records).toEqual([]);
+        expect((await waited).endOffset).toEqual(7);
+        expect((await follower.waitForChanges(7, 1)).records).toEqual([]);
     });
 
     // A node is restarted while runners are replaced. It takes its first read for the end of an outage, keeps a runner whose entry
@@ -201,7 +201,7 @@
         const { follower, clock } = await follow([createPage(4, 0, true)]);
         expect(follower.getTimeSinceOutage()).toEqual(Number.POSITIVE_INFINITY);
         clock.advance(4_000);
-        follower.offer(createPage(5, clock.monotonic())._unsafeUnwrap());
+        follower.applyPage(createPage(5, clock.monotonic())._unsafeUnwrap());
         expect(follower.getTimeSinceOutage()).toEqual(0);
     });
 });
--- a/test/topics/topicState.test.ts
+++ b/test/topics/topicState.test.ts
@@ -13,7 +13,7 @@
 
 function createPage(records: readonly KeyedRecord[], options: Partial<TopicPage> = {}): TopicPage {
     const end = Math.max(0, ...records.map(record => record.offset + 1));
-    return { records, isComplete: false, end, confirmedAt: 0, ...options };
+    return { records, isComplete: false, endOffset: end, confirmedAt: 0, ...options };
 }
 
 function readAll(state: TopicState): Record<string, string> {
@@ -29,7 +29,7 @@
         it("takes a key that a whole page lacks for removed", () => {
             const state = new TopicState();
             state.apply(createPage([createRecord("a", 0), createRecord("b", 1)]));
-            const changed = state.apply(createPage([createRecord("b", 1)], { isComplete: true, end: 3 }));
+            const changed = state.apply(createPage([createRecord("b", 1)], { isComplete: true, endOffset: 3 }));
             expect(changed).toEqual([createRemoval("a", 2)]);
         });
 
@@ -38,7 +38,7 @@
         it("keeps what is newer than the whole page", () => {
             const state = new TopicState();
             state.apply(createPage([createRecord("a", 0), createRecord("c", 7)]));
-            state.apply(createPage([createRecord("a", 0)], { isComplete: true, end: 5 }));
+            state.apply(createPage([createRecord("a", 0)], { isComplete: true, endOffset: 5 }));
             expect(readAll(state)).toEqual({ a: "a@0", c: "c@7" });
         });
 
@@ -47,7 +47,7 @@
         it("is not confirmed by a page that has seen less", () => {
             const state = new TopicState();
             state.apply(createPage([createRecord("a", 4)], { confirmedAt: 100 }));
-            state.apply(createPage([], { end: 3, confirmedAt: 900 }));
+            state.apply(createPage([], { endOffset: 3, confirmedAt: 900 }));
             expect(state.getConfirmedAt()).toEqual(100);
         });
 
