--- a/src/command/changeText.ts
+++ b/src/command/changeText.ts
@@ -19,10 +19,12 @@
 }
 
 function formatChange(tree: Tree, change: Change): string {
-    const before = tree.get(change.section)?.get(change.key);
+    const previousValue = tree.get(change.section)?.get(change.key);
     const place = `[${change.section}] ${change.key}`;
     if (change.value === undefined) {
-        return `- ${place} = ${before ?? ""}`;
+        return `- ${place} = ${previousValue ?? ""}`;
     }
-    return before === undefined ? `+ ${place} = ${change.value}` : `~ ${place} = ${before} -> ${change.value}`;
+    return previousValue === undefined
+        ? `+ ${place} = ${change.value}`
+        : `~ ${place} = ${previousValue} -> ${change.value}`;
 }
--- a/src/command/controlSession.ts
+++ b/src/command/controlSession.ts
@@ -85,7 +85,7 @@
         const deadline = this.#options.clock.monotonic() + this.#options.timeoutMilliseconds;
         while (this.#reader.getOffset() < offset) {
             if (this.#options.clock.monotonic() > deadline) {
-                return err(createAwayFailure(this.#options.logUrl));
+                return err(createUnavailableFailure(this.#options.logUrl));
             }
             await new Promise(resolve => setTimeout(resolve, pollMilliseconds));
         }
@@ -93,7 +93,7 @@
     }
 }
 
-function createAwayFailure(url: string): Failure {
+function createUnavailableFailure(url: string): Failure {
     return new Failure({
         kind: "unavailable",
         message: `The control stream at ${url} could not be read to its end in time.`,
--- a/src/command/diff.ts
+++ b/src/command/diff.ts
@@ -12,9 +12,9 @@
 
     async run(): Promise<object> {
         const { args, flags } = await this.parse(DiffCommand);
-        const wanted = this.readTree(args.file);
+        const fileTree = this.readTree(args.file);
         const configuration = (await this.readConfiguration(flags)).getConfiguration();
-        const changes = compareTrees(configuration.getTree(), wanted);
+        const changes = compareTrees(configuration.getTree(), fileTree);
         this.log(changes.length === 0 ? "No changes." : formatChanges(configuration.getTree(), changes));
         this.log(`Compared with the tree at offset ${configuration.getOffset()}.`);
         return { offset: configuration.getOffset(), changes };
--- a/src/command/drain.ts
+++ b/src/command/drain.ts
@@ -1,7 +1,7 @@
 /** `rattanlock drain VERSION` */
 import { Args } from "@oclif/core";
 import { OperatorCommand, publishFlags } from "./operatorCommand.js";
-import { setStatus } from "./versionChange.js";
+import { createStatusChange } from "./versionChange.js";
 
 /** Sets a version's status to `draining`. */
 export class DrainCommand extends OperatorCommand {
@@ -16,12 +16,12 @@
         const { args, flags } = await this.parse(DrainCommand);
         return this.withSession(flags, async session => {
             const basedOn = session.reader.getOffset();
-            const change = setStatus(session.reader.getConfiguration(), args.version, "draining");
+            const change = createStatusChange(session.reader.getConfiguration(), args.version, "draining");
             if (change.isErr()) {
                 return this.failWith(change.error);
             }
-            const verdict = await this.publishChanges(session, [change.value], basedOn, flags);
-            return { offset: verdict.offset, version: args.version, status: "draining" };
+            const result = await this.publishChanges(session, [change.value], basedOn, flags);
+            return { offset: result.offset, version: args.version, status: "draining" };
         });
     }
 }
--- a/src/command/exitCodes.ts
+++ b/src/command/exitCodes.ts
@@ -10,5 +10,5 @@
     /** The input cannot be used. */
     badInput: 2,
     /** The platform does not answer, or it is unknown what became of the change. */
-    platformAway: 3,
+    platformUnavailable: 3,
 } as const;
--- a/src/command/explain.ts
+++ b/src/command/explain.ts
@@ -1,6 +1,6 @@
 /** `rattanlock explain REQUEST` */
 import { Args } from "@oclif/core";
-import { askNodes } from "./nodeStatus.js";
+import { fetchFromNodes } from "./nodeStatus.js";
 import { OperatorCommand } from "./operatorCommand.js";
 
 interface Explanation {
@@ -15,8 +15,8 @@
 
     async run(): Promise<object> {
         const { args, flags } = await this.parse(ExplainCommand);
-        const nodes = await this.getStatuses(flags);
-        const answers = await askNodes(nodes, `/explain/${encodeURIComponent(args.request)}`);
+        const nodes = await this.fetchStatuses(flags);
+        const answers = await fetchFromNodes(nodes, `/explain/${encodeURIComponent(args.request)}`);
         for (const [entry, answer] of answers) {
             const { lines } = answer as Explanation;
             this.log(`${entry}:\n${lines.map(line => `  ${line}`).join("\n")}`);
--- a/src/command/history.ts
+++ b/src/command/history.ts
@@ -1,6 +1,6 @@
 /** `rattanlock history` */
 import { Flags } from "@oclif/core";
-import type { Verdict } from "../configuration/index.js";
+import type { RecordResult } from "../configuration/index.js";
 import { OperatorCommand } from "./operatorCommand.js";
 import { formatTable } from "./table.js";
 
@@ -19,16 +19,16 @@
             verdict.author,
             verdict.outcome,
             String(verdict.changes),
-            describe(verdict),
+            describeResult(verdict),
         ]);
         this.log(formatTable(["OFFSET", "TIME", "AUTHOR", "OUTCOME", "CHANGES", "REASON"], rows));
         return { history };
     }
 }
 
-function describe(verdict: Verdict): string {
-    if (verdict.beatenBy !== undefined) {
-        return `${verdict.reason} (beaten by ${verdict.beatenBy.author} at ${verdict.beatenBy.offset})`;
+function describeResult(result: RecordResult): string {
+    if (result.beatenBy !== undefined) {
+        return `${result.reason} (beaten by ${result.beatenBy.author} at ${result.beatenBy.offset})`;
     }
-    return verdict.mistakes.length > 0 ? `${verdict.reason} (${verdict.mistakes[0].message})` : verdict.reason;
+    return result.mistakes.length > 0 ? `${result.reason} (${result.mistakes[0].message})` : result.reason;
 }
--- a/src/command/lift.ts
+++ b/src/command/lift.ts
@@ -12,14 +12,14 @@
     async run(): Promise<object> {
         const { args, flags } = await this.parse(LiftCommand);
         return this.withControl(flags, async session => {
-            const standing = session.rollouts.getHalts().filter(halt => halt.version === args.version);
-            if (standing.length === 0) {
+            const activeHalts = session.rollouts.getHalts().filter(halt => halt.version === args.version);
+            if (activeHalts.length === 0) {
                 return this.failRefused(`${args.version} is not halted. See \`rattanlock rollout status\`.`);
             }
-            for (const halt of standing) {
+            for (const halt of activeHalts) {
                 this.log(`Lifting the halt of ${new Date(halt.at).toISOString()}: ${halt.reason}`);
             }
-            const body = { version: args.version, halts: standing.map(halt => halt.id), by: flags.author };
+            const body = { version: args.version, halts: activeHalts.map(halt => halt.id), by: flags.author };
             const appended = await session.append(rolloutRecordKinds.lift, body);
             if (appended.isErr()) {
                 return this.failWith(appended.error);
--- a/src/command/nodeStatus.ts
+++ b/src/command/nodeStatus.ts
@@ -43,14 +43,14 @@
  * @param vmListUrl - The VM list.
  * @param operatorPort - Where entries listen for operators, when the list does not say so.
  */
-export async function getNodeStatuses(
+export async function fetchNodeStatuses(
     vmListUrl: string,
     operatorPort: number | undefined,
 ): Promise<Result<readonly NodeStatus[], Failure>> {
     try {
-        const { vms } = listSchema.parse(await getJson(new URL("/vms", vmListUrl).href));
+        const { vms } = listSchema.parse(await fetchJson(new URL("/vms", vmListUrl).href));
         const entries = vms.filter(vm => vm.role === "entry");
-        return ok(await Promise.all(entries.map(vm => askNode(vm, operatorPort))));
+        return ok(await Promise.all(entries.map(vm => fetchNodeStatus(vm, operatorPort))));
     }
     catch (cause) {
         return err(
@@ -64,12 +64,12 @@
     }
 }
 
-async function askNode(vm: z.infer<typeof vmSchema>, operatorPort: number | undefined): Promise<NodeStatus> {
+async function fetchNodeStatus(vm: z.infer<typeof vmSchema>, operatorPort: number | undefined): Promise<NodeStatus> {
     const port = vm.operatorPort ?? operatorPort ?? (vm.peerPort ?? 0) + 1;
     const address = `${vm.address}:${port}`;
     const known = { id: vm.id, address, failureDomain: vm.failureDomain, state: vm.state };
     try {
-        const status = statusSchema.parse(await getJson(`http://${address}/status`));
+        const status = statusSchema.parse(await fetchJson(`http://${address}/status`));
         const { configurationOffset, configurationAgeMilliseconds, ready, ownProtocol: protocol } = status;
         return { ...known, configurationOffset, configurationAgeMilliseconds, ready: ready ?? true, protocol };
     }
@@ -90,11 +90,14 @@
  * @param path - The path, from `/`.
  * @returns The answers of those that gave one, by entry.
  */
-export async function askNodes(nodes: readonly NodeStatus[], path: string): Promise<ReadonlyMap<string, unknown>> {
+export async function fetchFromNodes(
+    nodes: readonly NodeStatus[],
+    path: string,
+): Promise<ReadonlyMap<string, unknown>> {
     const answers = new Map<string, unknown>();
     await Promise.all(nodes.map(async node => {
         try {
-            answers.set(node.id, await getJson(`http://${node.address}${path}`));
+            answers.set(node.id, await fetchJson(`http://${node.address}${path}`));
         }
         catch {
             // An entry that does not answer has no part in the result; `rattanlock status` shows it.
@@ -103,7 +106,7 @@
     return answers;
 }
 
-async function getJson(url: string): Promise<unknown> {
+async function fetchJson(url: string): Promise<unknown> {
     const response = await request(url, { headersTimeout: timeoutMilliseconds, bodyTimeout: timeoutMilliseconds });
     if (response.statusCode !== 200) {
         await response.body.dump();
--- a/src/command/operatorCommand.ts
+++ b/src/command/operatorCommand.ts
@@ -9,16 +9,16 @@
 import {
     type Change,
     type ConfigurationReader,
-    getNeededFormat,
+    getRequiredFormat,
     parseConfigurationFile,
+    type RecordResult,
     type Tree,
-    type Verdict,
 } from "../configuration/index.js";
 import { oldestProtocol } from "../membership/index.js";
-import { formatMistake, type Mistake, parseSiteSettings } from "../settings/index.js";
+import { formatValidationError, parseSiteSettings, type ValidationError } from "../settings/index.js";
 import { ControlSession } from "./controlSession.js";
 import { exitCodes } from "./exitCodes.js";
-import { getNodeStatuses } from "./nodeStatus.js";
+import { fetchNodeStatuses } from "./nodeStatus.js";
 import { OperatorSession } from "./operatorSession.js";
 
 const millisecondsPerSecond = 1_000;
@@ -72,7 +72,7 @@
     /** Reads a file that the operator named, relative to the working directory. */
     protected readTree(file: string): Tree {
         const tree = parseConfigurationFile(this.readFile(file), file);
-        return tree.isOk() ? tree.value : this.failWithMistakes(tree.error);
+        return tree.isOk() ? tree.value : this.failWithErrors(tree.error);
     }
 
     /** Opens the site's configuration, does a piece of work with it, and closes it. */
@@ -126,56 +126,56 @@
         changes: readonly Change[],
         basedOn: number,
         flags: PublishFlags,
-    ): Promise<Verdict> {
+    ): Promise<RecordResult> {
         // Checked first, so that a missing URL does not show after the change is already in force.
         const vmListUrl = flags.wait === "in-force" ? this.#getUrl(flags, "vm-list") : undefined;
-        await this.#checkReaders(changes, flags);
+        await this.#checkFormatSupport(changes, flags);
         const published = await session.publish(changes, basedOn, flags.reason);
         if (published.isErr()) {
             return this.failWith(published.error);
         }
-        const verdict = published.value;
-        if (verdict.outcome !== "accepted") {
-            this.failWithVerdict(verdict);
+        const result = published.value;
+        if (result.outcome !== "accepted") {
+            this.failRejected(result);
         }
-        this.log(`Accepted at offset ${verdict.offset}: ${changes.length} change(s).`);
+        this.log(`Accepted at offset ${result.offset}: ${changes.length} change(s).`);
         if (vmListUrl !== undefined) {
-            await this.#waitInForce(vmListUrl, verdict.offset, flags);
+            await this.#waitUntilInForce(vmListUrl, result.offset, flags);
         }
-        return verdict;
+        return result;
     }
 
     /** Asks every entry for its status. */
-    protected async getStatuses(flags: SiteFlags) {
-        const statuses = await getNodeStatuses(this.#getUrl(flags, "vm-list"), flags["operator-port"]);
+    protected async fetchStatuses(flags: SiteFlags) {
+        const statuses = await fetchNodeStatuses(this.#getUrl(flags, "vm-list"), flags["operator-port"]);
         return statuses.isOk() ? statuses.value : this.failWith(statuses.error);
     }
 
     /** Ends the command with every mistake of a file. */
-    protected failWithMistakes(mistakes: readonly Mistake[]): never {
-        return this.error(mistakes.map(formatMistake).join("\n"), { exit: exitCodes.badInput });
+    protected failWithErrors(errors: readonly ValidationError[]): never {
+        return this.error(errors.map(formatValidationError).join("\n"), { exit: exitCodes.badInput });
     }
 
     /** Ends the command with a failure. */
     protected failWith(failure: Failure): never {
         const isInput = failure.kind === "invalid-input";
-        return this.error(failure.message, { exit: isInput ? exitCodes.badInput : exitCodes.platformAway });
+        return this.error(failure.message, { exit: isInput ? exitCodes.badInput : exitCodes.platformUnavailable });
     }
 
     /** Ends the command with what the fold decided. */
-    protected failWithVerdict(verdict: Verdict): never {
-        const lines = [`Rejected at offset ${verdict.offset}.`];
-        if (verdict.beatenBy !== undefined) {
-            const { author, offset, section, key } = verdict.beatenBy;
+    protected failRejected(result: RecordResult): never {
+        const lines = [`Rejected at offset ${result.offset}.`];
+        if (result.beatenBy !== undefined) {
+            const { author, offset, section, key } = result.beatenBy;
             lines.push(
                 `${author} changed [${section}] ${key} first, at offset ${offset}. Compare again and publish anew.`,
             );
         }
-        for (const { section, key, message, remedy } of verdict.mistakes) {
+        for (const { section, key, message, remedy } of result.mistakes) {
             lines.push(`[${section}] ${key}: ${message} ${remedy}`);
         }
-        if (verdict.withdrawn.length > 0) {
-            lines.push(`Withdrawn all the same: ${verdict.withdrawn.join(", ")}.`);
+        if (result.withdrawn.length > 0) {
+            lines.push(`Withdrawn all the same: ${result.withdrawn.join(", ")}.`);
         }
         return this.error(lines.join("\n"), { exit: exitCodes.refused });
     }
@@ -184,15 +184,15 @@
      * Checks that every live entry reads the record that the changes need. An entry of an older release stops at a record
      * of a newer format, keeps its old tree and refuses new work in the end.
      */
-    async #checkReaders(changes: readonly Change[], flags: PublishFlags): Promise<void> {
-        const format = getNeededFormat(changes.map(change => change.section));
+    async #checkFormatSupport(changes: readonly Change[], flags: PublishFlags): Promise<void> {
+        const format = getRequiredFormat(changes.map(change => change.section));
         if (format <= oldestProtocol) {
             return;
         }
-        const nodes = (await this.getStatuses(flags)).filter(node => node.state === "live");
-        const unable = nodes.filter(node => (node.protocol ?? oldestProtocol) < format);
-        if (unable.length > 0) {
-            const names = unable.map(node => node.id).join(", ");
+        const nodes = (await this.fetchStatuses(flags)).filter(node => node.state === "live");
+        const incompatible = nodes.filter(node => (node.protocol ?? oldestProtocol) < format);
+        if (incompatible.length > 0) {
+            const names = incompatible.map(node => node.id).join(", ");
             this.failRefused(
                 `The change needs record format ${format}, which is not known to be read by: ${names}. Replace these `
                     + "entries by the newer release, or start them, and publish again.",
@@ -200,20 +200,20 @@
         }
     }
 
-    async #waitInForce(vmListUrl: string, offset: number, flags: PublishFlags): Promise<void> {
+    async #waitUntilInForce(vmListUrl: string, offset: number, flags: PublishFlags): Promise<void> {
         const deadline = systemClock.monotonic() + flags.timeout * millisecondsPerSecond;
         for (;;) {
-            const statuses = await getNodeStatuses(vmListUrl, flags["operator-port"]);
+            const statuses = await fetchNodeStatuses(vmListUrl, flags["operator-port"]);
             const live = statuses.unwrapOr([]).filter(node => node.state === "live");
-            const late = live.filter(node => (node.configurationOffset ?? -1) <= offset);
-            process.stderr.write(`in force on ${live.length - late.length} of ${live.length} entries\n`);
-            if (live.length > 0 && late.length === 0) {
+            const pending = live.filter(node => (node.configurationOffset ?? -1) <= offset);
+            process.stderr.write(`in force on ${live.length - pending.length} of ${live.length} entries\n`);
+            if (live.length > 0 && pending.length === 0) {
                 return;
             }
             if (systemClock.monotonic() > deadline) {
-                const names = late.map(node => node.id).join(", ");
+                const names = pending.map(node => node.id).join(", ");
                 const message = `The change is accepted, but not known to be in force on: ${names || "any entry"}.`;
-                this.error(`${message} See \`rattanlock status\`.`, { exit: exitCodes.platformAway });
+                this.error(`${message} See \`rattanlock status\`.`, { exit: exitCodes.platformUnavailable });
             }
             await new Promise(resolve => setTimeout(resolve, progressPauseMilliseconds));
         }
@@ -239,7 +239,7 @@
         }
         const site = parseSiteSettings(this.readFile(flags.site), flags.site);
         if (site.isErr()) {
-            return this.failWithMistakes(site.error);
+            return this.failWithErrors(site.error);
         }
         return name === "log" ? site.value.logUrl : site.value.vmListUrl;
     }
--- a/src/command/operatorSession.ts
+++ b/src/command/operatorSession.ts
@@ -3,7 +3,7 @@
  */
 import { err, ok, type Result } from "neverthrow";
 import { type Clock, Failure } from "../common/index.js";
-import { type Change, ConfigurationReader, createPublishRecord, type Verdict } from "../configuration/index.js";
+import { type Change, ConfigurationReader, createPublishRecord, type RecordResult } from "../configuration/index.js";
 import { LogClient, type LogTransport } from "../log/index.js";
 
 const pollMilliseconds = 10;
@@ -25,7 +25,7 @@
 export class OperatorSession {
     readonly #options: OperatorSessionOptions;
     readonly #client: LogClient;
-    readonly #verdicts = new Map<string, Verdict>();
+    readonly #results = new Map<string, RecordResult>();
     readonly reader: ConfigurationReader;
 
     constructor(options: OperatorSessionOptions) {
@@ -36,7 +36,7 @@
             client: this.#client,
             clock,
             waitMilliseconds: logWaitMilliseconds,
-            onVerdict: verdict => this.#handleVerdict(verdict),
+            onResult: verdict => this.#handleResult(verdict),
         });
     }
 
@@ -45,10 +45,10 @@
         this.reader.start();
         const isRead = await this.#waitUntil(() => Number.isFinite(this.reader.getAge()) || this.reader.isIncomplete());
         if (!isRead) {
-            return err(createAwayFailure(this.#options.logUrl));
+            return err(createUnavailableFailure(this.#options.logUrl));
         }
         // A tree with a hole would make a difference that reverts what others changed.
-        return await this.#waitUntil(() => !this.reader.isIncomplete()) ? ok(this.reader) : err(createHoleFailure());
+        return await this.#waitUntil(() => !this.reader.isIncomplete()) ? ok(this.reader) : err(createGapFailure());
     }
 
     /** Ends reading. */
@@ -67,22 +67,22 @@
         changes: readonly Change[],
         basedOn: number,
         reason: string,
-    ): Promise<Result<Verdict, Failure>> {
+    ): Promise<Result<RecordResult, Failure>> {
         const { author, timeoutMilliseconds } = this.#options;
         const record = createPublishRecord({ author, reason, basedOn, changes }, `rattanlock/${author}`);
         const appended = await this.#client.appendAndConfirm("config", record, basedOn, timeoutMilliseconds);
         if (appended.isErr()) {
             return err(appended.error);
         }
-        await this.#waitUntil(() => this.#verdicts.has(record.id));
-        const verdict = this.#verdicts.get(record.id);
-        return verdict === undefined ? err(createUnreadFailure(record.id)) : ok(verdict);
+        await this.#waitUntil(() => this.#results.has(record.id));
+        const result = this.#results.get(record.id);
+        return result === undefined ? err(createNotReadBackFailure(record.id)) : ok(result);
     }
 
-    #handleVerdict(verdict: Verdict): void {
+    #handleResult(result: RecordResult): void {
         // A repeat of this session's own record must not hide what became of the first.
-        if (verdict.outcome !== "repeated") {
-            this.#verdicts.set(verdict.id, verdict);
+        if (result.outcome !== "repeated") {
+            this.#results.set(result.id, result);
         }
     }
 
@@ -98,7 +98,7 @@
     }
 }
 
-function createAwayFailure(url: string): Failure {
+function createUnavailableFailure(url: string): Failure {
     return new Failure({
         kind: "unavailable",
         message: `The log at ${url} does not answer.`,
@@ -106,7 +106,7 @@
     });
 }
 
-function createHoleFailure(): Failure {
+function createGapFailure(): Failure {
     return new Failure({
         kind: "gone",
         message: "The configuration in the log has a hole that no snapshot covers, or a format of a newer release.",
@@ -114,7 +114,7 @@
     });
 }
 
-function createUnreadFailure(id: string): Failure {
+function createNotReadBackFailure(id: string): Failure {
     return new Failure({
         kind: "unavailable",
         message: `The change was appended as ${id}, but could not be read back in time.`,
--- a/src/command/publish.ts
+++ b/src/command/publish.ts
@@ -27,12 +27,12 @@
 
     async run(): Promise<object> {
         const { args, flags } = await this.parse(PublishCommand);
-        const wanted = this.readTree(args.file);
+        const fileTree = this.readTree(args.file);
         return this.withSession(flags, async session => {
             const configuration = session.reader.getConfiguration();
             const basedOn = session.reader.getOffset();
             const tree = configuration.getTree();
-            const changes = compareTrees(tree, wanted);
+            const changes = compareTrees(tree, fileTree);
             if (flags["based-on"] !== undefined && configuration.getOffset() > flags["based-on"]) {
                 // A file that was written before others' changes would silently revert them.
                 const message = `The tree changed at offset ${configuration.getOffset() - 1}, after ${
@@ -54,8 +54,8 @@
                 return { changes };
             }
             this.log(formatChanges(tree, changes));
-            const verdict = await this.publishChanges(session, changes, basedOn, flags);
-            return { offset: verdict.offset, changes };
+            const result = await this.publishChanges(session, changes, basedOn, flags);
+            return { offset: result.offset, changes };
         });
     }
 }
--- a/src/command/rolloutStart.ts
+++ b/src/command/rolloutStart.ts
@@ -29,17 +29,17 @@
     }
 
     #check(configuration: Configuration, candidate: string, baseline: string): void {
-        const version = configuration.getVersion(candidate);
-        const settled = configuration.getVersion(baseline);
-        if (version === undefined || settled === undefined) {
+        const candidateVersion = configuration.getVersion(candidate);
+        const baselineVersion = configuration.getVersion(baseline);
+        if (candidateVersion === undefined || baselineVersion === undefined) {
             this.failRefused(`Both ${candidate} and ${baseline} must be in the configuration. Publish them first.`);
         }
-        if (version.model !== settled.model) {
+        if (candidateVersion.model !== baselineVersion.model) {
             this.failRefused(`${candidate} and ${baseline} are versions of different models. Name two of one model.`);
         }
-        if (version.status === "withdrawn" || settled.status !== "serving") {
+        if (candidateVersion.status === "withdrawn" || baselineVersion.status !== "serving") {
             this.failRefused(
-                `${candidate} is ${version.status}, ${baseline} is ${settled.status}. The candidate must `
+                `${candidate} is ${candidateVersion.status}, ${baseline} is ${baselineVersion.status}. The candidate must `
                     + "not be withdrawn, and the settled version must be serving.",
             );
         }
--- a/src/command/rolloutStatus.ts
+++ b/src/command/rolloutStatus.ts
@@ -1,11 +1,11 @@
 /** `rattanlock rollout status` */
-import { askNodes, getNodeStatuses } from "./nodeStatus.js";
+import { fetchFromNodes, fetchNodeStatuses } from "./nodeStatus.js";
 import { OperatorCommand, type SiteFlags } from "./operatorCommand.js";
 import { formatTable } from "./table.js";
 
 const percent = 100;
 
-interface WaitingAnswer {
+interface StatusResponse {
     readonly waitingRollouts?: readonly string[];
 }
 
@@ -16,7 +16,7 @@
 
     async run(): Promise<object> {
         const { flags } = await this.parse(RolloutStatusCommand);
-        const waiting = await this.#findWaiting(flags);
+        const waiting = await this.#fetchWaiting(flags);
         return this.withControl(flags, async session => {
             const rollouts = session.rollouts.getRollouts();
             const halts = session.rollouts.getHalts();
@@ -42,13 +42,13 @@
     }
 
     /** Asks the entries which roll-outs wait for their candidate; without a VM list nobody can be asked. */
-    async #findWaiting(flags: SiteFlags): Promise<ReadonlySet<string>> {
+    async #fetchWaiting(flags: SiteFlags): Promise<ReadonlySet<string>> {
         const url = this.findUrl(flags, "vm-list");
         if (url === undefined) {
             return new Set();
         }
-        const nodes = (await getNodeStatuses(url, flags["operator-port"])).unwrapOr([]);
-        const answers = [...(await askNodes(nodes, "/status")).values()];
-        return new Set(answers.flatMap(answer => (answer as WaitingAnswer).waitingRollouts ?? []));
+        const nodes = (await fetchNodeStatuses(url, flags["operator-port"])).unwrapOr([]);
+        const answers = [...(await fetchFromNodes(nodes, "/status")).values()];
+        return new Set(answers.flatMap(answer => (answer as StatusResponse).waitingRollouts ?? []));
     }
 }
--- a/src/command/status.ts
+++ b/src/command/status.ts
@@ -9,7 +9,7 @@
 
     async run(): Promise<object> {
         const { flags } = await this.parse(StatusCommand);
-        const nodes = await this.getStatuses(flags);
+        const nodes = await this.fetchStatuses(flags);
         const rows = nodes.map(node => [
             node.id,
             node.failureDomain,
--- a/src/command/timeline.ts
+++ b/src/command/timeline.ts
@@ -3,7 +3,7 @@
 import { writeFileSync } from "node:fs";
 import type { EventLine } from "../events/index.js";
 import { createTimeLinePage, formatTimeLine, mergeEvents } from "../timeline/index.js";
-import { askNodes } from "./nodeStatus.js";
+import { fetchFromNodes } from "./nodeStatus.js";
 import { OperatorCommand } from "./operatorCommand.js";
 
 /** Shows the events of all entries about one request or roll-out, in causal order. */
@@ -23,10 +23,10 @@
 
     async run(): Promise<object> {
         const { args, flags } = await this.parse(TimelineCommand);
-        const nodes = await this.getStatuses(flags);
+        const nodes = await this.fetchStatuses(flags);
         const subject = flags.rollout ? "rollout" : "request";
-        const answers = await askNodes(nodes, `/events?${subject}=${encodeURIComponent(args.name)}`);
-        const merged = mergeEvents([...answers.values()].flat() as EventLine[]);
+        const responses = await fetchFromNodes(nodes, `/events?${subject}=${encodeURIComponent(args.name)}`);
+        const merged = mergeEvents([...responses.values()].flat() as EventLine[]);
         if (merged.length === 0) {
             return this.failRefused(
                 `No entry remembers the ${subject} ${args.name}. Only recent events are remembered.`,
--- a/src/command/upstreams.ts
+++ b/src/command/upstreams.ts
@@ -1,9 +1,9 @@
 /** `rattanlock upstreams` */
-import { askNodes } from "./nodeStatus.js";
+import { fetchFromNodes } from "./nodeStatus.js";
 import { OperatorCommand } from "./operatorCommand.js";
 import { formatTable } from "./table.js";
 
-interface StatusAnswer {
+interface StatusResponse {
     readonly upstreams?: readonly ReportedUpstream[];
     readonly orders?: readonly {
         readonly pool: string;
@@ -19,7 +19,7 @@
     readonly checksFencing?: boolean;
 }
 
-interface ShownUpstream extends ReportedUpstream {
+interface UpstreamSummary extends ReportedUpstream {
     readonly entries: number;
     /** What the holder of the lease has ordered it to load; absent where nobody orders it. */
     readonly orders?: string;
@@ -33,16 +33,16 @@
 
     async run(): Promise<object> {
         const { flags } = await this.parse(UpstreamsCommand);
-        const answers = await askNodes(await this.getStatuses(flags), "/status");
-        const upstreams = collectUpstreams([...answers.values()] as readonly StatusAnswer[]);
-        const rows = [...upstreams.values()].map(found => [
-            found.id,
-            found.pool,
-            found.failureDomain,
-            String(found.entries),
-            describeFencing(found.checksFencing),
-            found.versions?.join(", ") ?? "",
-            found.orders ?? "",
+        const answers = await fetchFromNodes(await this.fetchStatuses(flags), "/status");
+        const upstreams = collectUpstreams([...answers.values()] as readonly StatusResponse[]);
+        const rows = [...upstreams.values()].map(upstream => [
+            upstream.id,
+            upstream.pool,
+            upstream.failureDomain,
+            String(upstream.entries),
+            describeFencing(upstream.checksFencing),
+            upstream.versions?.join(", ") ?? "",
+            upstream.orders ?? "",
         ]);
         rows.sort((left, right) => left[0] < right[0] ? -1 : 1);
         const titles = ["UPSTREAM", "POOL", "FAILURE DOMAIN", "ENTRIES", "CHECKS FENCING", "LOADED", "ORDERS"];
@@ -51,14 +51,14 @@
     }
 }
 
-function collectUpstreams(answers: readonly StatusAnswer[]): ReadonlyMap<string, ShownUpstream> {
+function collectUpstreams(answers: readonly StatusResponse[]): ReadonlyMap<string, UpstreamSummary> {
     const orders = new Map<string, string>();
     for (const pool of answers.flatMap(answer => answer.orders ?? [])) {
         for (const { id, loading, isStalled } of pool.runners) {
             orders.set(id, loading !== undefined ? `loads ${loading}` : isStalled ? "does not load" : "as wanted");
         }
     }
-    const upstreams = new Map<string, ShownUpstream>();
+    const upstreams = new Map<string, UpstreamSummary>();
     for (const upstream of answers.flatMap(answer => answer.upstreams ?? [])) {
         const entries = (upstreams.get(upstream.id)?.entries ?? 0) + 1;
         upstreams.set(upstream.id, { ...upstream, entries, orders: orders.get(upstream.id) });
--- a/src/command/versionChange.ts
+++ b/src/command/versionChange.ts
@@ -4,17 +4,17 @@
 import { err, ok, type Result } from "neverthrow";
 import { Failure } from "../common/index.js";
 import type { Change, Configuration } from "../configuration/index.js";
-import { findNearest } from "../settings/index.js";
+import { findClosestName } from "../settings/index.js";
 import type { VersionStatus } from "../world/index.js";
 
 /** Makes the change that sets a version's status, if there is such a version. */
-export function setStatus(
+export function createStatusChange(
     configuration: Configuration,
     version: string,
     status: VersionStatus,
 ): Result<Change, Failure> {
     if (configuration.getVersion(version) === undefined) {
-        const nearest = findNearest(version, configuration.getVersions().map(known => known.id));
+        const nearest = findClosestName(version, configuration.getVersions().map(known => known.id));
         return err(
             new Failure({
                 kind: "invalid-input",
--- a/src/common/repeatedTask.ts
+++ b/src/common/repeatedTask.ts
@@ -14,7 +14,7 @@
 export class RepeatedTask {
     readonly #options: RepeatedTaskOptions;
     #timer: NodeJS.Timeout | undefined;
-    #running: Promise<void> | undefined;
+    #currentRun: Promise<void> | undefined;
     #stopped = true;
 
     constructor(options: RepeatedTaskOptions) {
@@ -31,12 +31,12 @@
     async stop(): Promise<void> {
         this.#stopped = true;
         clearTimeout(this.#timer);
-        await this.#running;
+        await this.#currentRun;
     }
 
     #runOnce(): void {
-        this.#running = Promise.resolve(this.#options.run()).finally(() => {
-            this.#running = undefined;
+        this.#currentRun = Promise.resolve(this.#options.run()).finally(() => {
+            this.#currentRun = undefined;
             if (!this.#stopped) {
                 this.#timer = setTimeout(() => this.#runOnce(), this.#options.pauseMilliseconds);
             }
--- a/src/common/suspensionClock.ts
+++ b/src/common/suspensionClock.ts
@@ -4,7 +4,7 @@
 import type { Clock } from "./clock.js";
 
 /** A wall clock that gains less than this on the monotonic one only drifts or is being adjusted, in milliseconds. */
-const leastSuspensionMilliseconds = 250;
+const minSuspensionMilliseconds = 250;
 
 /**
  * Adds suspensions to a monotonic clock. The steady clock of the machine stands still while it is suspended, so a belief
@@ -16,7 +16,7 @@
     readonly #clock: Clock;
     #lastMonotonic: number;
     #lastWall: number;
-    #suspended = 0;
+    #suspendedMilliseconds = 0;
 
     /** @param clock - The machine's clocks. */
     constructor(clock: Clock) {
@@ -29,13 +29,13 @@
     monotonic(): number {
         const monotonic = this.#clock.monotonic();
         const wall = this.#clock.wall();
-        const gained = wall - this.#lastWall - (monotonic - this.#lastMonotonic);
-        if (gained > leastSuspensionMilliseconds) {
-            this.#suspended += gained;
+        const wallClockAdvance = wall - this.#lastWall - (monotonic - this.#lastMonotonic);
+        if (wallClockAdvance > minSuspensionMilliseconds) {
+            this.#suspendedMilliseconds += wallClockAdvance;
         }
         this.#lastMonotonic = monotonic;
         this.#lastWall = wall;
-        return monotonic + this.#suspended;
+        return monotonic + this.#suspendedMilliseconds;
     }
 
     /** Milliseconds since the Unix epoch. */
--- a/src/configuration/allowance.ts
+++ b/src/configuration/allowance.ts
@@ -9,19 +9,19 @@
 }
 
 /** Returns the items of a list key, or undefined when the section does not set it. */
-export function getPatterns(tree: Tree, section: string, key: string): readonly string[] | undefined {
-    const written = tree.get(section)?.get(key);
-    if (written === undefined) {
+export function getListItems(tree: Tree, section: string, key: string): readonly string[] | undefined {
+    const text = tree.get(section)?.get(key);
+    if (text === undefined) {
         return undefined;
     }
-    return written === "" ? [] : written.split(",").map(item => item.trim());
+    return text === "" ? [] : text.split(",").map(item => item.trim());
 }
 
 /**
  * Returns the scopes that a section inherits from, itself first and `root` last.
  * @param section - The name of a workspace's, application's or session class's section.
  */
-export function scopeLineage(section: string): readonly string[] {
+export function getScopeLineage(section: string): readonly string[] {
     if (section === "root") {
         return ["root"];
     }
@@ -34,7 +34,7 @@
 export function isVersionAllowed(tree: Tree, lineage: readonly string[], version: string): boolean {
     const model = getModel(version);
     for (const section of lineage) {
-        const patterns = getPatterns(tree, section, "allowed");
+        const patterns = getListItems(tree, section, "allowed");
         if (patterns !== undefined && !patterns.some(item => item === "*" || item === model || item === version)) {
             return false;
         }
@@ -46,7 +46,7 @@
 export function getAllowedServices(tree: Tree, lineage: readonly string[]): readonly string[] {
     let allowed: readonly string[] | undefined;
     for (const section of lineage) {
-        const listed = getPatterns(tree, section, "services");
+        const listed = getListItems(tree, section, "services");
         if (listed !== undefined) {
             allowed = allowed === undefined ? listed : allowed.filter(pool => listed.includes(pool));
         }
--- a/src/configuration/checkTree.ts
+++ b/src/configuration/checkTree.ts
@@ -1,13 +1,13 @@
 /**
  * Checks of the configuration tree: single values against the schema, and sections against each other.
  */
-import { describeUnknownKey, findNearest, findSectionSchema, getKey } from "../settings/index.js";
-import { getModel, getPatterns, isVersionAllowed, scopeLineage } from "./allowance.js";
+import { describeUnknownKey, findClosestName, findSectionSchema, getKey } from "../settings/index.js";
+import { getListItems, getModel, getScopeLineage, isVersionAllowed } from "./allowance.js";
 import { type Change, type Tree, wholeSection } from "./tree.js";
 import { getTreeSchema, treeFormat, versionKeys } from "./treeSchema.js";
 
 /** A mistake in the tree; the file and line are added where there is a file. */
-export interface TreeMistake {
+export interface TreeValidationError {
     readonly section: string;
     readonly key: string;
     readonly message: string;
@@ -21,7 +21,7 @@
  * @param change - The change.
  * @param format - The format of the record that holds it.
  */
-export function checkChange(change: Change, format: number = treeFormat): TreeMistake | undefined {
+export function checkChange(change: Change, format: number = treeFormat): TreeValidationError | undefined {
     const place = { section: change.section, key: change.key };
     const schema = findSectionSchema(getTreeSchema(format), change.section);
     if (schema === undefined) {
@@ -46,7 +46,7 @@
 }
 
 /** Checks the sections of a tree against each other. Every value has to have passed `checkChange`. */
-export function checkTree(tree: Tree): readonly TreeMistake[] {
+export function checkTree(tree: Tree): readonly TreeValidationError[] {
     const versions = [...tree.keys()]
         .filter(section => section.startsWith(versionPrefix))
         .map(section => section.slice(versionPrefix.length));
@@ -54,12 +54,12 @@
         ...checkPrices(tree, versions),
         ...checkParents(tree),
         ...checkAllowed(tree, versions),
-        ...checkKeys(tree),
+        ...checkApiKeys(tree),
     ];
 }
 
-function checkPrices(tree: Tree, versions: readonly string[]): TreeMistake[] {
-    const mistakes: TreeMistake[] = [];
+function checkPrices(tree: Tree, versions: readonly string[]): TreeValidationError[] {
+    const errors: TreeValidationError[] = [];
     for (const version of versions) {
         const section = `${versionPrefix}${version}`;
         const keys = tree.get(section);
@@ -68,7 +68,7 @@
         }
         for (const key of ["input_price", "output_price"] as const) {
             if (keys?.has(key) !== true) {
-                mistakes.push({
+                errors.push({
                     section,
                     key,
                     message: "A version that can take work needs a price.",
@@ -77,15 +77,15 @@
             }
         }
     }
-    return mistakes;
+    return errors;
 }
 
-function checkParents(tree: Tree): TreeMistake[] {
-    const mistakes: TreeMistake[] = [];
+function checkParents(tree: Tree): TreeValidationError[] {
+    const errors: TreeValidationError[] = [];
     for (const section of tree.keys()) {
         const match = /^(workspace\.[^.]+)\.application\./.exec(section);
         if (match && !tree.has(match[1])) {
-            mistakes.push({
+            errors.push({
                 section,
                 key: "",
                 message: `Its workspace [${match[1]}] does not exist.`,
@@ -93,48 +93,48 @@
             });
         }
     }
-    return mistakes;
+    return errors;
 }
 
-function checkAllowed(tree: Tree, versions: readonly string[]): TreeMistake[] {
-    const mistakes: TreeMistake[] = [];
+function checkAllowed(tree: Tree, versions: readonly string[]): TreeValidationError[] {
+    const errors: TreeValidationError[] = [];
     const known = new Set([...versions, ...versions.map(getModel)]);
     for (const section of tree.keys()) {
-        const patterns = getPatterns(tree, section, "allowed");
+        const patterns = getListItems(tree, section, "allowed");
         if (patterns === undefined) {
             continue;
         }
         const place = { section, key: "allowed" };
         const unknown = patterns.filter(pattern => pattern !== "*" && !known.has(pattern));
         for (const pattern of unknown) {
-            const nearest = findNearest(pattern, known);
-            mistakes.push({
+            const nearest = findClosestName(pattern, known);
+            errors.push({
                 ...place,
                 message: `"${pattern}" is no model or version of this tree.`,
                 remedy: nearest === undefined ? "Add a [version.MODEL@VERSION] for it." : `Did you mean ${nearest}?`,
             });
         }
-        const lineage = scopeLineage(section);
-        const remaining = versions.some(version => isVersionAllowed(tree, lineage, version));
-        if (patterns.length > 0 && unknown.length === 0 && versions.length > 0 && !remaining) {
-            mistakes.push({
+        const lineage = getScopeLineage(section);
+        const hasRemaining = versions.some(version => isVersionAllowed(tree, lineage, version));
+        if (patterns.length > 0 && unknown.length === 0 && versions.length > 0 && !hasRemaining) {
+            errors.push({
                 ...place,
                 message: "No version remains, because the lists of its ancestors allow none of these.",
                 remedy: `Choose from what ${lineage.slice(1).map(ancestor => `[${ancestor}]`).join(", ")} allow.`,
             });
         }
     }
-    return mistakes;
+    return errors;
 }
 
-function checkKeys(tree: Tree): TreeMistake[] {
-    const mistakes: TreeMistake[] = [];
+function checkApiKeys(tree: Tree): TreeValidationError[] {
+    const errors: TreeValidationError[] = [];
     const owners = new Map<string, string>();
     for (const section of tree.keys()) {
-        for (const hash of getPatterns(tree, section, "keys") ?? []) {
+        for (const hash of getListItems(tree, section, "keys") ?? []) {
             const owner = owners.get(hash);
             if (owner !== undefined) {
-                mistakes.push({
+                errors.push({
                     section,
                     key: "keys",
                     message: `The key ${hash.slice(0, 8)}... belongs to [${owner}] already.`,
@@ -144,5 +144,5 @@
             owners.set(hash, section);
         }
     }
-    return mistakes;
+    return errors;
 }
--- a/src/configuration/configuration.ts
+++ b/src/configuration/configuration.ts
@@ -5,7 +5,7 @@
 import { Failure } from "../common/index.js";
 import { getPropertyName, type SettingKeys, type SettingValues } from "../settings/index.js";
 import type { ModelVersion, VersionStatus, Workspace, WorkspaceApplication } from "../world/index.js";
-import { getModel, getPatterns, scopeLineage } from "./allowance.js";
+import { getListItems, getModel, getScopeLineage } from "./allowance.js";
 import { EffectiveSettings } from "./effectiveSettings.js";
 import type { Tree } from "./tree.js";
 import { poolKeys, rolloutKeys, scopeKeys, versionKeys } from "./treeSchema.js";
@@ -110,7 +110,7 @@
         }
         let effective = this.#effective.get(section);
         if (effective === undefined) {
-            effective = new EffectiveSettings(this.#tree, scopeLineage(section), this.getVersions());
+            effective = new EffectiveSettings(this.#tree, getScopeLineage(section), this.getVersions());
             this.#effective.set(section, effective);
         }
         return ok(effective);
@@ -133,21 +133,23 @@
     }
 
     /** Returns the longest time that a request of any scope may take, in milliseconds. */
-    getLongestDeadline(): number {
-        let longest = Number(scopeKeys.deadline_ms.defaultText);
+    getMaxDeadline(): number {
+        let maxDeadline = Number(scopeKeys.deadline_ms.defaultText);
         for (const keys of this.#tree.values()) {
-            longest = Math.max(longest, Number(keys.get("deadline_ms") ?? 0));
+            maxDeadline = Math.max(maxDeadline, Number(keys.get("deadline_ms") ?? 0));
         }
-        return longest;
+        return maxDeadline;
     }
 
     /** Reads keys, each from the first of the sections that has it. */
     #readValues(keys: SettingKeys, sections: readonly string[]): unknown {
         const values: Record<string, unknown> = {};
         for (const [name, key] of Object.entries(keys)) {
-            const holder = sections.find(section => this.#tree.get(section)?.has(name));
-            const written = holder === undefined ? key.defaultText ?? "" : this.#tree.get(holder)?.get(name) ?? "";
-            values[getPropertyName(name)] = key.parse(written).unwrapOr(undefined as never);
+            const definingSection = sections.find(section => this.#tree.get(section)?.has(name));
+            const text = definingSection === undefined
+                ? key.defaultText ?? ""
+                : this.#tree.get(definingSection)?.get(name) ?? "";
+            values[getPropertyName(name)] = key.parse(text).unwrapOr(undefined as never);
         }
         return values;
     }
@@ -195,19 +197,19 @@
         if (kind !== "workspace") {
             continue;
         }
-        const ofWorkspace = applications.get(workspace) ?? new Map<string, string[]>();
-        applications.set(workspace, ofWorkspace);
+        const workspaceApplications = applications.get(workspace) ?? new Map<string, string[]>();
+        applications.set(workspace, workspaceApplications);
         if (application !== undefined) {
-            const classes = ofWorkspace.get(application) ?? [];
-            ofWorkspace.set(application, sessionClass === undefined ? classes : [...classes, sessionClass]);
+            const classes = workspaceApplications.get(application) ?? [];
+            workspaceApplications.set(application, sessionClass === undefined ? classes : [...classes, sessionClass]);
         }
     }
     const workspaces = new Map<string, Workspace>();
-    for (const [name, ofWorkspace] of applications) {
+    for (const [name, workspaceApplications] of applications) {
         workspaces.set(name, {
             name,
-            keyHashes: getPatterns(tree, `workspace.${name}`, "keys") ?? [],
-            applications: [...ofWorkspace].map(createApplication),
+            keyHashes: getListItems(tree, `workspace.${name}`, "keys") ?? [],
+            applications: [...workspaceApplications].map(createApplication),
         });
     }
     return workspaces;
--- a/src/configuration/configurationFile.ts
+++ b/src/configuration/configurationFile.ts
@@ -2,8 +2,8 @@
  * Configuration files of operators.
  */
 import { err, ok, type Result } from "neverthrow";
-import { checkSettings, type Mistake, type SettingDocument } from "../settings/index.js";
-import { checkTree, type TreeMistake } from "./checkTree.js";
+import { checkSettings, type SettingDocument, type ValidationError } from "../settings/index.js";
+import { checkTree, type TreeValidationError } from "./checkTree.js";
 import type { Tree } from "./tree.js";
 import { treeSchema } from "./treeSchema.js";
 
@@ -12,12 +12,12 @@
  * @param content - The text of the file.
  * @param file - The file's name, for messages.
  */
-export function parseConfigurationFile(content: string, file: string): Result<Tree, readonly Mistake[]> {
+export function parseConfigurationFile(content: string, file: string): Result<Tree, readonly ValidationError[]> {
     return checkSettings(content, file, treeSchema).andThen(document => {
         const tree = readTree(document);
-        const empty = [...document.sections.values()].filter(section => section.lines.size === 0);
-        const mistakes = [
-            ...empty.map(section => ({
+        const emptySections = [...document.sections.values()].filter(section => section.lines.size === 0);
+        const errors = [
+            ...emptySections.map(section => ({
                 section: section.name,
                 key: "",
                 message: "The section has no keys.",
@@ -25,9 +25,9 @@
             })),
             ...checkTree(tree),
         ]
-            .map(mistake => addPlace(mistake, document))
+            .map(mistake => addLocation(mistake, document))
             .sort((left, right) => left.line - right.line);
-        return mistakes.length === 0 ? ok(tree) : err(mistakes);
+        return errors.length === 0 ? ok(tree) : err(errors);
     });
 }
 
@@ -51,8 +51,8 @@
     return tree;
 }
 
-function addPlace(mistake: TreeMistake, document: SettingDocument): Mistake {
-    const section = document.sections.get(mistake.section);
-    const line = section?.lines.get(mistake.key)?.line ?? section?.line ?? 0;
-    return { file: document.file, line, ...mistake };
+function addLocation(error: TreeValidationError, document: SettingDocument): ValidationError {
+    const section = document.sections.get(error.section);
+    const line = section?.lines.get(error.key)?.line ?? section?.line ?? 0;
+    return { file: document.file, line, ...error };
 }
--- a/src/configuration/configurationFold.ts
+++ b/src/configuration/configurationFold.ts
@@ -4,19 +4,19 @@
 import type { Result } from "neverthrow";
 import type { Failure } from "../common/index.js";
 import type { LogEntry } from "../log/index.js";
-import { checkChange, checkTree, type TreeMistake } from "./checkTree.js";
+import { checkChange, checkTree, type TreeValidationError } from "./checkTree.js";
 import { Configuration } from "./configuration.js";
 import { type ConfigurationSnapshot, parseSnapshot } from "./configurationSnapshot.js";
+import { LatestKeyChanges } from "./latestKeyChanges.js";
 import { type Publication, publicationSchema } from "./publication.js";
-import { TouchedKeys } from "./touchedKeys.js";
+import type { RecordOutcome, RecordResult } from "./recordResult.js";
 import { type Change, changeTree, type Tree } from "./tree.js";
-import { getNeededFormat, treeFormat } from "./treeSchema.js";
-import type { Verdict, VerdictOutcome } from "./verdict.js";
+import { getRequiredFormat, treeFormat } from "./treeSchema.js";
 
 /** Identifiers that are remembered. An older repeat is beaten by the record's own first acceptance. */
-const seenLimit = 1_024;
+const maxSeenIds = 1_024;
 /** Verdicts that are remembered. */
-const historyLimit = 100;
+const maxHistory = 100;
 /** How many records old the state may be that a publication is based on. */
 export const basedOnWindow = 2_048;
 /** Old touches are dropped whenever an offset is a multiple of this. */
@@ -26,9 +26,9 @@
 export class ConfigurationFold {
     #offset = 0;
     #configuration = new Configuration(new Map(), 0);
-    #touched = new TouchedKeys();
-    #seen = new Set<string>();
-    #history: readonly Verdict[] = [];
+    #latestChanges = new LatestKeyChanges();
+    #seenIds = new Set<string>();
+    #history: readonly RecordResult[] = [];
     #isStopped = false;
 
     /**
@@ -40,8 +40,8 @@
             const fold = new ConfigurationFold();
             fold.#offset = state.offset;
             fold.#configuration = new Configuration(readTree(state), state.changedAt);
-            fold.#touched = new TouchedKeys(state.touched);
-            fold.#seen = new Set(state.seen);
+            fold.#latestChanges = new LatestKeyChanges(state.touched);
+            fold.#seenIds = new Set(state.seen);
             fold.#history = state.history;
             return fold;
         });
@@ -58,7 +58,7 @@
     }
 
     /** Returns the latest verdicts about publications, the oldest first. */
-    getHistory(): readonly Verdict[] {
+    getHistory(): readonly RecordResult[] {
         return this.#history;
     }
 
@@ -70,12 +70,12 @@
     /** Returns the state for a snapshot. */
     toSnapshot(): ConfigurationSnapshot {
         return {
-            format: getNeededFormat(this.#configuration.getTree().keys()),
+            format: getRequiredFormat(this.#configuration.getTree().keys()),
             offset: this.#offset,
             changedAt: this.#configuration.getOffset(),
             tree: [...this.#configuration.getTree()].map(([section, keys]) => [section, [...keys]]),
-            touched: [...this.#touched.list()],
-            seen: [...this.#seen],
+            touched: [...this.#latestChanges.getAll()],
+            seen: [...this.#seenIds],
             history: this.#history.map(verdict => ({
                 ...verdict,
                 mistakes: [...verdict.mistakes],
@@ -89,66 +89,66 @@
      * @param entry - The record with its place.
      * @returns What became of it.
      */
-    apply(entry: LogEntry): Verdict {
+    apply(entry: LogEntry): RecordResult {
         if (entry.offset < this.#offset) {
-            return createVerdict(entry, "repeated");
+            return createRecordResult(entry, "repeated");
         }
         if (entry.offset > this.#offset) {
             // Folding on after a hole would let a reader with the hole differ from one without, and nobody would see it.
-            return createVerdict(entry, this.#isStopped ? "unreadable" : "gap");
+            return createRecordResult(entry, this.#isStopped ? "unreadable" : "gap");
         }
         if (entry.record.kind === "publish" && entry.record.format > treeFormat) {
             // Passing over it would leave this reader with another tree than its peers, and it would call itself current.
             this.#isStopped = true;
-            return createVerdict(entry, "unreadable");
+            return createRecordResult(entry, "unreadable");
         }
-        const verdict = this.#decide(entry);
+        const result = this.#applyRecord(entry);
         this.#offset = entry.offset + 1;
-        this.#remember(verdict);
-        return verdict;
+        this.#recordResult(result);
+        return result;
     }
 
-    #decide(entry: LogEntry): Verdict {
+    #applyRecord(entry: LogEntry): RecordResult {
         if (entry.record.kind !== "publish") {
-            return createVerdict(entry, "ignored");
+            return createRecordResult(entry, "ignored");
         }
-        if (this.#seen.has(entry.record.id)) {
-            return createVerdict(entry, "repeated");
+        if (this.#seenIds.has(entry.record.id)) {
+            return createRecordResult(entry, "repeated");
         }
         const parsed = publicationSchema.safeParse(entry.record.body);
         if (!parsed.success) {
-            const mistake = { section: "", key: "", message: "The record has no valid body.", remedy: "Publish anew." };
-            return createVerdict(entry, "rejected", { mistakes: [mistake] });
+            const error = { section: "", key: "", message: "The record has no valid body.", remedy: "Publish anew." };
+            return createRecordResult(entry, "rejected", { mistakes: [error] });
         }
-        return this.#decidePublication(entry, parsed.data);
+        return this.#applyPublication(entry, parsed.data);
     }
 
-    #decidePublication(entry: LogEntry, publication: Publication): Verdict {
-        const about = {
+    #applyPublication(entry: LogEntry, publication: Publication): RecordResult {
+        const details = {
             author: publication.author,
             reason: publication.reason,
             changes: publication.changes.length,
-            withdrawn: this.#withdraw(entry, publication),
+            withdrawn: this.#applyWithdrawals(entry, publication),
         };
-        const rest = publication.changes.filter(change => !isWithdrawal(change));
-        const mistakes = checkBasis(entry, publication, rest);
-        mistakes.push(...checkChanges(rest, entry.record.format));
-        for (const change of rest) {
-            const beatenBy = this.#touched.findBeating(change, publication.basedOn);
+        const otherChanges = publication.changes.filter(change => !isWithdrawal(change));
+        const errors = checkBasedOn(entry, publication, otherChanges);
+        errors.push(...checkChanges(otherChanges, entry.record.format));
+        for (const change of otherChanges) {
+            const beatenBy = this.#latestChanges.findSuperseding(change, publication.basedOn);
             if (beatenBy !== undefined) {
-                return createVerdict(entry, "rejected", { ...about, beatenBy, mistakes });
+                return createRecordResult(entry, "rejected", { ...details, beatenBy, mistakes: errors });
             }
         }
-        if (mistakes.length > 0) {
-            return createVerdict(entry, "rejected", { ...about, mistakes });
+        if (errors.length > 0) {
+            return createRecordResult(entry, "rejected", { ...details, mistakes: errors });
         }
-        const tree = changeTree(this.#configuration.getTree(), rest);
-        const conflicts = rest.length === 0 ? [] : checkTree(tree);
-        if (conflicts.length > 0) {
-            return createVerdict(entry, "rejected", { ...about, mistakes: conflicts });
+        const tree = changeTree(this.#configuration.getTree(), otherChanges);
+        const treeErrors = otherChanges.length === 0 ? [] : checkTree(tree);
+        if (treeErrors.length > 0) {
+            return createRecordResult(entry, "rejected", { ...details, mistakes: treeErrors });
         }
-        this.#putInForce(entry, publication.author, rest, tree);
-        return createVerdict(entry, "accepted", about);
+        this.#activate(entry, publication.author, otherChanges, tree);
+        return createRecordResult(entry, "accepted", details);
     }
 
     /**
@@ -159,37 +159,37 @@
      * undone by the fate of the record's other changes, and they need no existing section. They count as a touch, so
      * that whoever wants to lift one must have seen it.
      */
-    #withdraw(entry: LogEntry, publication: Publication): readonly string[] {
+    #applyWithdrawals(entry: LogEntry, publication: Publication): readonly string[] {
         const withdrawals = publication.changes.filter(isWithdrawal).filter(change =>
             checkChange(change, entry.record.format) === undefined
         );
         if (withdrawals.length > 0) {
             const tree = changeTree(this.#configuration.getTree(), withdrawals);
-            this.#putInForce(entry, publication.author, withdrawals, tree);
+            this.#activate(entry, publication.author, withdrawals, tree);
         }
         return withdrawals.map(change => change.section.slice("version.".length));
     }
 
-    #putInForce(entry: LogEntry, author: string, changes: readonly Change[], tree: Tree): void {
+    #activate(entry: LogEntry, author: string, changes: readonly Change[], tree: Tree): void {
         for (const change of changes) {
-            this.#touched.add(change, entry.offset, author);
+            this.#latestChanges.add(change, entry.offset, author);
         }
         this.#configuration = new Configuration(tree, entry.offset + 1);
     }
 
-    #remember(verdict: Verdict): void {
-        if (verdict.outcome === "accepted" || verdict.outcome === "rejected") {
-            this.#history = [...this.#history, verdict].slice(-historyLimit);
-            this.#seen.add(verdict.id);
+    #recordResult(result: RecordResult): void {
+        if (result.outcome === "accepted" || result.outcome === "rejected") {
+            this.#history = [...this.#history, result].slice(-maxHistory);
+            this.#seenIds.add(result.id);
         }
-        for (const id of this.#seen) {
-            if (this.#seen.size <= seenLimit) {
+        for (const id of this.#seenIds) {
+            if (this.#seenIds.size <= maxSeenIds) {
                 break;
             }
-            this.#seen.delete(id);
+            this.#seenIds.delete(id);
         }
-        if (verdict.offset % pruneInterval === 0) {
-            this.#touched.removeBefore(verdict.offset - basedOnWindow);
+        if (result.offset % pruneInterval === 0) {
+            this.#latestChanges.removeBefore(result.offset - basedOnWindow);
         }
     }
 }
@@ -199,11 +199,11 @@
     return change.section.startsWith("version.") && change.key === "status" && change.value === "withdrawn";
 }
 
-function checkChanges(changes: readonly Change[], format: number): readonly TreeMistake[] {
+function checkChanges(changes: readonly Change[], format: number): readonly TreeValidationError[] {
     return changes.map(change => checkChange(change, format)).filter(mistake => mistake !== undefined);
 }
 
-function checkBasis(entry: LogEntry, publication: Publication, changes: readonly Change[]): TreeMistake[] {
+function checkBasedOn(entry: LogEntry, publication: Publication, changes: readonly Change[]): TreeValidationError[] {
     const place = { section: "", key: "" };
     if (publication.basedOn > entry.offset) {
         const message = `It names the offset ${publication.basedOn}, which came after it.`;
@@ -221,7 +221,11 @@
     return new Map(state.tree.map(([section, keys]) => [section, new Map(keys)]));
 }
 
-function createVerdict(entry: LogEntry, outcome: VerdictOutcome, about: Partial<Verdict> = {}): Verdict {
+function createRecordResult(
+    entry: LogEntry,
+    outcome: RecordOutcome,
+    details: Partial<RecordResult> = {},
+): RecordResult {
     return {
         outcome,
         offset: entry.offset,
@@ -232,6 +236,6 @@
         changes: 0,
         mistakes: [],
         withdrawn: [],
-        ...about,
+        ...details,
     };
 }
--- a/src/configuration/configurationReader.ts
+++ b/src/configuration/configurationReader.ts
@@ -7,11 +7,11 @@
 import type { Configuration } from "./configuration.js";
 import { ConfigurationFold } from "./configurationFold.js";
 import { snapshotBodySchema } from "./publication.js";
-import { getNeededFormat } from "./treeSchema.js";
-import type { Verdict } from "./verdict.js";
+import type { RecordResult } from "./recordResult.js";
+import { getRequiredFormat } from "./treeSchema.js";
 
 /** Records kept while a snapshot is awaited; a snapshot is written every few hundred. */
-const pendingLimit = 4_096;
+const maxPendingRecords = 4_096;
 
 /** Options of a reader. */
 export interface ConfigurationReaderOptions {
@@ -21,7 +21,7 @@
     /** Told whenever another configuration is in force. */
     readonly onChange?: (configuration: Configuration) => void;
     /** Told about every record that was folded. */
-    readonly onVerdict?: (verdict: Verdict) => void;
+    readonly onResult?: (verdict: RecordResult) => void;
     /** How long a long poll of the log may wait. */
     readonly waitMilliseconds?: number;
 }
@@ -43,7 +43,7 @@
     #isUnreadableReported = false;
     #isAheadReported = false;
     #confirmedAt = -Infinity;
-    #snapshotCovers = 0;
+    #snapshotOffset = 0;
 
     constructor(options: ConfigurationReaderOptions) {
         this.#options = options;
@@ -81,12 +81,12 @@
     }
 
     /** Returns the latest verdicts, the oldest first. */
-    getHistory(): readonly Verdict[] {
+    getHistory(): readonly RecordResult[] {
         return this.#fold.getHistory();
     }
 
     /** Returns the milliseconds since the log last answered. */
-    getContactAge(): number {
+    getMillisecondsSinceContact(): number {
         return this.#follower.getContactAge();
     }
 
@@ -97,7 +97,7 @@
 
     /** Returns how many records lie after the newest snapshot in the log. */
     getRecordsSinceSnapshot(): number {
-        return this.#fold.getOffset() - this.#snapshotCovers;
+        return this.#fold.getOffset() - this.#snapshotOffset;
     }
 
     /** Tells whether records are missing or unreadable, so that the configuration cannot be confirmed from the log. */
@@ -115,7 +115,7 @@
 
     /** Returns the format that a reader of the state needs. */
     getFormat(): number {
-        return getNeededFormat(this.getConfiguration().getTree().keys());
+        return getRequiredFormat(this.getConfiguration().getTree().keys());
     }
 
     /** Returns the state, to be handed to a peer. */
@@ -132,7 +132,7 @@
      * @param offset - The offset that it is said to go up to.
      * @returns Whether it was taken over.
      */
-    offer(state: unknown, offset: number): boolean {
+    importState(state: unknown, offset: number): boolean {
         // Spares the reading of a state that is said to be no newer; the guard is in `#adopt`.
         if (offset <= this.getOffset()) {
             return false;
@@ -154,14 +154,14 @@
             this.#handleSnapshot(entry);
         }
         const before = this.#fold.getConfiguration();
-        const verdict = this.#fold.apply(entry);
-        if (verdict.outcome === "gap") {
+        const result = this.#fold.apply(entry);
+        if (result.outcome === "gap") {
             this.#pending.push(entry);
             // Only the newest are of use, because a snapshot covers what was before it.
-            this.#pending = this.#pending.slice(-pendingLimit);
+            this.#pending = this.#pending.slice(-maxPendingRecords);
             return;
         }
-        this.#report(verdict);
+        this.#report(result);
         this.#notify(before);
     }
 
@@ -170,7 +170,7 @@
         if (!body.success || body.data.covers > entry.offset) {
             return;
         }
-        this.#snapshotCovers = Math.max(this.#snapshotCovers, body.data.covers);
+        this.#snapshotOffset = Math.max(this.#snapshotOffset, body.data.covers);
         // Spares the reading of a state that is not needed; what keeps a late snapshot of a slow writer from taking the
         // reader back is that a state has to reach the first record kept, and `#adopt`.
         if (body.data.covers <= this.getOffset()) {
@@ -195,8 +195,8 @@
         const pending = this.#pending;
         this.#pending = [];
         for (const entry of pending) {
-            const verdict = fold.apply(entry);
-            if (verdict.outcome === "gap") {
+            const result = fold.apply(entry);
+            if (result.outcome === "gap") {
                 this.#pending.push(entry);
             }
         }
@@ -208,7 +208,7 @@
         this.#options.journal?.write(events.configurationGap, { expected: this.getOffset(), earliest });
     }
 
-    #handleCaughtUp(askedAt: number): void {
+    #handleCaughtUp(requestedAt: number): void {
         if (this.#follower.getOffset() < this.getOffset()) {
             // The state came from a peer, and the log that was read to its end does not reach that far: it lost records
             // or is another log. Confirming here would call a configuration fresh that this log knows nothing about.
@@ -216,7 +216,7 @@
             return;
         }
         if (!this.isIncomplete()) {
-            this.confirm(askedAt);
+            this.confirm(requestedAt);
             return;
         }
         if (!this.#isIncompleteReported && !this.#fold.isStopped()) {
@@ -233,20 +233,20 @@
         }
     }
 
-    #report(verdict: Verdict): void {
-        const fields = { offset: verdict.offset, author: verdict.author, reason: verdict.reason };
-        if (verdict.outcome === "accepted") {
+    #report(result: RecordResult): void {
+        const fields = { offset: result.offset, author: result.author, reason: result.reason };
+        if (result.outcome === "accepted") {
             this.#options.journal?.write(events.configurationAccepted, fields);
         }
-        else if (verdict.outcome === "rejected") {
-            const beatenBy = verdict.beatenBy?.offset;
+        else if (result.outcome === "rejected") {
+            const beatenBy = result.beatenBy?.offset;
             this.#options.journal?.write(events.configurationRejected, { ...fields, beatenBy });
         }
-        else if (verdict.outcome === "unreadable" && !this.#isUnreadableReported) {
+        else if (result.outcome === "unreadable" && !this.#isUnreadableReported) {
             this.#isUnreadableReported = true;
-            this.#options.journal?.write(events.configurationUnreadable, { offset: verdict.offset });
+            this.#options.journal?.write(events.configurationUnreadable, { offset: result.offset });
         }
-        this.#options.onVerdict?.(verdict);
+        this.#options.onResult?.(result);
     }
 
     #notify(before: Configuration): void {
--- a/src/configuration/configurationSnapshot.ts
+++ b/src/configuration/configurationSnapshot.ts
@@ -4,13 +4,13 @@
 import { err, ok, type Result } from "neverthrow";
 import { z } from "zod";
 import { Failure } from "../common/index.js";
+import type { RecordResult } from "./recordResult.js";
 import { treeFormat } from "./treeSchema.js";
-import type { Verdict } from "./verdict.js";
 
 const offsetSchema = z.number().int().nonnegative();
-const placeSchema = { section: z.string(), key: z.string() };
-const beatingSchema = z.object({ offset: offsetSchema, author: z.string(), ...placeSchema });
-const verdictSchema = z.object({
+const keyLocationShape = { section: z.string(), key: z.string() };
+const supersedingChangeSchema = z.object({ offset: offsetSchema, author: z.string(), ...keyLocationShape });
+const recordResultSchema = z.object({
     outcome: z.enum(["accepted", "rejected", "repeated", "ignored", "unreadable", "gap"]),
     offset: offsetSchema,
     time: z.number(),
@@ -18,19 +18,19 @@
     author: z.string(),
     reason: z.string(),
     changes: z.number(),
-    beatenBy: beatingSchema.optional(),
-    mistakes: z.array(z.object({ ...placeSchema, message: z.string(), remedy: z.string() })),
+    beatenBy: supersedingChangeSchema.optional(),
+    mistakes: z.array(z.object({ ...keyLocationShape, message: z.string(), remedy: z.string() })),
     withdrawn: z.array(z.string()),
-}) satisfies z.ZodType<Verdict>;
+}) satisfies z.ZodType<RecordResult>;
 
 const snapshotSchema = z.object({
     format: z.number().int().min(1).max(treeFormat),
     offset: offsetSchema,
     changedAt: offsetSchema,
     tree: z.array(z.tuple([z.string(), z.array(z.tuple([z.string(), z.string()]))])),
-    touched: z.array(beatingSchema),
+    touched: z.array(supersedingChangeSchema),
     seen: z.array(z.string()),
-    history: z.array(verdictSchema),
+    history: z.array(recordResultSchema),
 });
 
 /** The state of a fold. */
--- a/src/configuration/effectiveSettings.ts
+++ b/src/configuration/effectiveSettings.ts
@@ -24,23 +24,23 @@
     readonly priority: number;
     /** Weight of the fair share. */
     readonly share: number;
-    readonly maximumTokens: number;
+    readonly maxTokens: number;
     readonly deadlineMilliseconds: number;
     readonly firstTokenMilliseconds: number;
     /** Whether a session keeps its version. */
     readonly stickySession: boolean;
-    readonly maximumConfigurationAgeMilliseconds: number;
+    readonly maxConfigurationAgeMilliseconds: number;
     readonly #allowed: ReadonlySet<string>;
 
     /** @internal */
     constructor(tree: Tree, lineage: readonly string[], versions: readonly ModelVersion[]) {
-        const { values, origins } = inherit(tree, lineage);
+        const { values, origins } = resolveInherited(tree, lineage);
         this.#origins = origins;
         this.allowedVersions = versions.filter(version =>
             version.status !== "withdrawn"
             && isVersionAllowed(tree, lineage, version.id)
-            && version.inputPrice <= getCeiling(tree, lineage, "max_input_price")
-            && version.outputPrice <= getCeiling(tree, lineage, "max_output_price")
+            && version.inputPrice <= getMaxPrice(tree, lineage, "max_input_price")
+            && version.outputPrice <= getMaxPrice(tree, lineage, "max_output_price")
         );
         this.#allowed = new Set(this.allowedVersions.map(version => version.id));
         this.services = getAllowedServices(tree, lineage);
@@ -49,11 +49,11 @@
         this.requestClass = values.requestClass;
         this.priority = values.priority;
         this.share = values.share;
-        this.maximumTokens = values.maxTokens;
+        this.maxTokens = values.maxTokens;
         this.deadlineMilliseconds = values.deadlineMilliseconds;
         this.firstTokenMilliseconds = values.firstTokenMilliseconds;
         this.stickySession = values.stickySession;
-        this.maximumConfigurationAgeMilliseconds = values.maxConfigurationAgeSeconds * 1_000;
+        this.maxConfigurationAgeMilliseconds = values.maxConfigurationAgeSeconds * 1_000;
     }
 
     /** Tells whether a request may run on a version. */
@@ -75,28 +75,28 @@
     readonly origins: ReadonlyMap<ScopeKey, string>;
 }
 
-function inherit(tree: Tree, lineage: readonly string[]): Inherited {
+function resolveInherited(tree: Tree, lineage: readonly string[]): Inherited {
     const values: Record<string, unknown> = {};
     const origins = new Map<ScopeKey, string>();
     for (const name of Object.keys(scopeKeys) as ScopeKey[]) {
         const key = scopeKeys[name];
         const origin = lineage.find(section => tree.get(section)?.has(name) === true);
-        const written = origin === undefined ? key.defaultText : tree.get(origin)?.get(name);
+        const text = origin === undefined ? key.defaultText : tree.get(origin)?.get(name);
         if (origin !== undefined) {
             origins.set(name, origin);
         }
-        values[getPropertyName(name)] = written === undefined ? undefined : key.parse(written).unwrapOr(undefined);
+        values[getPropertyName(name)] = text === undefined ? undefined : key.parse(text).unwrapOr(undefined);
     }
     return { values: values as SettingValues<typeof scopeKeys>, origins };
 }
 
-function getCeiling(tree: Tree, lineage: readonly string[], key: "max_input_price" | "max_output_price"): number {
-    let ceiling = Infinity;
+function getMaxPrice(tree: Tree, lineage: readonly string[], key: "max_input_price" | "max_output_price"): number {
+    let maxPrice = Infinity;
     for (const section of lineage) {
-        const written = tree.get(section)?.get(key);
-        if (written !== undefined) {
-            ceiling = Math.min(ceiling, Number(written));
+        const text = tree.get(section)?.get(key);
+        if (text !== undefined) {
+            maxPrice = Math.min(maxPrice, Number(text));
         }
     }
-    return ceiling;
+    return maxPrice;
 }
--- a/src/configuration/index.ts
+++ b/src/configuration/index.ts
@@ -7,7 +7,7 @@
 export * from "./configurationSnapshot.js";
 export * from "./effectiveSettings.js";
 export * from "./publication.js";
+export * from "./recordResult.js";
 export * from "./snapshotWriter.js";
 export * from "./tree.js";
 export * from "./treeSchema.js";
-export * from "./verdict.js";
--- a/src/configuration/touchedKeys.ts
+++ b/src/configuration/latestKeyChanges.ts
@@ -1,24 +1,24 @@
 /**
  * Remembers which change touched a key last, to settle races between operators.
  */
+import type { SupersedingChange } from "./recordResult.js";
 import { type Change, getLineage, isWithin, wholeSection } from "./tree.js";
-import type { BeatingChange } from "./verdict.js";
 
 /** The last accepted change of each key, removed ones included. */
-export class TouchedKeys {
+export class LatestKeyChanges {
     // By section, then by key. A removed key stays until the window has passed: forgotten at once, a change that was
     // based on the time before the removal would bring the key back without its author having seen the removal.
-    readonly #sections: Map<string, Map<string, BeatingChange>>;
+    readonly #sections: Map<string, Map<string, SupersedingChange>>;
 
-    constructor(touches: Iterable<BeatingChange> = []) {
+    constructor(changes: Iterable<SupersedingChange> = []) {
         this.#sections = new Map();
-        for (const touch of touches) {
-            this.#set(touch);
+        for (const change of changes) {
+            this.#set(change);
         }
     }
 
     /** Lists every touch, in the order in which keys were first touched. */
-    list(): readonly BeatingChange[] {
+    getAll(): readonly SupersedingChange[] {
         return [...this.#sections.values()].flatMap(keys => [...keys.values()]);
     }
 
@@ -37,7 +37,7 @@
      * @param change - The new change.
      * @param basedOn - The first offset that its author had not seen.
      */
-    findBeating(change: Change, basedOn: number): BeatingChange | undefined {
+    findSuperseding(change: Change, basedOn: number): SupersedingChange | undefined {
         for (const section of getLineage(change.section)) {
             const removal = this.#sections.get(section)?.get(wholeSection);
             if (removal !== undefined && removal.offset >= basedOn) {
@@ -47,8 +47,8 @@
         if (change.key === wholeSection) {
             return this.#findWithin(change.section, basedOn);
         }
-        const touch = this.#sections.get(change.section)?.get(change.key);
-        return touch !== undefined && touch.offset >= basedOn ? touch : undefined;
+        const latest = this.#sections.get(change.section)?.get(change.key);
+        return latest !== undefined && latest.offset >= basedOn ? latest : undefined;
     }
 
     /**
@@ -57,8 +57,8 @@
      */
     removeBefore(offset: number): void {
         for (const [section, keys] of this.#sections) {
-            for (const [key, touch] of keys) {
-                if (touch.offset < offset) {
+            for (const [key, change] of keys) {
+                if (change.offset < offset) {
                     keys.delete(key);
                 }
             }
@@ -68,23 +68,23 @@
         }
     }
 
-    #findWithin(ancestor: string, basedOn: number): BeatingChange | undefined {
+    #findWithin(ancestor: string, basedOn: number): SupersedingChange | undefined {
         for (const [section, keys] of this.#sections) {
             if (!isWithin(section, ancestor)) {
                 continue;
             }
-            for (const touch of keys.values()) {
-                if (touch.offset >= basedOn) {
-                    return touch;
+            for (const change of keys.values()) {
+                if (change.offset >= basedOn) {
+                    return change;
                 }
             }
         }
         return undefined;
     }
 
-    #set(touch: BeatingChange): void {
-        const keys = this.#sections.get(touch.section) ?? new Map<string, BeatingChange>();
-        keys.set(touch.key, touch);
-        this.#sections.set(touch.section, keys);
+    #set(change: SupersedingChange): void {
+        const keys = this.#sections.get(change.section) ?? new Map<string, SupersedingChange>();
+        keys.set(change.key, change);
+        this.#sections.set(change.section, keys);
     }
 }
--- a/src/configuration/publication.ts
+++ b/src/configuration/publication.ts
@@ -5,23 +5,23 @@
 import { z } from "zod";
 import type { LogRecord } from "../log/index.js";
 import type { Change } from "./tree.js";
-import { getNeededFormat } from "./treeSchema.js";
+import { getRequiredFormat } from "./treeSchema.js";
 
 /** The kinds of records that a configuration is folded from. */
 export type ConfigurationRecordKind = "publish" | "snapshot";
 
-const maximumChanges = 1_000;
-const maximumTextLength = 16_384;
-const shortText = z.string().max(maximumTextLength);
+const maxChanges = 1_000;
+const maxTextLength = 16_384;
+const textSchema = z.string().max(maxTextLength);
 
 /** The body of a `publish` record, as readers of format 1 check it. */
 export const publicationSchema = z.object({
-    author: shortText.min(1),
-    reason: shortText,
+    author: textSchema.min(1),
+    reason: textSchema,
     basedOn: z.number().int().nonnegative(),
-    changes: z.array(z.object({ section: shortText, key: shortText, value: shortText.optional() }))
+    changes: z.array(z.object({ section: textSchema, key: textSchema, value: textSchema.optional() }))
         .min(1)
-        .max(maximumChanges),
+        .max(maxChanges),
 });
 
 const stateFormatSchema = z.object({ format: z.number() });
@@ -41,7 +41,7 @@
  * @param writer - Name of the process that appends it.
  */
 export function createPublishRecord(publication: Publication, writer: string): LogRecord {
-    const format = getNeededFormat(publication.changes.map(change => change.section));
+    const format = getRequiredFormat(publication.changes.map(change => change.section));
     return { id: randomUUID(), kind: "publish", format, writer, body: publication };
 }
 
--- a/src/configuration/verdict.ts
+++ b/src/configuration/recordResult.ts
@@ -1,7 +1,7 @@
 /**
  * What the fold decides about a record. Every reader decides the same.
  */
-import type { TreeMistake } from "./checkTree.js";
+import type { TreeValidationError } from "./checkTree.js";
 
 /**
  * What became of a record.
@@ -12,10 +12,10 @@
  * - `unreadable`: its format is newer than this release; nothing after it is folded.
  * - `gap`: offsets before it are missing; nothing is folded until a snapshot covers them.
  */
-export type VerdictOutcome = "accepted" | "rejected" | "repeated" | "ignored" | "unreadable" | "gap";
+export type RecordOutcome = "accepted" | "rejected" | "repeated" | "ignored" | "unreadable" | "gap";
 
 /** The accepted change that beat another one. */
-export interface BeatingChange {
+export interface SupersedingChange {
     readonly offset: number;
     readonly author: string;
     readonly section: string;
@@ -23,8 +23,8 @@
 }
 
 /** The decision about one record. */
-export interface Verdict {
-    readonly outcome: VerdictOutcome;
+export interface RecordResult {
+    readonly outcome: RecordOutcome;
     readonly offset: number;
     /** Wall-clock milliseconds of the log service. */
     readonly time: number;
@@ -35,9 +35,9 @@
     readonly reason: string;
     /** How many changes it holds. */
     readonly changes: number;
-    readonly beatenBy?: BeatingChange;
+    readonly beatenBy?: SupersedingChange;
     /** Why the record is invalid. */
-    readonly mistakes: readonly TreeMistake[];
+    readonly mistakes: readonly TreeValidationError[];
     /** Versions whose withdrawal took effect, whatever became of the rest. */
     readonly withdrawn: readonly string[];
 }
--- a/src/configuration/snapshotWriter.ts
+++ b/src/configuration/snapshotWriter.ts
@@ -8,7 +8,7 @@
 import type { ConfigurationReader } from "./configurationReader.js";
 import { createSnapshotRecord } from "./publication.js";
 
-const defaultRecords = 500;
+const defaultMaxRecords = 500;
 
 /** Options of a snapshot writer. */
 export interface SnapshotWriterOptions {
@@ -20,7 +20,7 @@
     /** The longest pause between two snapshots; well under the log's retention. */
     readonly intervalMilliseconds: number;
     /** The most records that may lie after the newest snapshot. */
-    readonly records?: number;
+    readonly maxRecords?: number;
     readonly journal?: Journal;
 }
 
@@ -57,12 +57,12 @@
     }
 
     #isDue(): boolean {
-        const { reader, clock, intervalMilliseconds, records } = this.#options;
+        const { reader, clock, intervalMilliseconds, maxRecords } = this.#options;
         // A reader with a hole would write a state that is older than the one that is needed.
         if (reader.isIncomplete() || reader.getOffset() === 0) {
             return false;
         }
         const isOld = clock.monotonic() - this.#writtenAt >= intervalMilliseconds;
-        return isOld || reader.getRecordsSinceSnapshot() >= (records ?? defaultRecords);
+        return isOld || reader.getRecordsSinceSnapshot() >= (maxRecords ?? defaultMaxRecords);
     }
 }
--- a/src/configuration/treeSchema.ts
+++ b/src/configuration/treeSchema.ts
@@ -28,10 +28,10 @@
 const namePattern = "[A-Za-z0-9][A-Za-z0-9_-]*";
 const versionPattern = "[A-Za-z0-9][A-Za-z0-9._-]*@[A-Za-z0-9][A-Za-z0-9._-]*";
 const statuses: readonly VersionStatus[] = ["candidate", "serving", "draining", "withdrawn"];
-const maximumPrice = 1_000_000;
+const maxPrice = 1_000_000;
 
-function price(description: string, example: string) {
-    return optional(decimal({ description, example, minimum: 0, maximum: maximumPrice }));
+function createPriceKey(description: string, example: string) {
+    return optional(decimal({ description, example, min: 0, max: maxPrice }));
 }
 
 /** Keys of a version. */
@@ -42,14 +42,20 @@
         defaultText: "candidate",
         example: "serving",
     }),
-    input_price: price("Price of a million input tokens, in the site's currency. Needed unless withdrawn.", "0.40"),
-    output_price: price("Price of a million output tokens, in the site's currency. Needed unless withdrawn.", "1.60"),
+    input_price: createPriceKey(
+        "Price of a million input tokens, in the site's currency. Needed unless withdrawn.",
+        "0.40",
+    ),
+    output_price: createPriceKey(
+        "Price of a million output tokens, in the site's currency. Needed unless withdrawn.",
+        "1.60",
+    ),
     expected_quality: decimal({
         description: "Quality that is expected before any rating came in.",
         defaultText: "0.5",
         example: "0.85",
-        minimum: 0,
-        maximum: 1,
+        min: 0,
+        max: 1,
     }),
 };
 
@@ -75,15 +81,15 @@
         description: "Mean quality that answers have to reach.",
         defaultText: "0.8",
         example: "0.9",
-        minimum: 0,
-        maximum: 1,
+        min: 0,
+        max: 1,
     }),
     confidence: decimal({
         description: "How sure the router has to be that the target is met.",
         defaultText: "0.9",
         example: "0.95",
-        minimum: 0.5,
-        maximum: 0.999,
+        min: 0.5,
+        max: 0.999,
     }),
     request_class: name({
         description: "Class under which ratings are gathered; requests alike share a class.",
@@ -94,38 +100,38 @@
         description: "0 is the most urgent; the least urgent is refused first under overload.",
         defaultText: "5",
         example: "2",
-        minimum: 0,
-        maximum: 9,
+        min: 0,
+        max: 9,
     }),
     share: decimal({
         description: "Weight of the workspace's fair share under overload.",
         defaultText: "1",
         example: "3",
-        minimum: 0.01,
-        maximum: 1_000,
+        min: 0.01,
+        max: 1_000,
     }),
     max_tokens: integer({
         description: "The most tokens that an answer may have.",
         defaultText: "2048",
         example: "4096",
-        minimum: 1,
-        maximum: 1_000_000,
+        min: 1,
+        max: 1_000_000,
         unit: "tokens",
     }),
     deadline_ms: integer({
         description: "How long a request may take as a whole.",
         defaultText: "60000",
         example: "30000",
-        minimum: 10,
-        maximum: 3_600_000,
+        min: 10,
+        max: 3_600_000,
         unit: "milliseconds",
     }),
     first_token_ms: integer({
         description: "How long a caller should wait for the first token at most.",
         defaultText: "900",
         example: "600",
-        minimum: 1,
-        maximum: 600_000,
+        min: 1,
+        max: 600_000,
         unit: "milliseconds",
     }),
     sticky_session: toggle({
@@ -137,12 +143,12 @@
         description: "New work is refused by an entry whose configuration was not confirmed for this long.",
         defaultText: "300",
         example: "60",
-        minimum: 1,
-        maximum: 604_800,
+        min: 1,
+        max: 604_800,
         unit: "seconds",
     }),
-    max_input_price: price("Versions above this input price are not used. A child only lowers it.", "2.00"),
-    max_output_price: price("Versions above this output price are not used. A child only lowers it.", "8.00"),
+    max_input_price: createPriceKey("Versions above this input price are not used. A child only lowers it.", "2.00"),
+    max_output_price: createPriceKey("Versions above this output price are not used. A child only lowers it.", "8.00"),
 };
 
 /** Keys that only a workspace has. */
@@ -171,7 +177,7 @@
     parse: value =>
         stageList.parse(value).andThen(items => {
             const parts = items.map(Number);
-            return isRising(parts) && parts.at(-1) === 100
+            return isIncreasing(parts) && parts.at(-1) === 100
                 ? ok(parts)
                 : err("Write rising percentages that end with 100, such as 1, 10, 50, 100.");
         }),
@@ -184,8 +190,8 @@
         description: "The least time that a stage lasts.",
         defaultText: "60",
         example: "300",
-        minimum: 1,
-        maximum: 604_800,
+        min: 1,
+        max: 604_800,
         unit: "seconds",
     }),
     exposure_budget: integer({
@@ -193,30 +199,30 @@
             "Answers that callers may get of a candidate before the ratings have cleared it, over all entries.",
         defaultText: "200",
         example: "50",
-        minimum: 1,
-        maximum: 1_000_000,
+        min: 1,
+        max: 1_000_000,
         unit: "answers",
     }),
     quality_margin: decimal({
         description: "How far a candidate may lie below the settled version; beyond it, it counts as bad.",
         defaultText: "0.05",
         example: "0.02",
-        minimum: 0.001,
-        maximum: 1,
+        min: 0.001,
+        max: 1,
     }),
     false_halt_rate: decimal({
         description: "Part of good roll-outs that may be halted wrongly.",
         defaultText: "0.01",
         example: "0.01",
-        minimum: 0.0001,
-        maximum: 0.5,
+        min: 0.0001,
+        max: 0.5,
     }),
     missed_rate: decimal({
         description: "Part of bad roll-outs that the test may clear wrongly.",
         defaultText: "0.01",
         example: "0.001",
-        minimum: 0.0001,
-        maximum: 0.5,
+        min: 0.0001,
+        max: 0.5,
     }),
 };
 
@@ -239,24 +245,24 @@
         description: "Versions that the memory of a runner holds.",
         defaultText: "4",
         example: "3",
-        minimum: 1,
-        maximum: 1_000,
+        min: 1,
+        max: 1_000,
         unit: "versions",
     }),
     loads_at_a_time: integer({
         description: "Runners of the pool that load a version at a time, since the weight store is rate-limited.",
         defaultText: "2",
         example: "8",
-        minimum: 1,
-        maximum: 1_000,
+        min: 1,
+        max: 1_000,
         unit: "runners",
     }),
     load_timeout_s: integer({
         description: "A runner that has not loaded a version for this long is passed over for another one.",
         defaultText: "600",
         example: "120",
-        minimum: 1,
-        maximum: 86_400,
+        min: 1,
+        max: 86_400,
         unit: "seconds",
     }),
     checks_fencing: toggle({
@@ -267,7 +273,7 @@
     }),
 };
 
-const workspaceTitle = `workspace\\.${namePattern}`;
+const workspacePattern = `workspace\\.${namePattern}`;
 
 /** The section at the top of the tree. */
 export const rootSection = {
@@ -309,7 +315,7 @@
 export const workspaceSection = {
     title: "workspace.NAME",
     description: "A workspace; it inherits from `[root]`.",
-    pattern: new RegExp(`^${workspaceTitle}$`),
+    pattern: new RegExp(`^${workspacePattern}$`),
     isRequired: false,
     keys: { ...workspaceOnlyKeys, ...scopeKeys },
 } satisfies SectionSchema;
@@ -318,7 +324,7 @@
     title: "workspace.NAME.application.APP",
     description: "An application; it inherits from its workspace. An application without a section has its "
         + "workspace's settings.",
-    pattern: new RegExp(`^${workspaceTitle}\\.application\\.${namePattern}$`),
+    pattern: new RegExp(`^${workspacePattern}\\.application\\.${namePattern}$`),
     isRequired: false,
     keys: scopeKeys,
 } satisfies SectionSchema;
@@ -326,7 +332,7 @@
 const sessionSection = {
     title: "workspace.NAME.application.APP.session.CLASS",
     description: "A class of sessions; it inherits from its application.",
-    pattern: new RegExp(`^${workspaceTitle}\\.application\\.${namePattern}\\.session\\.${namePattern}$`),
+    pattern: new RegExp(`^${workspacePattern}\\.application\\.${namePattern}\\.session\\.${namePattern}$`),
     isRequired: false,
     keys: scopeKeys,
 } satisfies SectionSchema;
@@ -365,7 +371,7 @@
  * nothing new goes on writing what older releases read.
  * @param sections - Names of sections.
  */
-export function getNeededFormat(sections: Iterable<string>): number {
+export function getRequiredFormat(sections: Iterable<string>): number {
     for (const section of sections) {
         if (poolSection.pattern.test(section)) {
             return treeFormat;
@@ -374,6 +380,6 @@
     return firstTreeFormat;
 }
 
-function isRising(parts: readonly number[]): boolean {
-    return parts.every((part, index) => part > (parts[index - 1] ?? 0) && part <= 100);
+function isIncreasing(percentages: readonly number[]): boolean {
+    return percentages.every((percentage, index) => percentage > (percentages[index - 1] ?? 0) && percentage <= 100);
 }
--- a/src/entry/addressBook.ts
+++ b/src/entry/addressDocument.ts
@@ -4,7 +4,7 @@
 import type { Member } from "../membership/index.js";
 
 /** What the address document is made from. */
-export interface AddressBook {
+export interface AddressDocumentOptions {
     /** How long a caller may keep the answer, in seconds. */
     readonly keepSeconds: number;
     readonly getMembers: () => readonly Member[];
@@ -29,18 +29,18 @@
  * Creates the document for one caller. The order is drawn anew for each, so that callers spread over the entries;
  * neighbours in the order stand in different failure domains, so that a caller whose first address is lost with its
  * failure domain does not try another one there next.
- * @param book - What it is made from.
+ * @param options - What it is made from.
  */
-export function createAddressDocument(book: AddressBook): AddressDocument {
-    const usable = book.getMembers().filter(member => member.state === "alive");
+export function createAddressDocument(options: AddressDocumentOptions): AddressDocument {
+    const aliveMembers = options.getMembers().filter(member => member.state === "alive");
     const addresses: CallerAddress[] = [];
-    for (const member of spreadOverDomains(shuffle(usable))) {
+    for (const member of spreadOverDomains(shuffle(aliveMembers))) {
         addresses.push({
-            url: `http://${member.address}:${book.getCallerPort(member)}`,
+            url: `http://${member.address}:${options.getCallerPort(member)}`,
             failureDomain: member.failureDomain,
         });
     }
-    return { addresses, keepSeconds: book.keepSeconds };
+    return { addresses, keepSeconds: options.keepSeconds };
 }
 
 function spreadOverDomains(members: readonly Member[]): readonly Member[] {
--- a/src/entry/answerHeaders.ts
+++ b/src/entry/answerHeaders.ts
@@ -12,7 +12,7 @@
 }
 
 /** Where an attempt runs. */
-export interface AttemptPlace {
+export interface AttemptTarget {
     readonly runner: string;
     readonly streamId: string;
 }
@@ -20,12 +20,12 @@
 /**
  * Creates the headers of an attempt's answer.
  * @param attempt - The answer to be had.
- * @param place - Where it runs.
+ * @param target - Where it runs.
  * @param options - What the headers are made with.
  */
 export function createAnswerHeaders(
     attempt: AttemptOptions,
-    place: AttemptPlace,
+    target: AttemptTarget,
     options: AnswerHeadersOptions,
 ): Readonly<Record<string, string>> {
     const { call, version } = attempt;
@@ -40,8 +40,8 @@
     if (attempt.direct && call.request.streamed) {
         headers["x-rattanlock-resume"] = createResumeToken({
             requestId: call.requestId,
-            streamId: place.streamId,
-            runner: place.runner,
+            streamId: target.streamId,
+            runner: target.runner,
             version: version.id,
             workspace: call.workspace,
             application: call.application,
--- a/src/entry/answerRelay.ts
+++ b/src/entry/answerRelay.ts
@@ -16,7 +16,7 @@
 import type { Vm } from "../world/index.js";
 
 /** How often in a row a broken stream is resumed in vain before the answer is given up. */
-const maximumResumptions = 3;
+const maxResumptions = 3;
 
 /** What a relay needs. */
 export interface RelayOptions {
@@ -56,7 +56,7 @@
             // A link that breaks often still carries a long answer to its end; only a standstill is given up.
             resumption = 0;
         }
-        const mayResume = resumption < maximumResumptions && !options.signal.aborted && !relay.isBillFailed();
+        const mayResume = resumption < maxResumptions && !options.signal.aborted && !relay.hasBillingFailed();
         if (!mayResume) {
             return err(failure);
         }
@@ -77,8 +77,8 @@
     readonly #options: RelayOptions;
     #lastId: number;
     #usage: TokenUsage = { inputTokens: 0, cachedTokens: 0, outputTokens: 0 };
-    #begun = false;
-    #billFailed = false;
+    #started = false;
+    #billingFailed = false;
 
     constructor(options: RelayOptions) {
         this.#options = options;
@@ -93,14 +93,14 @@
         return this.#usage;
     }
 
-    isBillFailed(): boolean {
-        return this.#billFailed;
+    hasBillingFailed(): boolean {
+        return this.#billingFailed;
     }
 
     async run(answer: EngineAnswer): Promise<UpstreamFailure | undefined> {
         try {
             for await (const event of answer.events) {
-                const failure = await this.#take(event);
+                const failure = await this.#handleEvent(event);
                 if (failure !== undefined) {
                     return failure;
                 }
@@ -112,9 +112,9 @@
         }
     }
 
-    async #take(event: EngineEvent): Promise<UpstreamFailure | undefined> {
-        if (!this.#begun) {
-            this.#begun = true;
+    async #handleEvent(event: EngineEvent): Promise<UpstreamFailure | undefined> {
+        if (!this.#started) {
+            this.#started = true;
             this.#options.onFirstEvent();
         }
         const usage = event.data === endOfStream ? undefined : readUsage(event.data);
@@ -122,7 +122,7 @@
             this.#usage = usage;
             const billed = await this.#options.beforeEnd(usage);
             if (billed.isErr()) {
-                this.#billFailed = true;
+                this.#billingFailed = true;
                 return { failure: billed.error, outcome: "ran" };
             }
         }
--- a/src/entry/answerSink.ts
+++ b/src/entry/answerSink.ts
@@ -9,12 +9,12 @@
 /** Takes an answer for a caller. */
 export interface AnswerSink {
     /** Whether a byte of the answer has gone out. */
-    readonly begun: boolean;
+    readonly started: boolean;
     /**
      * Writes the head of the response.
      * @param headers - Headers besides the content type.
      */
-    begin(headers: Readonly<Record<string, string>>): void;
+    start(headers: Readonly<Record<string, string>>): void;
     /**
      * Takes an event. Waits while the caller reads more slowly than the engine writes.
      * @param event - The event.
@@ -31,19 +31,19 @@
 export class EventStreamSink implements AnswerSink {
     readonly #response: ServerResponse;
     readonly #requestId: string;
-    #begun = false;
+    #started = false;
 
     constructor(response: ServerResponse, requestId: string) {
         this.#response = response;
         this.#requestId = requestId;
     }
 
-    get begun(): boolean {
-        return this.#begun;
+    get started(): boolean {
+        return this.#started;
     }
 
-    begin(headers: Readonly<Record<string, string>>): void {
-        this.#begun = true;
+    start(headers: Readonly<Record<string, string>>): void {
+        this.#started = true;
         this.#response.writeHead(200, {
             "content-type": "text/event-stream; charset=utf-8",
             "cache-control": "no-cache",
@@ -52,19 +52,19 @@
     }
 
     async write(event: EngineEvent): Promise<void> {
-        const accepted = this.#response.write(`id: ${event.id}\ndata: ${event.data}\n\n`);
+        const isBelowHighWaterMark = this.#response.write(`id: ${event.id}\ndata: ${event.data}\n\n`);
         if (event.data === endOfStream) {
             this.#response.end();
             return;
         }
-        if (!accepted && !this.#response.destroyed) {
+        if (!isBelowHighWaterMark && !this.#response.destroyed) {
             await waitForDrain(this.#response);
         }
     }
 
     fail(refusal: Refusal): void {
         const problem = createProblem(refusal, this.#requestId);
-        if (!this.#begun) {
+        if (!this.#started) {
             sendProblem(this.#response, refusal, this.#requestId);
             return;
         }
@@ -87,11 +87,11 @@
     }
 
     /** Nothing goes out before the whole answer is there, so it is never begun and can always be run again. */
-    get begun(): boolean {
+    get started(): boolean {
         return false;
     }
 
-    begin(headers: Readonly<Record<string, string>>): void {
+    start(headers: Readonly<Record<string, string>>): void {
         this.#headers = headers;
         this.#text = new AnswerText();
     }
--- a/src/entry/answerText.ts
+++ b/src/entry/answerText.ts
@@ -12,7 +12,7 @@
 
 /** Collects the text of an answer from its chunks. */
 export class AnswerText {
-    readonly #pieces: string[] = [];
+    readonly #chunks: string[] = [];
     #finishReason = "stop";
 
     /**
@@ -23,7 +23,7 @@
         const chunk = JSON.parse(data) as ChatChunk;
         const choice = chunk.choices?.[0];
         if (choice?.delta?.content !== undefined) {
-            this.#pieces.push(choice.delta.content);
+            this.#chunks.push(choice.delta.content);
         }
         if (typeof choice?.finish_reason === "string") {
             this.#finishReason = choice.finish_reason;
@@ -32,7 +32,7 @@
 
     /** Returns the text so far. */
     getText(): string {
-        return this.#pieces.join("");
+        return this.#chunks.join("");
     }
 
     /** Returns why the answer ended, as the engine said. */
--- a/src/entry/attemptRunner.ts
+++ b/src/entry/attemptRunner.ts
@@ -15,12 +15,12 @@
 import { type ChatCall, getTimeLeft } from "./chatCall.js";
 import type { Explanations } from "./explanations.js";
 import type { Metrics } from "./metrics.js";
-import { type Refusal, refuseNotRun } from "./problem.js";
-import { getBlocks } from "./promptBlocks.js";
+import { createNotRunRefusal, type Refusal } from "./problem.js";
+import { getPrefixHashes } from "./promptBlocks.js";
 import { cancelIdleStream } from "./streamCancellation.js";
 
 /** Runners that are tried for one answer, at most. */
-const maximumAttempts = 3;
+const maxAttempts = 3;
 
 /** What an attempt runner works with. */
 export interface AttemptRunnerOptions {
@@ -44,21 +44,21 @@
     readonly call: ChatCall;
     readonly version: ModelVersion;
     /** Place of the version in the plan. */
-    readonly step: number;
+    readonly stepIndex: number;
     readonly earlierLines: readonly BillLine[];
     /** Monotonic milliseconds from which the time to the first token counts. */
-    readonly since: number;
+    readonly stepStartedAt: number;
     /** Whether events go to the caller as they come. */
     readonly direct: boolean;
     /** Is called before the answer starts again on another runner. */
-    readonly restart: () => void;
+    readonly onRestart: () => void;
     readonly write: (event: EngineEvent) => Promise<void>;
     readonly writeEnd: (event: EngineEvent) => Promise<void>;
     readonly beforeEnd: (usage: TokenUsage) => Promise<Result<void, Failure>>;
 }
 
 /** An answer that was had. */
-export interface Attempt {
+export interface AttemptResult {
     readonly usage: TokenUsage;
     /** From `since` on, until the engine gave its first token. */
     readonly firstTokenMilliseconds: number;
@@ -80,56 +80,56 @@
      * Gets one version's answer.
      * @param options - The answer to be had.
      */
-    async run(options: AttemptOptions): Promise<Result<Attempt, Refusal>> {
+    async run(options: AttemptOptions): Promise<Result<AttemptResult, Refusal>> {
         this.#options.retries.addRequest();
         const excluded = new Set<string>();
-        let worst: Outcome = "not-run";
+        let combinedOutcome: Outcome = "not-run";
         for (let attempt = 0;; attempt += 1) {
-            const result = await this.#try(options, attempt, excluded);
+            const result = await this.#runAttempt(options, attempt, excluded);
             if (result.isOk()) {
                 return ok(result.value);
             }
-            worst = getWorse(worst, result.error.outcome);
+            combinedOutcome = combineOutcomes(combinedOutcome, result.error.outcome);
             if (!this.#mayRetry(options, attempt, result.error)) {
-                return err({ failure: result.error.failure, outcome: worst });
+                return err({ failure: result.error.failure, outcome: combinedOutcome });
             }
-            options.restart();
+            options.onRestart();
         }
     }
 
     #mayRetry(options: AttemptOptions, attempt: number, refusal: AttemptRefusal): boolean {
         const { call } = options;
-        if (!refusal.retriable || attempt + 1 >= maximumAttempts) {
+        if (!refusal.retriable || attempt + 1 >= maxAttempts) {
             return false;
         }
-        if (call.sink.begun || call.gone.aborted || call.deadline.aborted) {
+        if (call.sink.started || call.disconnectSignal.aborted || call.deadlineSignal.aborted) {
             return false;
         }
         return this.#options.retries.take();
     }
 
-    async #try(
+    async #runAttempt(
         options: AttemptOptions,
         attempt: number,
         excluded: Set<string>,
-    ): Promise<Result<Attempt, AttemptRefusal>> {
+    ): Promise<Result<AttemptResult, AttemptRefusal>> {
         const { call, version } = options;
         const allowed = this.#checkAllowed(call, version);
         if (allowed.isErr()) {
-            return err(refuseFinally(allowed.error));
+            return err(createFinalRefusal(allowed.error));
         }
         const placed = this.#options.runners.choose({
             version: version.id,
-            blocks: getBlocks(call.request.promptText),
+            blocks: getPrefixHashes(call.request.promptText),
             exclude: excluded,
             deadlineMilliseconds: getTimeLeft(call, this.#options.clock.monotonic()),
         });
         if (placed.isErr()) {
-            return err(refuseFinally(placed.error));
+            return err(createFinalRefusal(placed.error));
         }
         const runner = placed.value.upstream;
         excluded.add(runner.id);
-        const streamId = `${call.requestId}.${options.step}.${attempt}`;
+        const streamId = `${call.requestId}.${options.stepIndex}.${attempt}`;
         this.#options.explanations.addPlacement(call.requestId, version.id, placed.value);
         this.#options.journal.write(events.requestDispatched, {
             request: call.requestId,
@@ -170,52 +170,52 @@
         options: AttemptOptions,
         placement: Placement,
         streamId: string,
-    ): Promise<Result<Attempt, AttemptRefusal>> {
+    ): Promise<Result<AttemptResult, AttemptRefusal>> {
         const { call, version } = options;
         const runner = placement.upstream;
-        const grace = options.direct && call.request.streamed ? this.#options.resumeGraceMilliseconds : 0;
-        const ending = createAttemptSignal(call.gone, call.deadline, grace);
+        const graceMilliseconds = options.direct && call.request.streamed ? this.#options.resumeGraceMilliseconds : 0;
+        const attemptSignal = createAttemptSignal(call.disconnectSignal, call.deadlineSignal, graceMilliseconds);
         const startedAt = this.#options.clock.monotonic();
         const work = this.#options.runners.start(placement);
         try {
-            const answering = this.#options.engines.complete(runner, {
+            const pendingAnswer = this.#options.engines.complete(runner, {
                 streamId,
                 version: version.id,
                 requestClass: call.requestClass,
                 priority: call.priority,
                 deadlineMilliseconds: Math.max(1, getTimeLeft(call, startedAt)),
                 body: call.request.body,
-                signal: ending.signal,
+                signal: attemptSignal.signal,
             });
             // Signing takes as long as all that is done to a first token. Left until that has come, it would keep the
             // caller waiting; here the engine is at work on the prompt meanwhile.
             const headers = createAnswerHeaders(options, { runner: runner.id, streamId }, this.#options);
-            const answered = await answering;
+            const answered = await pendingAnswer;
             if (answered.isErr()) {
                 const refused = answered.error.outcome === "not-run";
                 finishWork(work, refused ? "refused" : "failed", this.#options.clock.monotonic() - startedAt);
-                if (ending.signal.aborted) {
+                if (attemptSignal.signal.aborted) {
                     // The engine may be at work on the prompt. Left alone it would finish an answer that nobody reads
                     // and nobody is billed for; its load would show it and the bills would not.
                     await this.#abandon(options, runner, streamId);
                 }
-                return err({ ...this.#atDeadline(call, answered.error), retriable: true });
+                return err({ ...this.#toDeadlineRefusal(call, answered.error), retriable: true });
             }
             const answer = answered.value;
             if (answer.version !== version.id) {
                 finishWork(work, "failed", this.#options.clock.monotonic() - startedAt);
-                return err(this.#refuseVersion(runner, streamId, version, answer));
+                return err(this.#rejectVersionMismatch(runner, streamId, version, answer));
             }
-            const { signal } = ending;
+            const { signal } = attemptSignal;
             return await this.#relay({ options, runner, streamId, headers, answer, work, startedAt, signal });
         }
         finally {
-            ending.dispose();
+            attemptSignal.dispose();
         }
     }
 
-    async #relay(running: RunningAttempt): Promise<Result<Attempt, AttemptRefusal>> {
-        const { options, runner, streamId, headers, answer, work, startedAt, signal } = running;
+    async #relay(attempt: RunningAttempt): Promise<Result<AttemptResult, AttemptRefusal>> {
+        const { options, runner, streamId, headers, answer, work, startedAt, signal } = attempt;
         const { call } = options;
         const { clock, metrics } = this.#options;
         let firstTokenMilliseconds = 0;
@@ -229,12 +229,12 @@
             signal,
             onFirstEvent: () => {
                 const now = clock.monotonic();
-                firstTokenMilliseconds = now - options.since;
+                firstTokenMilliseconds = now - options.stepStartedAt;
                 lastEventAt = now;
                 work.addFirstToken(now - startedAt);
                 if (options.direct) {
                     metrics.firstToken.observe({ class: call.requestClass }, (now - call.arrivedAt) / 1000);
-                    call.sink.begin(headers);
+                    call.sink.start(headers);
                 }
             },
             write: async event => {
@@ -254,7 +254,7 @@
         }
         finishWork(work, signal.aborted ? "cancelled" : "failed", milliseconds, answer);
         await this.#abandon(options, runner, streamId);
-        return err({ ...this.#atDeadline(call, relayed.error), retriable: true });
+        return err({ ...this.#toDeadlineRefusal(call, relayed.error), retriable: true });
     }
 
     /**
@@ -263,7 +263,7 @@
      */
     async #abandon(options: AttemptOptions, runner: Vm, streamId: string): Promise<void> {
         const cancelled = this.#cancel(options, runner, streamId);
-        if (options.call.gone.aborted) {
+        if (options.call.disconnectSignal.aborted) {
             await cancelled;
         }
     }
@@ -274,12 +274,12 @@
      */
     async #cancel(options: AttemptOptions, runner: Vm, streamId: string): Promise<void> {
         const usage = await cancelIdleStream(this.#options.engines, runner, streamId);
-        if (usage !== undefined && options.direct && options.call.gone.aborted) {
+        if (usage !== undefined && options.direct && options.call.disconnectSignal.aborted) {
             await options.beforeEnd(usage);
         }
     }
 
-    #refuseVersion(runner: Vm, streamId: string, version: ModelVersion, answer: EngineAnswer): AttemptRefusal {
+    #rejectVersionMismatch(runner: Vm, streamId: string, version: ModelVersion, answer: EngineAnswer): AttemptRefusal {
         void answer.events.return(undefined);
         void this.#options.engines.cancel(runner, streamId, false);
         this.#options.journal.write(events.versionMismatch, {
@@ -299,8 +299,8 @@
         };
     }
 
-    #atDeadline(call: ChatCall, refusal: Refusal): Refusal {
-        if (!call.deadline.aborted) {
+    #toDeadlineRefusal(call: ChatCall, refusal: Refusal): Refusal {
+        if (!call.deadlineSignal.aborted) {
             return refusal;
         }
         return {
@@ -331,8 +331,8 @@
     readonly retriable: boolean;
 }
 
-function refuseFinally(failure: Failure): AttemptRefusal {
-    return { ...refuseNotRun(failure), retriable: false };
+function createFinalRefusal(failure: Failure): AttemptRefusal {
+    return { ...createNotRunRefusal(failure), retriable: false };
 }
 
 function finishWork(
@@ -350,6 +350,6 @@
  * Returns the outcome that promises less. A request of which one attempt may have run must not be called "not run"
  * because a later attempt was refused.
  */
-export function getWorse(first: Outcome, second: Outcome): Outcome {
+export function combineOutcomes(first: Outcome, second: Outcome): Outcome {
     return outcomeOrder.indexOf(first) >= outcomeOrder.indexOf(second) ? first : second;
 }
--- a/src/entry/attemptSignal.ts
+++ b/src/entry/attemptSignal.ts
@@ -13,13 +13,13 @@
  *
  * A caller whose connection broke may resume the stream through another entry. Cancelling at once would throw its
  * answer away; never cancelling would let engines work for callers that have left.
- * @param gone - Aborts when the caller's connection is gone.
- * @param deadline - Aborts at the deadline.
+ * @param disconnectSignal - Aborts when the caller's connection is gone.
+ * @param deadlineSignal - Aborts at the deadline.
  * @param graceMilliseconds - How long to go on without the caller.
  */
 export function createAttemptSignal(
-    gone: AbortSignal,
-    deadline: AbortSignal,
+    disconnectSignal: AbortSignal,
+    deadlineSignal: AbortSignal,
     graceMilliseconds: number,
 ): AttemptSignal {
     const controller = new AbortController();
@@ -34,15 +34,15 @@
     };
     const dispose = () => {
         clearTimeout(timer);
-        gone.removeEventListener("abort", abortLater);
-        deadline.removeEventListener("abort", abort);
+        disconnectSignal.removeEventListener("abort", abortLater);
+        deadlineSignal.removeEventListener("abort", abort);
     };
-    gone.addEventListener("abort", abortLater, { once: true });
-    deadline.addEventListener("abort", abort, { once: true });
-    if (deadline.aborted) {
+    disconnectSignal.addEventListener("abort", abortLater, { once: true });
+    deadlineSignal.addEventListener("abort", abort, { once: true });
+    if (deadlineSignal.aborted) {
         abort();
     }
-    else if (gone.aborted) {
+    else if (disconnectSignal.aborted) {
         abortLater();
     }
     return { signal: controller.signal, dispose };
--- a/src/entry/callBill.ts
+++ b/src/entry/callBill.ts
@@ -31,7 +31,7 @@
 }
 
 /** Creates the line of one model's answer. */
-export function createLine(version: ModelVersion, usage: TokenUsage): BillLine {
+export function createBillLine(version: ModelVersion, usage: TokenUsage): BillLine {
     return {
         version: version.id,
         inputTokens: usage.inputTokens,
--- a/src/entry/callerIdentity.ts
+++ b/src/entry/callerIdentity.ts
@@ -8,7 +8,7 @@
 import type { Configuration, EffectiveSettings } from "../configuration/index.js";
 
 /** Longest name that a caller may send in a header. */
-const maximumNameLength = 200;
+const maxNameLength = 200;
 const namePattern = /^[\x21-\x7e]+$/;
 
 /** A caller, with the settings that apply to it. */
@@ -30,13 +30,13 @@
     configuration: Configuration,
 ): Result<CallerIdentity, Failure> {
     const key = readBearerKey(headers.authorization);
-    const workspace = key === undefined ? undefined : configuration.getWorkspaceByKey(hashKey(key));
+    const workspace = key === undefined ? undefined : configuration.getWorkspaceByKey(hashApiKey(key));
     if (workspace === undefined) {
         return err(createUnauthorizedFailure());
     }
-    const application = readName(headers, "x-rattanlock-application");
-    const requestClass = readName(headers, "x-rattanlock-class");
-    const session = readName(headers, "x-rattanlock-session");
+    const application = readNameHeader(headers, "x-rattanlock-application");
+    const requestClass = readNameHeader(headers, "x-rattanlock-class");
+    const session = readNameHeader(headers, "x-rattanlock-session");
     for (const name of [application, requestClass, session]) {
         if (name.isErr()) {
             return err(name.error);
@@ -59,7 +59,7 @@
  * Returns the hash under which the configuration holds an API key.
  * @param key - The key.
  */
-export function hashKey(key: string): string {
+export function hashApiKey(key: string): string {
     return createHash("sha256").update(key).digest("hex");
 }
 
@@ -68,17 +68,17 @@
     return match?.[1];
 }
 
-function readName(headers: IncomingHttpHeaders, name: string): Result<string | undefined, Failure> {
+function readNameHeader(headers: IncomingHttpHeaders, name: string): Result<string | undefined, Failure> {
     const value = headers[name];
     if (value === undefined) {
         return ok(undefined);
     }
-    if (typeof value !== "string" || value.length > maximumNameLength || !namePattern.test(value)) {
+    if (typeof value !== "string" || value.length > maxNameLength || !namePattern.test(value)) {
         return err(
             new Failure({
                 kind: "invalid-input",
                 message: `The header ${name} is not a name.`,
-                remedy: `Send 1 to ${maximumNameLength} printable ASCII characters without blanks.`,
+                remedy: `Send 1 to ${maxNameLength} printable ASCII characters without blanks.`,
             }),
         );
     }
--- a/src/entry/callerServer.ts
+++ b/src/entry/callerServer.ts
@@ -9,25 +9,25 @@
 import { type Clock, Failure } from "../common/index.js";
 import type { Configuration } from "../configuration/index.js";
 import { events, type Journal } from "../events/index.js";
-import { type AddressBook, createAddressDocument } from "./addressBook.js";
+import { type AddressDocumentOptions, createAddressDocument } from "./addressDocument.js";
 import { DocumentSink, EventStreamSink, sendProblem } from "./answerSink.js";
 import { type CallerIdentity, identifyCaller } from "./callerIdentity.js";
 import type { ChatPipeline } from "./chatPipeline.js";
 import { automaticModel, parseChatRequest } from "./chatRequest.js";
 import type { Metrics } from "./metrics.js";
-import { type Refusal, refuseNotRun } from "./problem.js";
+import { createNotRunRefusal, type Refusal } from "./problem.js";
 import { readBody } from "./requestBody.js";
 import type { ResumePipeline } from "./resumePipeline.js";
 import type { ServicePipeline, ServiceReply } from "./servicePipeline.js";
 
 /** Largest headers that a caller may send, in bytes. */
-const maximumHeaderBytes = 16 * 1024;
+const maxHeaderBytes = 16 * 1024;
 /** How long a caller may take to send its headers, in milliseconds. */
 const headersTimeoutMilliseconds = 10_000;
 /** Header in which the public client says how often it has asked before. */
 const retryCountHeader = "x-stainless-retry-count";
 /** Headers of a caller that plain services get to see. */
-const servicePassedHeaders = ["content-type", "accept", "accept-language", "if-match", "if-none-match"];
+const forwardedHeaders = ["content-type", "accept", "accept-language", "if-match", "if-none-match"];
 
 /** What the server works with. */
 export interface CallerServerOptions {
@@ -35,13 +35,13 @@
     readonly journal: Journal;
     readonly metrics: Metrics;
     readonly getConfiguration: () => Configuration;
-    readonly chats: ChatPipeline;
-    readonly resumptions: ResumePipeline;
-    readonly services: ServicePipeline;
-    readonly addresses: AddressBook;
-    readonly maximumBodyBytes: number;
+    readonly chatPipeline: ChatPipeline;
+    readonly resumePipeline: ResumePipeline;
+    readonly servicePipeline: ServicePipeline;
+    readonly addresses: AddressDocumentOptions;
+    readonly maxBodyBytes: number;
     readonly bodyTimeoutMilliseconds: number;
-    readonly maximumConnections: number;
+    readonly maxConnections: number;
     /** Whether the entry serves; until it has a configuration it refuses. */
     readonly isReady: () => boolean;
 }
@@ -61,12 +61,12 @@
         koa.use(router.routes());
         koa.use(router.allowedMethods());
         this.#server = createServer({
-            maxHeaderSize: maximumHeaderBytes,
+            maxHeaderSize: maxHeaderBytes,
             headersTimeout: headersTimeoutMilliseconds,
             requestTimeout: options.bodyTimeoutMilliseconds + headersTimeoutMilliseconds,
             keepAliveTimeout: 30_000,
         }, koa.callback());
-        this.#server.maxConnections = options.maximumConnections;
+        this.#server.maxConnections = options.maxConnections;
     }
 
     /**
@@ -144,11 +144,16 @@
         }
         const identity = this.#identify(context.req);
         if (identity.isErr()) {
-            this.#refuse(response, requestId, "unknown", refuseNotRun(identity.error));
+            this.#refuse(response, requestId, "unknown", createNotRunRefusal(identity.error));
             context.req.resume();
             return;
         }
-        const call = { requestId, identity: identity.value, gone: watchCaller(response), arrivedAt: this.#now() };
+        const call = {
+            requestId,
+            identity: identity.value,
+            disconnectSignal: createDisconnectSignal(response),
+            arrivedAt: this.#now(),
+        };
         this.#running.add(response);
         this.#options.metrics.running.set(this.#running.size);
         try {
@@ -166,7 +171,7 @@
 
     #identify(request: IncomingMessage): Result<CallerIdentity, Failure> {
         if (!this.#options.isReady()) {
-            return identifyNobody();
+            return createNotReadyResult();
         }
         return identifyCaller(request.headers, this.#options.getConfiguration());
     }
@@ -176,30 +181,30 @@
         request: IncomingMessage,
         response: ServerResponse,
     ): Promise<Refusal | undefined> {
-        const body = await readBody(request, this.#options.maximumBodyBytes, this.#options.bodyTimeoutMilliseconds);
+        const body = await readBody(request, this.#options.maxBodyBytes, this.#options.bodyTimeoutMilliseconds);
         if (body.isErr()) {
             return refuseAndClose(response, body.error);
         }
         const { identity } = call;
-        const parsed = parseChatRequest(body.value.toString("utf8"), identity.settings.maximumTokens);
+        const parsed = parseChatRequest(body.value.toString("utf8"), identity.settings.maxTokens);
         if (parsed.isErr()) {
-            return refuseNotRun(parsed.error);
+            return createNotRunRefusal(parsed.error);
         }
         const deadline = AbortSignal.timeout(identity.settings.deadlineMilliseconds);
         const sink = parsed.value.streamed
             ? new EventStreamSink(response, call.requestId)
             : new DocumentSink(response, call.requestId);
-        const result = await this.#options.chats.run({
+        const result = await this.#options.chatPipeline.run({
             ...call,
             ...identity,
             priority: identity.settings.priority,
-            isRetry: Number(readSingle(request.headers[retryCountHeader]) ?? 0) > 0,
-            sessionToken: readSingle(request.headers["x-rattanlock-session-token"]),
+            isRetry: Number(readSingleHeader(request.headers[retryCountHeader]) ?? 0) > 0,
+            sessionToken: readSingleHeader(request.headers["x-rattanlock-session-token"]),
             request: parsed.value,
             sink,
-            deadline,
+            deadlineSignal: deadline,
         });
-        if (result.isErr() && sink.begun) {
+        if (result.isErr() && sink.started) {
             sink.fail(result.error);
         }
         return result.isErr() ? result.error : undefined;
@@ -211,14 +216,14 @@
         response: ServerResponse,
     ): Promise<Refusal | undefined> {
         const sink = new EventStreamSink(response, call.requestId);
-        const result = await this.#options.resumptions.run({
-            token: readSingle(request.headers["x-rattanlock-resume"]) ?? "",
-            lastId: Number(readSingle(request.headers["last-event-id"]) ?? 0),
+        const result = await this.#options.resumePipeline.run({
+            token: readSingleHeader(request.headers["x-rattanlock-resume"]) ?? "",
+            lastId: Number(readSingleHeader(request.headers["last-event-id"]) ?? 0),
             identity: call.identity,
             sink,
-            gone: call.gone,
+            disconnectSignal: call.disconnectSignal,
         });
-        if (result.isErr() && sink.begun) {
+        if (result.isErr() && sink.started) {
             sink.fail(result.error);
         }
         return result.isErr() ? result.error : undefined;
@@ -231,19 +236,19 @@
         pool: string,
         path: string,
     ): Promise<Refusal | undefined> {
-        const body = await readBody(request, this.#options.maximumBodyBytes, this.#options.bodyTimeoutMilliseconds);
+        const body = await readBody(request, this.#options.maxBodyBytes, this.#options.bodyTimeoutMilliseconds);
         if (body.isErr()) {
             return refuseAndClose(response, body.error);
         }
-        const result = await this.#options.services.run({
+        const result = await this.#options.servicePipeline.run({
             ...call,
             ...call.identity,
             pool,
             path,
             method: request.method ?? "GET",
-            headers: pickHeaders(request),
+            headers: selectForwardedHeaders(request),
             body: body.value.byteLength === 0 ? undefined : body.value,
-            idempotencyKey: readSingle(request.headers["idempotency-key"]),
+            idempotencyKey: readSingleHeader(request.headers["idempotency-key"]),
         });
         if (result.isErr()) {
             return result.error;
@@ -313,11 +318,11 @@
 interface IncomingCall {
     readonly requestId: string;
     readonly identity: CallerIdentity;
-    readonly gone: AbortSignal;
+    readonly disconnectSignal: AbortSignal;
     readonly arrivedAt: number;
 }
 
-function watchCaller(response: ServerResponse): AbortSignal {
+function createDisconnectSignal(response: ServerResponse): AbortSignal {
     const controller = new AbortController();
     response.on("close", () => {
         if (!response.writableFinished) {
@@ -331,16 +336,16 @@
 function refuseAndClose(response: ServerResponse, failure: Failure): Refusal {
     response.setHeader("connection", "close");
     response.once("finish", () => response.req.destroy());
-    return refuseNotRun(failure);
+    return createNotRunRefusal(failure);
 }
 
-function readSingle(header: string | string[] | undefined): string | undefined {
+function readSingleHeader(header: string | string[] | undefined): string | undefined {
     return typeof header === "string" ? header : undefined;
 }
 
-function pickHeaders(request: IncomingMessage): Readonly<Record<string, string>> {
+function selectForwardedHeaders(request: IncomingMessage): Readonly<Record<string, string>> {
     const picked: Record<string, string> = {};
-    for (const name of servicePassedHeaders) {
+    for (const name of forwardedHeaders) {
         const value = request.headers[name];
         if (typeof value === "string") {
             picked[name] = value;
@@ -358,7 +363,7 @@
     response.end(reply.answer.body);
 }
 
-function identifyNobody(): Result<CallerIdentity, Failure> {
+function createNotReadyResult(): Result<CallerIdentity, Failure> {
     return err(
         new Failure({
             kind: "unavailable",
--- a/src/entry/chatCall.ts
+++ b/src/entry/chatCall.ts
@@ -24,9 +24,9 @@
     /** Monotonic milliseconds of the arrival. */
     readonly arrivedAt: number;
     /** Aborts when the caller's connection is gone. */
-    readonly gone: AbortSignal;
+    readonly disconnectSignal: AbortSignal;
     /** Aborts when the request's deadline has passed. */
-    readonly deadline: AbortSignal;
+    readonly deadlineSignal: AbortSignal;
 }
 
 /**
--- a/src/entry/chatPipeline.ts
+++ b/src/entry/chatPipeline.ts
@@ -10,7 +10,7 @@
 import { type ChatCall, getExposureKey } from "./chatCall.js";
 import type { Explanations } from "./explanations.js";
 import type { PlanRunner } from "./planRunner.js";
-import { type Refusal, refuseNotRun } from "./problem.js";
+import { createNotRunRefusal, type Refusal } from "./problem.js";
 import type { Sessions } from "./sessions.js";
 import { getTicketOutcome } from "./ticketOutcome.js";
 import type { VersionPolicy } from "./versionPolicy.js";
@@ -25,9 +25,9 @@
     /** Whether ratings come; without them a cascade would escalate every answer. */
     readonly areRatingsAvailable: () => boolean;
     readonly admission: AdmissionController;
-    readonly chooser: ModelChooser;
+    readonly modelChooser: ModelChooser;
     readonly answerTimes: AnswerTimes;
-    readonly versions: VersionPolicy;
+    readonly versionPolicy: VersionPolicy;
     readonly sessions: Sessions;
     readonly planRunner: PlanRunner;
     readonly explanations: Explanations;
@@ -48,12 +48,12 @@
      * @param call - The call.
      */
     async run(call: ChatCall): Promise<Result<void, Refusal>> {
-        const ready = checkFreshness(call.settings, this.#options.getConfigurationAge());
-        if (ready.isErr()) {
-            return err(refuseNotRun(ready.error));
+        const freshness = checkFreshness(call.settings, this.#options.getConfigurationAge());
+        if (freshness.isErr()) {
+            return err(createNotRunRefusal(freshness.error));
         }
         if (!this.#options.canBill()) {
-            return err(refuseNotRun(createBillsFullFailure()));
+            return err(createNotRunRefusal(createBillsFullFailure()));
         }
         const admitted = await this.#options.admission.admit({
             workspace: call.workspace,
@@ -63,27 +63,29 @@
             estimatedTokens: call.request.estimatedInputTokens + call.request.estimatedOutputTokens,
             caller: call.session,
             isRetry: call.isRetry,
-            signal: call.gone,
+            signal: call.disconnectSignal,
         });
         if (admitted.isErr()) {
-            return err(refuseNotRun(admitted.error));
+            return err(createNotRunRefusal(admitted.error));
         }
         const ticket = admitted.value;
-        if (call.gone.aborted) {
+        if (call.disconnectSignal.aborted) {
             ticket.release({ outcome: "cancelled", tokens: 0 });
-            return err(refuseNotRun(createCallerGoneFailure()));
+            return err(createNotRunRefusal(createCallerDisconnectedFailure()));
         }
         const result = await this.#serve({ ...call, priority: ticket.priority });
         ticket.release(
-            result.isOk() ? result.value : { outcome: getTicketOutcome(result.error, call.gone.aborted), tokens: 0 },
+            result.isOk()
+                ? result.value
+                : { outcome: getTicketOutcome(result.error, call.disconnectSignal.aborted), tokens: 0 },
         );
         return result.map(() => undefined);
     }
 
-    async #serve(call: ChatCall): Promise<Result<ServedWork, Refusal>> {
+    async #serve(call: ChatCall): Promise<Result<ServedRequest, Refusal>> {
         const plan = await this.#plan(call);
         if (plan.isErr()) {
-            return err(refuseNotRun(plan.error));
+            return err(createNotRunRefusal(plan.error));
         }
         this.#options.explanations.addPlan(call.requestId, plan.value);
         this.#options.journal.write(events.requestPlanned, {
@@ -100,10 +102,12 @@
         if (call.session !== undefined && call.settings.stickySession) {
             return this.#planSession(call, call.session);
         }
-        return this.#planFree(call).map(plan => this.#options.versions.expose(plan, call, getExposureKey(call)));
+        return this.#planWithoutSession(call).map(plan =>
+            this.#options.versionPolicy.applyRollouts(plan, call, getExposureKey(call))
+        );
     }
 
-    #planFree(call: ChatCall): Result<Plan, Failure> {
+    #planWithoutSession(call: ChatCall): Result<Plan, Failure> {
         const selected = selectVersions(this.#createSelection(call));
         return selected.map(candidates => this.#choose(call, candidates));
     }
@@ -114,16 +118,16 @@
      */
     async #planSession(call: ChatCall, session: string): Promise<Result<Plan, Failure>> {
         const { sessions } = this.#options;
-        const known = sessions.readVersion(call);
-        if (known !== undefined) {
-            return this.#planPinned(call, known);
+        const tokenVersion = sessions.readVersion(call);
+        if (tokenVersion !== undefined) {
+            return this.#planPinned(call, tokenVersion);
         }
-        const proposal = this.#planFree(call)
-            .map(plan => this.#options.versions.expose(toSingle(plan), call, getExposureKey(call)));
-        if (proposal.isErr()) {
-            return err(proposal.error);
+        const proposedPlan = this.#planWithoutSession(call)
+            .map(plan => this.#options.versionPolicy.applyRollouts(toSingleStepPlan(plan), call, getExposureKey(call)));
+        if (proposedPlan.isErr()) {
+            return err(proposedPlan.error);
         }
-        const pinned = await sessions.pin(call, session, proposal.value.steps[0].version.id);
+        const pinned = await sessions.pin(call, session, proposedPlan.value.steps[0].version.id);
         if (pinned.isErr()) {
             return err(pinned.error);
         }
@@ -141,7 +145,7 @@
     }
 
     #choose(call: ChatCall, candidates: readonly ModelVersion[]): Plan {
-        return this.#options.chooser.choose({
+        return this.#options.modelChooser.choose({
             requestClass: call.requestClass,
             candidates,
             targetQuality: call.settings.targetQuality,
@@ -171,13 +175,13 @@
         return {
             allowed: call.settings.allowedVersions,
             model: call.request.model,
-            isHalted: (version: string) => this.#options.versions.isHalted(version),
+            isHalted: (version: string) => this.#options.versionPolicy.isHalted(version),
         };
     }
 }
 
 /** What a served request tells the admission controller. */
-export interface ServedWork {
+export interface ServedRequest {
     readonly outcome: "ok";
     readonly firstTokenMilliseconds: number;
     readonly tokens: number;
@@ -192,7 +196,7 @@
  * @param ageMilliseconds - Time since the configuration was last confirmed.
  */
 export function checkFreshness(settings: EffectiveSettings, ageMilliseconds: number): Result<void, Failure> {
-    if (ageMilliseconds <= settings.maximumConfigurationAgeMilliseconds) {
+    if (ageMilliseconds <= settings.maxConfigurationAgeMilliseconds) {
         return ok(undefined);
     }
     return err(
@@ -207,7 +211,7 @@
 }
 
 /** Takes the last, hence best, step of a plan. */
-function toSingle(plan: Plan): Plan {
+function toSingleStepPlan(plan: Plan): Plan {
     const last = plan.steps[plan.steps.length - 1];
     return { ...plan, steps: [{ version: last.version, acceptScore: undefined }] };
 }
@@ -221,7 +225,7 @@
     });
 }
 
-function createCallerGoneFailure(): Failure {
+function createCallerDisconnectedFailure(): Failure {
     return new Failure({
         kind: "gone",
         message: "The caller closed its connection before the request started.",
--- a/src/entry/chatRequest.ts
+++ b/src/entry/chatRequest.ts
@@ -5,7 +5,7 @@
 import { z } from "zod";
 import { Failure } from "../common/index.js";
 
-const maximumMessages = 4096;
+const maxMessages = 4096;
 
 const contentSchema = z.union([
     z.string(),
@@ -19,7 +19,7 @@
 
 const chatSchema = z.looseObject({
     model: z.string().min(1).max(200),
-    messages: z.array(messageSchema).min(1).max(maximumMessages),
+    messages: z.array(messageSchema).min(1).max(maxMessages),
     stream: z.boolean().nullish(),
     max_tokens: z.number().int().positive().nullish(),
     max_completion_tokens: z.number().int().positive().nullish(),
@@ -49,9 +49,9 @@
 /**
  * Checks a body.
  * @param text - JSON text.
- * @param maximumTokens - Tokens of an answer that the workspace allows.
+ * @param maxTokens - Tokens of an answer that the workspace allows.
  */
-export function parseChatRequest(text: string, maximumTokens: number): Result<ChatRequest, Failure> {
+export function parseChatRequest(text: string, maxTokens: number): Result<ChatRequest, Failure> {
     let body: unknown;
     try {
         body = JSON.parse(text);
@@ -63,8 +63,8 @@
     if (!parsed.success) {
         return err(createMalformedFailure(`The body is no chat completion: ${z.prettifyError(parsed.error)}.`));
     }
-    const wanted = parsed.data.max_completion_tokens ?? parsed.data.max_tokens ?? undefined;
-    const outputLimit = Math.min(wanted ?? maximumTokens, maximumTokens);
+    const requestedTokens = parsed.data.max_completion_tokens ?? parsed.data.max_tokens ?? undefined;
+    const outputLimit = Math.min(requestedTokens ?? maxTokens, maxTokens);
     const promptText = getPromptText(parsed.data.messages);
     return ok({
         body: { ...parsed.data, max_tokens: outputLimit },
--- a/src/entry/container.ts
+++ b/src/entry/container.ts
@@ -12,7 +12,7 @@
 import { platformParts } from "./parts/platformParts.js";
 
 /** Makes each part of an entry from other parts. */
-export type Parts = { readonly [Name in keyof Cradle]?: (cradle: Cradle) => Cradle[Name]; };
+export type PartFactories = { readonly [Name in keyof Cradle]?: (cradle: Cradle) => Cradle[Name]; };
 
 /**
  * Creates the container of an entry. Each part is made once, when it is first asked for.
@@ -26,9 +26,12 @@
         random: asValue(new RandomSource(Math.floor(Math.random() * 2 ** 31))),
         callerHash: asValue(await createCallerHash()),
     });
-    for (const parts of [platformParts, peerParts, decisionParts, callerParts]) {
-        for (const [name, make] of Object.entries(parts)) {
-            container.register(name, asFunction(make as (cradle: Cradle) => unknown, { lifetime: Lifetime.SINGLETON }));
+    for (const factories of [platformParts, peerParts, decisionParts, callerParts]) {
+        for (const [name, create] of Object.entries(factories)) {
+            container.register(
+                name,
+                asFunction(create as (cradle: Cradle) => unknown, { lifetime: Lifetime.SINGLETON }),
+            );
         }
     }
     return container;
--- a/src/entry/controlSnapshots.ts
+++ b/src/entry/controlSnapshotWriter.ts
@@ -7,14 +7,14 @@
 import { type ControlReader, controlSnapshotKind, type LeaseHolder } from "../control/index.js";
 import type { AppendRecord } from "../log/logAccess.js";
 
-const checkPauseMilliseconds = 1000;
+const checkIntervalMilliseconds = 1000;
 const snapshotFormat = 1;
 
 /** What the writer works with. */
-export interface ControlSnapshotsOptions {
+export interface ControlSnapshotWriterOptions {
     readonly clock: Clock;
     readonly control: ControlReader;
-    readonly configurationSnapshots: SnapshotWriter;
+    readonly configurationSnapshotWriter: SnapshotWriter;
     readonly lease: LeaseHolder;
     readonly append: AppendRecord;
     /** Name of this entry. */
@@ -23,15 +23,15 @@
 }
 
 /** Has snapshots of both streams written while this entry holds the lease. */
-export class ControlSnapshots {
-    readonly #options: ControlSnapshotsOptions;
+export class ControlSnapshotWriter {
+    readonly #options: ControlSnapshotWriterOptions;
     readonly #task: RepeatedTask;
     #writtenAt: number;
 
-    constructor(options: ControlSnapshotsOptions) {
+    constructor(options: ControlSnapshotWriterOptions) {
         this.#options = options;
         this.#writtenAt = options.clock.monotonic();
-        this.#task = new RepeatedTask({ run: () => this.#writeDue(), pauseMilliseconds: checkPauseMilliseconds });
+        this.#task = new RepeatedTask({ run: () => this.#writeIfDue(), pauseMilliseconds: checkIntervalMilliseconds });
     }
 
     /** Starts to write. */
@@ -44,12 +44,12 @@
         return this.#task.stop();
     }
 
-    async #writeDue(): Promise<void> {
-        const { clock, lease, intervalMilliseconds, configurationSnapshots } = this.#options;
+    async #writeIfDue(): Promise<void> {
+        const { clock, lease, intervalMilliseconds, configurationSnapshotWriter } = this.#options;
         if (lease.getFencingToken() === undefined) {
             return;
         }
-        await configurationSnapshots.writeIfDue();
+        await configurationSnapshotWriter.writeIfDue();
         if (clock.monotonic() - this.#writtenAt < intervalMilliseconds) {
             return;
         }
--- a/src/entry/credentialFiles.ts
+++ b/src/entry/credentialFiles.ts
@@ -8,7 +8,7 @@
 import type { TlsSettings } from "../settings/index.js";
 
 /** Pause between two looks at the files, in milliseconds. */
-const lookPauseMilliseconds = 2000;
+const pollIntervalMilliseconds = 2000;
 
 /** What the watch works with. */
 export interface CredentialFilesOptions {
@@ -23,18 +23,18 @@
 export class CredentialFiles {
     readonly #options: CredentialFilesOptions;
     readonly #task: RepeatedTask;
-    #known: Credentials | undefined;
+    #current: Credentials | undefined;
     #isUnreadable = false;
 
     constructor(options: CredentialFilesOptions) {
         this.#options = options;
-        this.#known = readCredentials(options.settings);
-        this.#task = new RepeatedTask({ run: () => this.#look(), pauseMilliseconds: lookPauseMilliseconds });
+        this.#current = readCredentials(options.settings);
+        this.#task = new RepeatedTask({ run: () => this.#poll(), pauseMilliseconds: pollIntervalMilliseconds });
     }
 
     /** Starts to watch, if the settings name certificates. */
     start(): void {
-        if (this.#known !== undefined) {
+        if (this.#current !== undefined) {
             this.#task.start();
         }
     }
@@ -45,22 +45,22 @@
     }
 
     /** Whoever renews the files may be in the middle of it: what cannot be read keeps the old credentials in use. */
-    #look(): void {
-        let found: Credentials | undefined;
+    #poll(): void {
+        let loaded: Credentials | undefined;
         try {
-            found = readCredentials(this.#options.settings);
-            checkFit(found);
+            loaded = readCredentials(this.#options.settings);
+            assertKeyMatchesCertificate(loaded);
         }
         catch (error) {
             this.#reportUnreadable(error);
             return;
         }
         this.#isUnreadable = false;
-        if (found === undefined || this.#known === undefined || isSame(found, this.#known)) {
+        if (loaded === undefined || this.#current === undefined || areEqual(loaded, this.#current)) {
             return;
         }
-        this.#known = found;
-        this.#options.onChange(found);
+        this.#current = loaded;
+        this.#options.onChange(loaded);
         this.#options.journal.write(events.credentialsRenewed);
     }
 
@@ -91,14 +91,14 @@
 }
 
 /** Throws when a certificate and its key do not belong together, as halfway through a renewal. */
-function checkFit(credentials: Credentials | undefined): void {
+function assertKeyMatchesCertificate(credentials: Credentials | undefined): void {
     if (credentials !== undefined) {
         const { certificate: cert, key, authority: ca } = credentials;
         createSecureContext({ cert, key, ca });
     }
 }
 
-function isSame(left: Credentials, right: Credentials): boolean {
+function areEqual(left: Credentials, right: Credentials): boolean {
     return left.certificate.equals(right.certificate)
         && left.key.equals(right.key)
         && left.authority.equals(right.authority);
--- a/src/entry/entry.ts
+++ b/src/entry/entry.ts
@@ -9,12 +9,12 @@
 import type { Cradle } from "./cradle.js";
 
 /** How long a graceful shutdown waits for the log to take the last bills, in milliseconds. */
-const flushMilliseconds = 60_000;
+const flushTimeoutMilliseconds = 60_000;
 
 /** Runs an entry from its start to its graceful shutdown. */
 export class Entry {
     readonly #container: AwilixContainer<Cradle>;
-    #stopping: Promise<void> | undefined;
+    #shutdown: Promise<void> | undefined;
 
     private constructor(container: AwilixContainer<Cradle>) {
         this.#container = container;
@@ -45,28 +45,28 @@
         await parts.callerServer.listen(settings.listen.callers.port, settings.listen.callers.host);
         parts.credentialFiles.start();
         parts.upstreamCredentialFiles.start();
-        parts.shared.start();
+        parts.sharedState.start();
         parts.gossip.start();
-        parts.watcher.start();
+        parts.vmWatcher.start();
         parts.configuration.start();
         parts.control.start();
-        parts.fetcher.start();
+        parts.stateFetcher.start();
         parts.collectors.start();
         parts.bills.start();
-        parts.billKeeper.start();
+        parts.billReplicas.start();
         parts.lease.start();
-        parts.controlSnapshots.start();
-        parts.poller.start();
-        parts.driver.start();
-        parts.orders.start();
+        parts.controlSnapshotWriter.start();
+        parts.loadPoller.start();
+        parts.rolloutDriver.start();
+        parts.orderDriver.start();
         await parts.operatorServer.listen(settings.listen.operators.port, settings.listen.operators.host);
         parts.journal.write(events.processStarted, { address: settings.listen.callers.host });
     }
 
     /** Shuts down gracefully. A second call waits for the first. */
     stop(): Promise<void> {
-        this.#stopping ??= this.#stop();
-        return this.#stopping;
+        this.#shutdown ??= this.#stop();
+        return this.#shutdown;
     }
 
     /**
@@ -80,17 +80,17 @@
         parts.membership.announceLeaving();
         parts.callerServer.announceLeaving();
         await parts.lease.stop();
-        await parts.driver.stop();
-        await parts.orders.stop();
+        await parts.rolloutDriver.stop();
+        await parts.orderDriver.stop();
         // An entry that has not heard the news yet may still hand out this one's address, for callers to keep.
         await sleep(timing.addressesKeepMilliseconds + parts.gossip.getSuspicionTimeoutMilliseconds());
         await this.#drain();
-        await parts.servicePipeline.settle();
-        const flushed = await parts.bills.flush(flushMilliseconds);
+        await parts.servicePipeline.waitForCompletions();
+        const flushed = await parts.bills.flush(flushTimeoutMilliseconds);
         if (flushed.isErr()) {
             parts.journal.write(events.billsLeftBehind, { count: parts.bills.getSize() });
         }
-        await parts.billKeeper.flush(flushMilliseconds);
+        await parts.billReplicas.flush(flushTimeoutMilliseconds);
         await this.#stopBackground();
         parts.journal.write(events.processStopped);
     }
@@ -107,16 +107,16 @@
         const parts = this.getParts();
         parts.gossip.stop();
         parts.bills.stop();
-        parts.billKeeper.stop();
+        parts.billReplicas.stop();
         parts.claims.stop();
         await Promise.all([
             parts.credentialFiles.stop(),
             parts.upstreamCredentialFiles.stop(),
-            parts.shared.stop(),
-            parts.poller.stop(),
-            parts.watcher.stop(),
-            parts.fetcher.stop(),
-            parts.controlSnapshots.stop(),
+            parts.sharedState.stop(),
+            parts.loadPoller.stop(),
+            parts.vmWatcher.stop(),
+            parts.stateFetcher.stop(),
+            parts.controlSnapshotWriter.stop(),
             parts.collectors.stop(),
             parts.configuration.stop(),
             parts.control.stop(),
--- a/src/entry/entryState.ts
+++ b/src/entry/entryState.ts
@@ -3,7 +3,7 @@
  */
 import type { ConfigurationReader } from "../configuration/index.js";
 import type { Membership } from "../membership/index.js";
-import { freshMilliseconds, getEffectiveAge } from "./freshness.js";
+import { getEffectiveAge, maxFreshAgeMilliseconds } from "./freshness.js";
 
 /** What the state is taken from. */
 export interface EntryStateOptions {
@@ -11,9 +11,9 @@
     readonly membership: Membership;
     /** Name of this entry. */
     readonly self: string;
-    readonly isOtherFresh: (origin: string) => boolean;
+    readonly isPeerFresh: (origin: string) => boolean;
     /** Whether the upstreams have been asked what they have loaded. */
-    readonly hasAskedUpstreams: () => boolean;
+    readonly hasPolledUpstreams: () => boolean;
 }
 
 /** Knows whether the entry may serve, and how current its configuration is. */
@@ -26,30 +26,30 @@
 
     /** Tells whether there is a configuration to serve by, and the upstreams are known. */
     isReady(): boolean {
-        return this.#options.configuration.getOffset() > 0 && this.#options.hasAskedUpstreams();
+        return this.#options.configuration.getOffset() > 0 && this.#options.hasPolledUpstreams();
     }
 
     /** Returns the age of the configuration that counts for refusing work, in milliseconds. */
     getConfigurationAge(): number {
         const { configuration, membership } = this.#options;
         const ownAgeMilliseconds = configuration.getAge();
-        if (ownAgeMilliseconds <= freshMilliseconds) {
+        if (ownAgeMilliseconds <= maxFreshAgeMilliseconds) {
             // The common case, asked for each request: no word of the others can change it, so they aren't counted.
             return ownAgeMilliseconds;
         }
         return getEffectiveAge({
             ownAgeMilliseconds,
-            isMajorityAway: membership.isMajorityUnreachable(),
-            others: this.#getOthers(),
+            isMajorityUnreachable: membership.isMajorityUnreachable(),
+            peers: this.#getPeers(),
             ownOffset: configuration.getOffset(),
         });
     }
 
-    *#getOthers() {
-        const { membership, self, isOtherFresh } = this.#options;
+    *#getPeers() {
+        const { membership, self, isPeerFresh } = this.#options;
         for (const member of membership.getMembers()) {
             if (member.id !== self && member.state === "alive") {
-                yield { isFresh: isOtherFresh(member.id), configurationOffset: member.configurationOffset };
+                yield { isFresh: isPeerFresh(member.id), configurationOffset: member.configurationOffset };
             }
         }
     }
--- a/src/entry/loadPoller.ts
+++ b/src/entry/loadPoller.ts
@@ -27,7 +27,7 @@
     readonly #task: RepeatedTask;
     readonly #nextSequence = new Map<string, number>();
     readonly #pending = new Set<string>();
-    #hasAskedAll = false;
+    #hasPolledAll = false;
 
     constructor(options: LoadPollerOptions) {
         this.#options = options;
@@ -52,8 +52,8 @@
      * Tells whether every upstream has been asked once. Before that the entry does not know which versions they have
      * loaded: it would refuse its first callers although there is room for them.
      */
-    hasAskedAll(): boolean {
-        return this.#hasAskedAll;
+    hasPolledAll(): boolean {
+        return this.#hasPolledAll;
     }
 
     /**
@@ -63,26 +63,26 @@
     #poll(): void {
         const { runners, clock } = this.#options;
         const subset = new Map(runners.getSubset().map(vm => [vm.id, vm]));
-        this.#forget(subset);
+        this.#removeUnselected(subset);
         const candidates = Array.from(subset.keys(), id => ({
             id,
             answeredAt: runners.getAnsweredAt(id),
             isPending: this.#pending.has(id),
         }));
-        const asked: Promise<void>[] = [];
+        const polls: Promise<void>[] = [];
         for (const { id, hasCacheEvents } of this.#schedule.take(candidates, clock.monotonic())) {
             this.#pending.add(id);
-            asked.push(this.#ask(subset.get(id)!, hasCacheEvents).finally(() => this.#pending.delete(id)));
+            polls.push(this.#pollUpstream(subset.get(id)!, hasCacheEvents).finally(() => this.#pending.delete(id)));
         }
-        if (!this.#hasAskedAll && asked.length > 0) {
-            void Promise.all(asked).then(() => {
-                this.#hasAskedAll = true;
+        if (!this.#hasPolledAll && polls.length > 0) {
+            void Promise.all(polls).then(() => {
+                this.#hasPolledAll = true;
             });
         }
         this.#options.onRound();
     }
 
-    #forget(subset: ReadonlyMap<string, Vm>): void {
+    #removeUnselected(subset: ReadonlyMap<string, Vm>): void {
         for (const id of this.#nextSequence.keys()) {
             if (!subset.has(id)) {
                 this.#nextSequence.delete(id);
@@ -90,7 +90,7 @@
         }
     }
 
-    async #ask(upstream: Vm, hasCacheEvents: boolean): Promise<void> {
+    async #pollUpstream(upstream: Vm, hasCacheEvents: boolean): Promise<void> {
         const load = await this.#options.engines.getLoad(upstream);
         if (load.isErr()) {
             return;
@@ -112,13 +112,13 @@
             return;
         }
         const { events: cacheEvents, next } = page.value;
-        const hasGap = hasMissing(cacheEvents.map(event => event.sequence), from);
+        const hasGap = hasSequenceGap(cacheEvents.map(event => event.sequence), from);
         this.#options.runners.addCacheEvents(runner.id, cacheEvents, hasGap);
         this.#nextSequence.set(runner.id, next);
     }
 }
 
-function hasMissing(sequences: readonly number[], from: number): boolean {
+function hasSequenceGap(sequences: readonly number[], from: number): boolean {
     let expected = from;
     for (const sequence of sequences) {
         if (sequence !== expected) {
--- a/src/entry/main.ts
+++ b/src/entry/main.ts
@@ -4,7 +4,7 @@
  */
 import { readFileSync } from "node:fs";
 import { parseArgs } from "node:util";
-import { formatMistake, type Mistake, parseEntrySettings } from "../settings/index.js";
+import { formatValidationError, parseEntrySettings, type ValidationError } from "../settings/index.js";
 import { Entry } from "./entry.js";
 
 const exitCodes = { badInput: 2, failed: 1 } as const;
@@ -17,7 +17,7 @@
     }
     const parsed = parseEntrySettings(readFileSync(values.settings, "utf8"), values.settings);
     if (parsed.isErr()) {
-        report(parsed.error);
+        printErrors(parsed.error);
         process.exit(exitCodes.badInput);
     }
     const settings = parsed.value;
@@ -30,9 +30,9 @@
     }
 }
 
-function report(mistakes: readonly Mistake[]): void {
-    for (const mistake of mistakes) {
-        console.error(formatMistake(mistake));
+function printErrors(errors: readonly ValidationError[]): void {
+    for (const error of errors) {
+        console.error(formatValidationError(error));
     }
 }
 
--- a/src/entry/metrics.ts
+++ b/src/entry/metrics.ts
@@ -32,7 +32,7 @@
             labelNames: ["workspace", "class"] as const,
             registers,
         }),
-        ratings: new Counter({
+        ratingSum: new Counter({
             name: "rattanlock_rating_sum",
             help: "Sum of ratings; divided by rattanlock_ratings_total it is the mean quality.",
             labelNames: ["version", "class"] as const,
@@ -44,7 +44,7 @@
             labelNames: ["version", "class"] as const,
             registers,
         }),
-        exposed: new Counter({
+        candidateAnswers: new Counter({
             name: "rattanlock_candidate_answers_total",
             help: "Answers of versions that are still candidates: the exposure of roll-outs.",
             labelNames: ["version"] as const,
--- a/src/entry/orders/wantedVersions.ts
+++ b/src/entry/orders/desiredVersions.ts
@@ -6,10 +6,10 @@
 import type { PlacedVersion } from "../../decisions/index.js";
 import type { ModelVersion } from "../../world/index.js";
 
-const everyModel = "*";
+const modelWildcard = "*";
 
 /** What the wanted versions are worked out from. */
-export interface WantedVersionsOptions {
+export interface DesiredVersionsOptions {
     readonly configuration: Configuration;
     readonly rollouts: RolloutFold;
     /** Models that are placed on the pool; `*` is every one. */
@@ -19,10 +19,10 @@
 }
 
 /** The versions of a pool. */
-export interface WantedVersions {
+export interface DesiredVersions {
     readonly placed: readonly PlacedVersion[];
     /** Versions that may stay where they are loaded until their room is needed. */
-    readonly kept: ReadonlySet<string>;
+    readonly evictable: ReadonlySet<string>;
 }
 
 /**
@@ -30,17 +30,17 @@
  * traffic falls back to when one of these is halted. Whatever is neither placed nor kept is to be unloaded.
  * @param options - What they are worked out from.
  */
-export function collectWantedVersions(options: WantedVersionsOptions): WantedVersions {
+export function collectDesiredVersions(options: DesiredVersionsOptions): DesiredVersions {
     const placed = new Map<string, number>();
-    const kept = new Set<string>();
+    const evictable = new Set<string>();
     for (const version of options.configuration.getVersions()) {
         if (version.status === "withdrawn") {
             continue;
         }
-        const isPlacedHere = options.models.includes(everyModel) || options.models.includes(version.model);
+        const isPlacedHere = options.models.includes(modelWildcard) || options.models.includes(version.model);
         const demand = isPlacedHere ? getPlacedDemand(version, options) : undefined;
         if (demand === undefined) {
-            kept.add(version.id);
+            evictable.add(version.id);
         }
         else {
             placed.set(version.id, demand);
@@ -48,16 +48,16 @@
     }
     for (const id of [...placed.keys()]) {
         // A halt sends all traffic to the fallback at once, and loading takes minutes.
-        const fallback = options.rollouts.getFallback(id, version => kept.has(version) || placed.has(version));
-        if (fallback !== undefined && kept.delete(fallback)) {
+        const fallback = options.rollouts.getFallback(id, version => evictable.has(version) || placed.has(version));
+        if (fallback !== undefined && evictable.delete(fallback)) {
             placed.set(fallback, 0);
         }
     }
-    return { placed: Array.from(placed, ([id, demand]) => ({ id, demand })), kept };
+    return { placed: Array.from(placed, ([id, demand]) => ({ id, demand })), evictable };
 }
 
 /** Returns the demand of a version that is to be loaded, or undefined for one that is not. */
-function getPlacedDemand(version: ModelVersion, options: WantedVersionsOptions): number | undefined {
+function getPlacedDemand(version: ModelVersion, options: DesiredVersionsOptions): number | undefined {
     const { rollouts, getDemand } = options;
     if (rollouts.isHalted(version.id)) {
         return undefined;
@@ -69,10 +69,12 @@
     const rollout = rollouts.getRollouts().findLast(other =>
         other.candidate === version.id && (other.state === "active" || other.state === "finished")
     );
-    return rollout === undefined ? undefined : Math.max(demand, getComingShare(rollout) * getDemand(rollout.baseline));
+    return rollout === undefined
+        ? undefined
+        : Math.max(demand, getNextStageShare(rollout) * getDemand(rollout.baseline));
 }
 
 /** Returns the share of callers at the next stage: loaded only once the stage begins, the candidate would be short. */
-function getComingShare(rollout: Rollout): number {
+function getNextStageShare(rollout: Rollout): number {
     return rollout.state === "finished" ? 1 : rollout.stages[rollout.stage + 1] ?? 1;
 }
--- a/src/entry/orders/orderDriver.ts
+++ b/src/entry/orders/orderDriver.ts
@@ -11,13 +11,13 @@
 import type { Journal } from "../../events/index.js";
 import type { EngineOrders } from "../../upstream/index.js";
 import type { Vm } from "../../world/index.js";
+import { collectDesiredVersions } from "./desiredVersions.js";
 import { type OrderedPool, PoolOrders } from "./poolOrders.js";
-import { collectWantedVersions } from "./wantedVersions.js";
 
 /** An entry whose configuration was not confirmed for this long does not order: it might bring back a withdrawn version. */
-const freshMilliseconds = 10_000;
+const maxConfigurationAgeMilliseconds = 10_000;
 /** Pause for each runner that is read, which bounds what reading costs a node before a large pool. */
-const pauseMillisecondsByRunner = 15;
+const pauseMillisecondsPerRunner = 15;
 
 /** What a driver works with. */
 export interface OrderDriverOptions {
@@ -41,12 +41,12 @@
     readonly #options: OrderDriverOptions;
     readonly #task: RepeatedTask;
     readonly #pools = new Map<string, PoolOrders>();
-    #nextAt = 0;
+    #nextRoundAt = 0;
 
     constructor(options: OrderDriverOptions) {
         this.#options = options;
         this.#task = new RepeatedTask({
-            run: () => this.#arrangeAll(),
+            run: () => this.#reconcileAll(),
             pauseMilliseconds: options.intervalMilliseconds,
         });
     }
@@ -83,45 +83,45 @@
         return Array.from(this.#pools.values(), pool => pool.getStatus());
     }
 
-    async #arrangeAll(): Promise<void> {
+    async #reconcileAll(): Promise<void> {
         const { lease, configuration, clock } = this.#options;
         if (lease.getFencingToken() === undefined) {
             this.#pools.clear();
             return;
         }
-        if (configuration.getAge() > freshMilliseconds || clock.monotonic() < this.#nextAt) {
+        if (configuration.getAge() > maxConfigurationAgeMilliseconds || clock.monotonic() < this.#nextRoundAt) {
             return;
         }
-        const byPool = groupByPool(this.#options.getVms());
-        let count = 0;
-        for (const [pool, runners] of byPool) {
+        const runnersByPool = groupByPool(this.#options.getVms());
+        let runnerCount = 0;
+        for (const [pool, runners] of runnersByPool) {
             if (configuration.getConfiguration().getPool(pool).orders) {
-                count += runners.length;
-                await this.#arrange(pool, runners);
+                runnerCount += runners.length;
+                await this.#reconcilePool(pool, runners);
             }
             else {
                 this.#pools.delete(pool);
             }
         }
-        this.#nextAt = clock.monotonic() + count * pauseMillisecondsByRunner;
+        this.#nextRoundAt = clock.monotonic() + runnerCount * pauseMillisecondsPerRunner;
     }
 
-    #arrange(pool: string, runners: readonly Vm[]): Promise<void> {
+    #reconcilePool(pool: string, runners: readonly Vm[]): Promise<void> {
         const { rollouts, clock, journal, engines, channel, subsetSize } = this.#options;
         const configuration = this.#options.configuration.getConfiguration();
         const settings = configuration.getPool(pool);
-        let orders = this.#pools.get(pool);
-        if (orders === undefined) {
-            orders = new PoolOrders({ pool, clock, journal, engines, channel, subsetSize });
-            this.#pools.set(pool, orders);
+        let poolOrders = this.#pools.get(pool);
+        if (poolOrders === undefined) {
+            poolOrders = new PoolOrders({ pool, clock, journal, engines, channel, subsetSize });
+            this.#pools.set(pool, poolOrders);
         }
-        const wanted = collectWantedVersions({
+        const desired = collectDesiredVersions({
             configuration,
             rollouts,
             models: settings.models,
             getDemand: version => this.#getDemand(version),
         });
-        return orders.arrange(runners, settings, wanted, configuration.getLongestDeadline());
+        return poolOrders.reconcile(runners, settings, desired, configuration.getMaxDeadline());
     }
 
     #getDemand(version: string): number {
--- a/src/entry/orders/poolOrders.ts
+++ b/src/entry/orders/poolOrders.ts
@@ -8,15 +8,15 @@
 import { events, type Journal } from "../../events/index.js";
 import type { EngineOrders, EngineReport } from "../../upstream/index.js";
 import type { Vm } from "../../world/index.js";
-import { runBounded } from "./runBounded.js";
-import type { WantedVersions } from "./wantedVersions.js";
+import type { DesiredVersions } from "./desiredVersions.js";
+import { runWithConcurrency } from "./runWithConcurrency.js";
 
 const millisecondsPerSecond = 1000;
-const deadlineMilliseconds = 2_000;
-const concurrentCalls = 32;
-const repeatMilliseconds = 10_000;
+const readTimeoutMilliseconds = 2_000;
+const maxConcurrentCalls = 32;
+const resendMilliseconds = 10_000;
 /** Load reports of this many runners at a time reach an entry; a version needs some among them. */
-const copiesInSubset = 8;
+const copiesPerSubset = 8;
 const role = "serve";
 
 /** What a pool's orders work with. */
@@ -57,7 +57,7 @@
     readonly at: number;
 }
 
-interface Load {
+interface PendingLoad {
     readonly version: string;
     readonly since: number;
 }
@@ -65,15 +65,15 @@
 /** Orders the runners of a pool. */
 export class PoolOrders {
     readonly #options: PoolOrdersOptions;
-    readonly #loads = new Map<string, Load>();
+    readonly #pendingLoads = new Map<string, PendingLoad>();
     /** Until when a runner that did not load in time is passed over. */
     readonly #stalledUntil = new Map<string, number>();
     /** When a version was first seen loaded without being wanted. */
-    readonly #unwantedSince = new Map<string, number>();
+    readonly #undesiredSince = new Map<string, number>();
     /** The state in which a runner was last found as it was ordered. */
-    readonly #settled = new Map<string, string>();
-    readonly #sent = new Map<string, SentOrder>();
-    readonly #warned = new Set<string>();
+    readonly #reconciledVersions = new Map<string, string>();
+    readonly #sentOrders = new Map<string, SentOrder>();
+    readonly #issuedWarnings = new Set<string>();
     #reports = new Map<string, EngineReport>();
     #decision: LoadingDecision | undefined;
 
@@ -85,33 +85,33 @@
      * Reads the runners and orders those that are not as they are wanted.
      * @param runners - The pool's runners.
      * @param settings - The pool's settings.
-     * @param wanted - What the pool is to have loaded.
-     * @param longestWork - Milliseconds after which a version that takes nothing new has no work any more.
+     * @param desired - What the pool is to have loaded.
+     * @param maxRequestMilliseconds - Milliseconds after which a version that takes nothing new has no work any more.
      */
-    async arrange(
+    async reconcile(
         runners: readonly Vm[],
         settings: PoolSettings,
-        wanted: WantedVersions,
-        longestWork: number,
+        desired: DesiredVersions,
+        maxRequestMilliseconds: number,
     ): Promise<void> {
         await this.#read(runners);
-        const states = this.#describe(runners, settings);
+        const states = this.#createRunnerStates(runners, settings);
         const decision = decideLoading({
             runners: states,
-            placed: wanted.placed,
-            evictable: wanted.kept,
-            retiring: this.#findRetiring(states, wanted, longestWork),
+            placed: desired.placed,
+            evictable: desired.evictable,
+            retiring: this.#findRetiring(states, desired, maxRequestMilliseconds),
             versionsPerRunner: settings.versionsPerRunner,
             loadsAtATime: settings.loadsAtATime,
-            minCopies: this.#countLeastCopies(runners.length),
+            minCopies: this.#getMinCopies(runners.length),
         });
         this.#decision = decision;
         this.#warn(decision, settings);
-        this.#noteSettled(states, decision);
-        const byId = new Map(runners.map(runner => [runner.id, runner]));
-        this.#noteLoads(decision);
-        await runBounded(decision.orders, concurrentCalls, async order => {
-            const runner = byId.get(order.runner);
+        this.#recordReconciled(states, decision);
+        const runnersById = new Map(runners.map(runner => [runner.id, runner]));
+        this.#recordLoads(decision);
+        await runWithConcurrency(decision.orders, maxConcurrentCalls, async order => {
+            const runner = runnersById.get(order.runner);
             if (runner !== undefined) {
                 await this.#send(runner, order.versions);
             }
@@ -135,7 +135,7 @@
     getStatus(): OrderedPool {
         const runners: OrderedRunner[] = [];
         for (const [id, { versions, checksFencing }] of this.#reports) {
-            const loading = this.#loads.get(id)?.version;
+            const loading = this.#pendingLoads.get(id)?.version;
             runners.push({ id, versions, checksFencing, loading, isStalled: this.#isStalled(id) });
         }
         const { missing = 0, unplaced = [] } = this.#decision ?? {};
@@ -144,39 +144,39 @@
 
     async #read(runners: readonly Vm[]): Promise<void> {
         const reports = new Map<string, EngineReport>();
-        await runBounded(runners, concurrentCalls, async runner => {
-            const report = await this.#options.engines.read(runner, deadlineMilliseconds);
+        await runWithConcurrency(runners, maxConcurrentCalls, async runner => {
+            const report = await this.#options.engines.read(runner, readTimeoutMilliseconds);
             if (report.isOk() && !report.value.isLeaving) {
                 reports.set(runner.id, report.value);
             }
         });
         this.#reports = reports;
         for (const [id, { versions }] of reports) {
-            this.#noteReport(id, versions);
+            this.#processReport(id, versions);
         }
     }
 
     /** Notes a load that is done, and an engine that strayed from what it had reached. */
-    #noteReport(id: string, versions: readonly string[]): void {
-        const load = this.#loads.get(id);
+    #processReport(id: string, versions: readonly string[]): void {
+        const load = this.#pendingLoads.get(id);
         if (load !== undefined && versions.includes(load.version)) {
-            this.#loads.delete(id);
+            this.#pendingLoads.delete(id);
             this.#stalledUntil.delete(id);
         }
-        const found = getKey(versions);
-        if (this.#sent.get(id)?.reported !== found) {
+        const reportedKey = getVersionsKey(versions);
+        if (this.#sentOrders.get(id)?.reported !== reportedKey) {
             // Whatever was ordered before the change may be undone by it, so it is ordered again at once.
-            this.#sent.delete(id);
+            this.#sentOrders.delete(id);
         }
-        const settled = this.#settled.get(id);
-        if (settled !== undefined && settled !== found) {
+        const reconciled = this.#reconciledVersions.get(id);
+        if (reconciled !== undefined && reconciled !== reportedKey) {
             // An engine that doesn't check fencing obeyed a late order, or it restarted. Its report is what counts.
             this.#options.journal.write(events.engineStrayed, { engine: id, versions: versions.join(", ") });
-            this.#settled.delete(id);
+            this.#reconciledVersions.delete(id);
         }
     }
 
-    #describe(runners: readonly Vm[], settings: PoolSettings): readonly LoadingRunner[] {
+    #createRunnerStates(runners: readonly Vm[], settings: PoolSettings): readonly LoadingRunner[] {
         const now = this.#options.clock.monotonic();
         const states: LoadingRunner[] = [];
         for (const { id, failureDomain } of runners) {
@@ -184,15 +184,15 @@
             if (report === undefined) {
                 continue;
             }
-            const load = this.#loads.get(id);
-            const isLate = load !== undefined
+            const load = this.#pendingLoads.get(id);
+            const isOverdue = load !== undefined
                 && now - load.since > settings.loadTimeoutSeconds * millisecondsPerSecond;
-            if (isLate) {
-                this.#loads.delete(id);
+            if (isOverdue) {
+                this.#pendingLoads.delete(id);
                 this.#stalledUntil.set(id, now + settings.loadTimeoutSeconds * millisecondsPerSecond);
                 this.#options.journal.write(events.loadStalled, { engine: id, version: load.version });
             }
-            const loading = load === undefined || isLate ? [] : [load.version];
+            const loading = load === undefined || isOverdue ? [] : [load.version];
             const { versions, isIdle } = report;
             states.push({ id, failureDomain, versions, loading, isIdle, isStalled: this.#isStalled(id) });
         }
@@ -206,29 +206,29 @@
     /** Finds loaded versions that are not wanted, as long as work of theirs may be under way. */
     #findRetiring(
         states: readonly LoadingRunner[],
-        { placed, kept }: WantedVersions,
-        longestWork: number,
+        { placed, evictable }: DesiredVersions,
+        maxRequestMilliseconds: number,
     ): ReadonlySet<string> {
         const now = this.#options.clock.monotonic();
-        const wanted = new Set(placed.map(({ id }) => id));
-        const unwanted = new Set<string>();
+        const desired = new Set(placed.map(({ id }) => id));
+        const undesired = new Set<string>();
         for (const { versions } of states) {
             for (const version of versions) {
-                if (!wanted.has(version) && !kept.has(version)) {
-                    unwanted.add(version);
+                if (!desired.has(version) && !evictable.has(version)) {
+                    undesired.add(version);
                 }
             }
         }
-        for (const version of this.#unwantedSince.keys()) {
-            if (!unwanted.has(version)) {
-                this.#unwantedSince.delete(version);
+        for (const version of this.#undesiredSince.keys()) {
+            if (!undesired.has(version)) {
+                this.#undesiredSince.delete(version);
             }
         }
         const retiring = new Set<string>();
-        for (const version of unwanted) {
-            const since = this.#unwantedSince.get(version) ?? now;
-            this.#unwantedSince.set(version, since);
-            if (now - since < longestWork) {
+        for (const version of undesired) {
+            const since = this.#undesiredSince.get(version) ?? now;
+            this.#undesiredSince.set(version, since);
+            if (now - since < maxRequestMilliseconds) {
                 retiring.add(version);
             }
         }
@@ -236,23 +236,23 @@
     }
 
     /** With more runners than an entry talks to, two copies would be out of reach for nearly all entries. */
-    #countLeastCopies(runners: number): number {
+    #getMinCopies(runners: number): number {
         const { subsetSize } = this.#options;
-        return runners <= subsetSize ? minFailureDomains : Math.ceil(runners * copiesInSubset / subsetSize);
+        return runners <= subsetSize ? minFailureDomains : Math.ceil(runners * copiesPerSubset / subsetSize);
     }
 
     /** Remembers the state of runners that are as they are wanted, and forgets it for those that are ordered anew. */
-    #noteSettled(states: readonly LoadingRunner[], decision: LoadingDecision): void {
+    #recordReconciled(states: readonly LoadingRunner[], decision: LoadingDecision): void {
         const ordered = new Set(decision.orders.map(order => order.runner));
-        this.#settled.clear();
+        this.#reconciledVersions.clear();
         for (const { id, versions } of states) {
             if (!ordered.has(id)) {
-                this.#settled.set(id, getKey(versions));
+                this.#reconciledVersions.set(id, getVersionsKey(versions));
             }
         }
     }
 
-    #noteLoads(decision: LoadingDecision): void {
+    #recordLoads(decision: LoadingDecision): void {
         const now = this.#options.clock.monotonic();
         const loading = new Map<string, string>();
         for (const { runner, loadingVersion } of decision.orders) {
@@ -260,14 +260,14 @@
                 loading.set(runner, loadingVersion);
             }
         }
-        for (const id of this.#loads.keys()) {
+        for (const id of this.#pendingLoads.keys()) {
             if (!loading.has(id)) {
-                this.#loads.delete(id);
+                this.#pendingLoads.delete(id);
             }
         }
         for (const [id, version] of loading) {
-            if (this.#loads.get(id)?.version !== version) {
-                this.#loads.set(id, { version, since: now });
+            if (this.#pendingLoads.get(id)?.version !== version) {
+                this.#pendingLoads.set(id, { version, since: now });
                 this.#options.journal.write(events.loadOrdered, { engine: id, version });
             }
         }
@@ -276,11 +276,11 @@
     async #send(runner: Vm, versions: readonly string[]): Promise<void> {
         const { channel, engines, clock } = this.#options;
         const state = {
-            versions: getKey(versions),
-            reported: getKey(this.#reports.get(runner.id)?.versions ?? []),
+            versions: getVersionsKey(versions),
+            reported: getVersionsKey(this.#reports.get(runner.id)?.versions ?? []),
             at: clock.monotonic(),
         };
-        if (this.#isUnderWay(runner.id, state)) {
+        if (this.#isAlreadySent(runner.id, state)) {
             return;
         }
         const sent = await channel.send(
@@ -288,7 +288,7 @@
             { engine: runner.id, versions, role },
         );
         if (sent.isOk()) {
-            this.#sent.set(runner.id, state);
+            this.#sentOrders.set(runner.id, state);
         }
     }
 
@@ -296,10 +296,10 @@
      * Tells whether an engine has taken this very order and has not changed since. It is repeated only now and then, for
      * an engine that lost it, since loading takes minutes and rounds follow each other quickly.
      */
-    #isUnderWay(id: string, state: SentOrder): boolean {
-        const sent = this.#sent.get(id);
+    #isAlreadySent(id: string, state: SentOrder): boolean {
+        const sent = this.#sentOrders.get(id);
         return sent !== undefined && sent.versions === state.versions
-            && state.at - sent.at < repeatMilliseconds;
+            && state.at - sent.at < resendMilliseconds;
     }
 
     /** Tells operators once of each thing that they have to see to. */
@@ -319,13 +319,13 @@
     }
 
     #warnOnce(key: string, warn: () => void): void {
-        if (!this.#warned.has(key)) {
-            this.#warned.add(key);
+        if (!this.#issuedWarnings.has(key)) {
+            this.#issuedWarnings.add(key);
             warn();
         }
     }
 }
 
-function getKey(versions: readonly string[]): string {
+function getVersionsKey(versions: readonly string[]): string {
     return [...versions].sort().join(" ");
 }
--- a/src/entry/parts/callerParts.ts
+++ b/src/entry/parts/callerParts.ts
@@ -4,7 +4,7 @@
 import { AttemptRunner } from "../attemptRunner.js";
 import { CallerServer } from "../callerServer.js";
 import { ChatPipeline } from "../chatPipeline.js";
-import type { Parts } from "../container.js";
+import type { PartFactories } from "../container.js";
 import type { Cradle } from "../cradle.js";
 import { Explanations } from "../explanations.js";
 import { OperatorServer } from "../operatorServer.js";
@@ -21,9 +21,9 @@
 const bodyTimeoutMilliseconds = 15_000;
 
 /** Makes the parts that face callers and operators. */
-export const callerParts: Parts = {
+export const callerParts: PartFactories = {
     explanations: () => new Explanations(),
-    attempts: cradle =>
+    attemptRunner: cradle =>
         new AttemptRunner({
             clock: cradle.clock,
             journal: cradle.journal,
@@ -33,7 +33,7 @@
             retries: cradle.retries,
             explanations: cradle.explanations,
             getConfiguration: () => cradle.configuration.getConfiguration(),
-            isHalted: version => cradle.versions.isHalted(version),
+            isHalted: version => cradle.versionPolicy.isHalted(version),
             createSessionToken: (call, version) => cradle.sessions.createToken(call, version),
             signingKey: cradle.settings.session.signingKey,
             resumeGraceMilliseconds: cradle.settings.timing.resumeGraceMilliseconds,
@@ -44,7 +44,7 @@
             clock: cradle.clock,
             journal: cradle.journal,
             metrics: cradle.metrics,
-            attempts: cradle.attempts,
+            attemptRunner: cradle.attemptRunner,
             ratings: cradle.ratings,
             evidence: cradle.evidence,
             answerTimes: cradle.answerTimes,
@@ -54,29 +54,29 @@
             isSampled: () => sampler.take(),
         });
     },
-    chats: cradle =>
+    chatPipeline: cradle =>
         new ChatPipeline({
             clock: cradle.clock,
             journal: cradle.journal,
-            getConfigurationAge: () => cradle.state.getConfigurationAge(),
+            getConfigurationAge: () => cradle.entryState.getConfigurationAge(),
             areRatingsAvailable: () => cradle.ratings.isAvailable(),
             admission: cradle.admission,
-            chooser: cradle.chooser,
+            modelChooser: cradle.modelChooser,
             answerTimes: cradle.answerTimes,
-            versions: cradle.versions,
+            versionPolicy: cradle.versionPolicy,
             sessions: cradle.sessions,
             planRunner: cradle.planRunner,
             explanations: cradle.explanations,
             canBill: () => !cradle.bills.isFull(),
         }),
-    resumptions: cradle =>
+    resumePipeline: cradle =>
         new ResumePipeline({
             clock: cradle.clock,
             journal: cradle.journal,
             engines: cradle.engines,
             bills: cradle.bills,
             getConfiguration: () => cradle.configuration.getConfiguration(),
-            getUpstream: id => cradle.watcher.getVm(id),
+            getUpstream: id => cradle.vmWatcher.getVm(id),
             signingKey: cradle.settings.session.signingKey,
             entry: cradle.self.id,
         }),
@@ -84,7 +84,7 @@
         new ServicePipeline({
             clock: cradle.clock,
             journal: cradle.journal,
-            getConfigurationAge: () => cradle.state.getConfigurationAge(),
+            getConfigurationAge: () => cradle.entryState.getConfigurationAge(),
             admission: cradle.serviceAdmission,
             runners: cradle.runners,
             services: cradle.services,
@@ -100,14 +100,14 @@
             journal: cradle.journal,
             metrics: cradle.metrics,
             getConfiguration: () => cradle.configuration.getConfiguration(),
-            chats: cradle.chats,
-            resumptions: cradle.resumptions,
-            services: cradle.servicePipeline,
-            addresses: createAddressBook(cradle),
-            maximumBodyBytes: cradle.settings.limits.bodyBytes,
+            chatPipeline: cradle.chatPipeline,
+            resumePipeline: cradle.resumePipeline,
+            servicePipeline: cradle.servicePipeline,
+            addresses: createAddressDocumentOptions(cradle),
+            maxBodyBytes: cradle.settings.limits.bodyBytes,
             bodyTimeoutMilliseconds,
-            maximumConnections: cradle.settings.limits.openRequests,
-            isReady: () => cradle.state.isReady(),
+            maxConnections: cradle.settings.limits.openRequests,
+            isReady: () => cradle.entryState.isReady(),
         }),
     operatorServer: cradle =>
         new OperatorServer({
@@ -119,11 +119,11 @@
         }),
 };
 
-function createAddressBook({ settings, membership, watcher }: Cradle) {
+function createAddressDocumentOptions({ settings, membership, vmWatcher }: Cradle) {
     const ownPort = settings.listen.callers.port;
     return {
         keepSeconds: settings.timing.addressesKeepMilliseconds / millisecondsPerSecond,
         getMembers: () => membership.getMembers(),
-        getCallerPort: (member: { readonly id: string; }) => watcher.getVm(member.id)?.port ?? ownPort,
+        getCallerPort: (member: { readonly id: string; }) => vmWatcher.getVm(member.id)?.port ?? ownPort,
     };
 }
--- a/src/entry/parts/decisionParts.ts
+++ b/src/entry/parts/decisionParts.ts
@@ -17,7 +17,7 @@
 import { events } from "../../events/index.js";
 import { EngineClient, EngineOrders, ServiceClient } from "../../upstream/index.js";
 import type { VmRole } from "../../world/index.js";
-import type { Parts } from "../container.js";
+import type { PartFactories } from "../container.js";
 import type { Cradle } from "../cradle.js";
 import { LoadPoller } from "../loadPoller.js";
 import { OrderDriver } from "../orders/orderDriver.js";
@@ -27,18 +27,18 @@
 const percent = 100;
 const millisecondsPerSecond = 1000;
 /** Requests that an entry may have at work beyond the upstreams' present capacity, so that a growing one is used. */
-const leastCapacity = 4;
+const minCapacity = 4;
 /** Runners that a version needs, as a part of its successor's, to take over most of the successor's callers. */
-const leastRunnerPart = 0.5;
+const minRunnerFraction = 0.5;
 
 /** Makes the parts that decide. */
-export const decisionParts: Parts = {
+export const decisionParts: PartFactories = {
     evidence: ({ clock }) => new Evidence({ clock }),
     answerTimes: ({ clock }) => new AnswerTimes(clock),
     exposures: () => new Exposures(),
-    chooser: ({ evidence, random, clock }) =>
+    modelChooser: ({ evidence, random, clock }) =>
         new ModelChooser({ evidence, random, clock, schedule: step => setImmediate(step) }),
-    judge: ({ rollouts, evidence, exposures, clock, configuration, settings }) =>
+    rolloutEvaluator: ({ rollouts, evidence, exposures, clock, configuration, settings }) =>
         new RolloutEvaluator({
             fold: rollouts,
             evidence,
@@ -49,7 +49,7 @@
                     changeWindowMilliseconds: millisecondsPerSecond * settings.timing.settledWindowSeconds,
                 }),
         }),
-    router: ({ self, rollouts, exposures, callerHash, judge, runners }) =>
+    rolloutRouter: ({ self, rollouts, exposures, callerHash, rolloutEvaluator, runners }) =>
         new RolloutRouter({
             entry: self.id,
             fold: rollouts,
@@ -58,13 +58,13 @@
             // Where the version before it has been unloaded from most runners, holding back would overload the rest, and
             // callers would be refused for a mere suspicion.
             isHeld: ({ candidate, baseline }) =>
-                judge.isHeld(candidate)
-                && runners.countRunners(baseline) >= leastRunnerPart * runners.countRunners(candidate),
+                rolloutEvaluator.isHeld(candidate)
+                && runners.countRunners(baseline) >= minRunnerFraction * runners.countRunners(candidate),
         }),
     engineOrders: ({ upstreamAgent }) => new EngineOrders(upstreamAgent),
     orderChannel: ({ lease, clock, journal }) =>
         new OrderChannel({ getFencingToken: () => lease.getFencingToken(), clock, journal }),
-    orders: cradle =>
+    orderDriver: cradle =>
         new OrderDriver({
             clock: cradle.clock,
             journal: cradle.journal,
@@ -75,33 +75,46 @@
             runners: cradle.runners,
             engines: cradle.engineOrders,
             channel: cradle.orderChannel,
-            getVms: () => cradle.watcher.getVms(),
+            getVms: () => cradle.vmWatcher.getVms(),
             intervalMilliseconds: cradle.settings.timing.orderIntervalMilliseconds,
             subsetSize: cradle.settings.limits.subset,
         }),
-    driver: ({ self, clock, journal, rollouts, judge, lease, membership, configuration, log, shared, orders }) =>
-        new RolloutDriver({
-            entry: self.id,
+    rolloutDriver: (
+        {
+            self,
             clock,
             journal,
             rollouts,
-            judge,
+            rolloutEvaluator,
             lease,
-            getEntries: () => membership.getAlive().map(member => member.id),
-            getSettledVersions: () => {
-                const serving = configuration.getConfiguration().getVersions()
-                    .filter(version => version.status === "serving")
-                    .map(version => version.id);
-                const finished = rollouts.getRollouts()
-                    .filter(rollout => rollout.state === "finished")
-                    .map(rollout => rollout.candidate);
-                return [...new Set([...serving, ...finished])];
-            },
-            append: async record => (await log.append("control", record)).isOk(),
-            spreadHalt: halt => shared.spreadHalt(halt),
-            isLoaded: version => orders.isReady(version),
-        }),
-    versions: ({ rollouts, router }) => new VersionPolicy({ rollouts, router }),
+            membership,
+            configuration,
+            log,
+            sharedState,
+            orderDriver,
+        },
+    ) => new RolloutDriver({
+        entry: self.id,
+        clock,
+        journal,
+        rollouts,
+        evaluator: rolloutEvaluator,
+        lease,
+        getEntries: () => membership.getAlive().map(member => member.id),
+        getStableVersions: () => {
+            const serving = configuration.getConfiguration().getVersions()
+                .filter(version => version.status === "serving")
+                .map(version => version.id);
+            const finished = rollouts.getRollouts()
+                .filter(rollout => rollout.state === "finished")
+                .map(rollout => rollout.candidate);
+            return [...new Set([...serving, ...finished])];
+        },
+        append: async record => (await log.append("control", record)).isOk(),
+        broadcastHalt: halt => sharedState.broadcastHalt(halt),
+        isLoaded: version => orderDriver.isReady(version),
+    }),
+    versionPolicy: ({ rollouts, rolloutRouter }) => new VersionPolicy({ rollouts, router: rolloutRouter }),
     runners: ({ self, clock, random, journal, settings }) =>
         new RunnerChooser({
             self: { failureDomain: self.failureDomain, region: self.region, subsetKey: self.id },
@@ -120,7 +133,7 @@
         }),
     services: ({ upstreamAgent, settings }) =>
         new ServiceClient({ dispatcher: upstreamAgent, maxAnswerBytes: settings.limits.bodyBytes }),
-    poller: cradle =>
+    loadPoller: cradle =>
         new LoadPoller({
             clock: cradle.clock,
             engines: cradle.engines,
@@ -136,12 +149,12 @@
             onLeaving: upstream => {
                 cradle.runners.markLeaving(upstream.id);
                 cradle.journal.write(events.upstreamLeaving, { upstream: upstream.id });
-                cradle.shared.spreadLeaving(upstream.id);
+                cradle.sharedState.broadcastLeaving(upstream.id);
             },
         }),
 };
 
 function getOwnCapacity({ membership, runners }: Cradle, role: VmRole): number {
     const entries = Math.max(1, membership.getAlive().length);
-    return Math.max(leastCapacity, runners.getOwnCapacity(entries, role));
+    return Math.max(minCapacity, runners.getOwnCapacity(entries, role));
 }
