--- a/src/entry/parts/peerParts.ts
+++ b/src/entry/parts/peerParts.ts
@@ -13,7 +13,7 @@
 } from "../../claims/index.js";
 import type { CopyBillsRequest, DecideClaimsRequest, FetchStateRequest, PushRequest } from "../../generated/peer.js";
 import { Gossip, Membership, PeerClient, PeerServer } from "../../membership/index.js";
-import type { Parts } from "../container.js";
+import type { PartFactories } from "../container.js";
 import type { Cradle } from "../cradle.js";
 import { CredentialFiles, readCredentials } from "../credentialFiles.js";
 import { EntryState } from "../entryState.js";
@@ -24,12 +24,12 @@
 /** Partitions of the claims; the same on all nodes, for ever. */
 const claimPartitions = 8;
 /** Bytes of values in one exchange of gossip, at most. */
-const gossipBytes = 64 * 1024;
+const maxGossipBytes = 64 * 1024;
 /** Pause between two appends of bills for each entry of the site, so that all together spare the log. */
-const billPauseMillisecondsByEntry = 20;
+const billPauseMillisecondsPerEntry = 20;
 
 /** Makes the parts that face the other entries. */
-export const peerParts: Parts = {
+export const peerParts: PartFactories = {
     peerClient: ({ settings }) => new PeerClient({ credentials: readCredentials(settings.tls) }),
     peerServer: cradle =>
         new PeerServer({
@@ -56,7 +56,7 @@
             journal,
             transport: peerClient.createGossipTransport(),
             periodMilliseconds: settings.timing.gossipIntervalMilliseconds,
-            maxValueBytesPerMessage: gossipBytes,
+            maxValueBytesPerMessage: maxGossipBytes,
         }),
     membership: ({ self, gossip, clock, journal }) => new Membership({ self, gossip, clock, journal }),
     collectors: ({ self, clock, journal, membership, log, follow, settings }) =>
@@ -108,10 +108,10 @@
             getIntervalMilliseconds: () =>
                 Math.max(
                     settings.timing.billFlushMilliseconds,
-                    billPauseMillisecondsByEntry * membership.getMembers().length,
+                    billPauseMillisecondsPerEntry * membership.getMembers().length,
                 ),
         }),
-    billKeeper: ({ log, clock, journal, self, membership, peerClient, settings }) =>
+    billReplicas: ({ log, clock, journal, self, membership, peerClient, settings }) =>
         new BillReplicaStore({
             append: (stream, record) => log.append(stream, record),
             getCopyTargets: createCopyTargets({ self, membership, peerClient, journal }),
@@ -119,10 +119,10 @@
             journal,
             writer: self.id,
             maxBills: settings.limits.keptBills,
-            hasDeparted: origin => isGone(membership, origin),
+            hasDeparted: origin => isDeparted(membership, origin),
             getIncarnation: origin => membership.getIncarnation(origin),
         }),
-    shared: ({ gossip, evidence, exposures, rollouts, runners, configuration, membership }) =>
+    sharedState: ({ gossip, evidence, exposures, rollouts, runners, configuration, membership }) =>
         new SharedState({
             gossip,
             evidence,
@@ -132,7 +132,7 @@
             getIncarnation: origin => membership.getIncarnation(origin),
             getConfigurationAge: () => configuration.getAge(),
         }),
-    fetcher: ({ clock, configuration, control, membership, peerClient, self, journal, random, settings }) =>
+    stateFetcher: ({ clock, configuration, control, membership, peerClient, self, journal, random, settings }) =>
         new StateFetcher({
             clock,
             configuration,
@@ -141,16 +141,16 @@
             client: peerClient,
             self: self.id,
             getCounter: () => journal.getCounter(),
-            draw: bound => random.nextInteger(bound),
+            nextInteger: bound => random.nextInteger(bound),
             logWaitMilliseconds: settings.timing.logWaitMilliseconds,
         }),
-    state: ({ configuration, membership, self, shared, poller }) =>
+    entryState: ({ configuration, membership, self, sharedState, loadPoller }) =>
         new EntryState({
             configuration,
             membership,
             self: self.id,
-            isOtherFresh: origin => shared.isOtherFresh(origin),
-            hasAskedUpstreams: () => poller.hasAskedAll(),
+            isPeerFresh: origin => sharedState.isPeerFresh(origin),
+            hasPolledUpstreams: () => loadPoller.hasPolledAll(),
         }),
 };
 
@@ -162,10 +162,10 @@
     return () => getBillCopyTargets({ self, membership, client: peerClient, getCounter });
 }
 
-function createHandlers({ gossip, journal, billKeeper, collectors, fetcher }: Cradle) {
+function createHandlers({ gossip, journal, billReplicas, collectors, stateFetcher }: Cradle) {
     const getCounter = () => journal.getCounter();
     /** Takes over the caller's counter, so that what this entry notes of the call sorts after its cause. */
-    const observed =
+    const withObservedCounter =
         <Request extends { readonly counter: number; }, Reply>(handle: (request: Request, protocol: number) => Reply) =>
         (request: Request, protocol: number) => {
             journal.observe(request.counter);
@@ -174,9 +174,15 @@
     return {
         exchange: gossip.handleExchange.bind(gossip),
         push: (request: PushRequest) => ({ counter: gossip.handlePush(request) }),
-        copyBills: observed((request: CopyBillsRequest) => handleCopyBills(billKeeper, request, getCounter)),
-        decideClaims: observed((request: DecideClaimsRequest) => handleDecideClaims(collectors, request, getCounter)),
-        fetchState: observed((request: FetchStateRequest, protocol) => fetcher.handle(request, protocol)),
+        copyBills: withObservedCounter((request: CopyBillsRequest) =>
+            handleCopyBills(billReplicas, request, getCounter)
+        ),
+        decideClaims: withObservedCounter((request: DecideClaimsRequest) =>
+            handleDecideClaims(collectors, request, getCounter)
+        ),
+        fetchState: withObservedCounter((request: FetchStateRequest, protocol) =>
+            stateFetcher.handle(request, protocol)
+        ),
     };
 }
 
@@ -184,7 +190,7 @@
     return membership.getCollector(getPartitionName(partition))?.id === self;
 }
 
-function isGone(membership: Membership, origin: string): boolean {
+function isDeparted(membership: Membership, origin: string): boolean {
     const member = membership.get(origin);
     return member === undefined || member.state === "dead";
 }
--- a/src/entry/parts/platformParts.ts
+++ b/src/entry/parts/platformParts.ts
@@ -7,19 +7,19 @@
 import { createDebugWriter, EventBuffer, Journal } from "../../events/index.js";
 import { LogClient, LogFollower } from "../../log/index.js";
 import { RatingClient, UpstreamConnector, VmListClient } from "../../upstream/index.js";
-import type { Parts } from "../container.js";
-import { ControlSnapshots } from "../controlSnapshots.js";
+import type { PartFactories } from "../container.js";
+import { ControlSnapshotWriter } from "../controlSnapshotWriter.js";
 import { CredentialFiles, readCredentials } from "../credentialFiles.js";
 import { createMetrics } from "../metrics.js";
 import { VmWatcher } from "../vmWatcher.js";
 
 /** Events that an entry keeps for time lines. */
-const keptEvents = 20_000;
+const eventBufferCapacity = 20_000;
 /** Name of the lease under which roll-outs move and snapshots are written. */
 export const controlLease = "control";
 
 /** Makes the parts that face the platform. */
-export const platformParts: Parts = {
+export const platformParts: PartFactories = {
     self: ({ settings }) => ({
         id: settings.process.name,
         address: settings.listen.peers.host,
@@ -27,7 +27,7 @@
         failureDomain: settings.process.failureDomain,
         region: settings.process.region,
     }),
-    eventBuffer: () => new EventBuffer(keptEvents),
+    eventBuffer: () => new EventBuffer(eventBufferCapacity),
     journal: ({ settings, clock, eventBuffer }) => {
         const writeDebug = createDebugWriter();
         return new Journal({
@@ -80,7 +80,7 @@
             waitMilliseconds: settings.timing.logWaitMilliseconds,
             onChange: configuration => membership.setConfigurationOffset(configuration.getOffset()),
         }),
-    snapshots: ({ settings, log, configuration, clock, journal }) =>
+    configurationSnapshotWriter: ({ settings, log, configuration, clock, journal }) =>
         new SnapshotWriter({
             client: log,
             reader: configuration,
@@ -105,11 +105,11 @@
             driftMilliseconds: settings.timing.leaseDriftMilliseconds,
             isCandidate: () => membership.get(settings.process.name)?.state === "alive",
         }),
-    controlSnapshots: ({ settings, clock, control, snapshots, lease, log }) =>
-        new ControlSnapshots({
+    controlSnapshotWriter: ({ settings, clock, control, configurationSnapshotWriter, lease, log }) =>
+        new ControlSnapshotWriter({
             clock,
             control,
-            configurationSnapshots: snapshots,
+            configurationSnapshotWriter,
             lease,
             append: (stream, record) => log.append(stream, record),
             writer: settings.process.name,
@@ -121,7 +121,7 @@
             dispatcher: platformAgent,
             timeoutMilliseconds: settings.timing.upstreamIdleTimeoutMilliseconds,
         }),
-    watcher: ({ settings, platformAgent, membership, runners }) =>
+    vmWatcher: ({ settings, platformAgent, membership, runners }) =>
         new VmWatcher({
             client: new VmListClient({
                 url: settings.platform.vmListUrl,
--- a/src/entry/planRunner.ts
+++ b/src/entry/planRunner.ts
@@ -9,10 +9,10 @@
 import type { EngineEvent, RatingClient, TokenUsage } from "../upstream/index.js";
 import type { ModelVersion } from "../world/index.js";
 import { AnswerText } from "./answerText.js";
-import { type Attempt, type AttemptRunner, getWorse } from "./attemptRunner.js";
-import { createBill, createLine } from "./callBill.js";
+import { type AttemptResult, type AttemptRunner, combineOutcomes } from "./attemptRunner.js";
+import { createBill, createBillLine } from "./callBill.js";
 import { type ChatCall, getTimeLeft } from "./chatCall.js";
-import type { ServedWork } from "./chatPipeline.js";
+import type { ServedRequest } from "./chatPipeline.js";
 import type { Explanations } from "./explanations.js";
 import type { Metrics } from "./metrics.js";
 import type { Refusal } from "./problem.js";
@@ -20,14 +20,14 @@
 /** Part of the remaining time that a rating inside a cascade may take. */
 const ratingTimeShare = 0.25;
 /** Longest that a rating inside a cascade may take, in milliseconds. */
-const maximumRatingMilliseconds = 1000;
+const maxRatingMilliseconds = 1000;
 
 /** What a plan runner works with. */
 export interface PlanRunnerOptions {
     readonly clock: Clock;
     readonly journal: Journal;
     readonly metrics: Metrics;
-    readonly attempts: AttemptRunner;
+    readonly attemptRunner: AttemptRunner;
     readonly ratings: RatingClient;
     readonly evidence: Evidence;
     readonly answerTimes: AnswerTimes;
@@ -40,7 +40,7 @@
 }
 
 /** How far a plan has come. */
-interface Progress {
+interface PlanProgress {
     /** Lines of answers that were rated and not accepted. */
     readonly earlierLines: BillLine[];
     /** What is known of the earlier steps together: once one ran, the request is no longer "not run". */
@@ -69,8 +69,8 @@
      * @param call - The call.
      * @param plan - The plan.
      */
-    async run(call: ChatCall, plan: Plan): Promise<Result<ServedWork, Refusal>> {
-        const progress: Progress = {
+    async run(call: ChatCall, plan: Plan): Promise<Result<ServedRequest, Refusal>> {
+        const progress: PlanProgress = {
             earlierLines: [],
             outcome: "not-run",
             escalatedFrom: undefined,
@@ -83,7 +83,7 @@
                 ? await this.#runDirect(call, step, index, progress)
                 : await this.#runRated(call, step, index, progress);
             if (work.isErr()) {
-                return err({ ...work.error, outcome: getWorse(progress.outcome, work.error.outcome) });
+                return err({ ...work.error, outcome: combineOutcomes(progress.outcome, work.error.outcome) });
             }
             if (work.value !== undefined) {
                 return ok(work.value);
@@ -97,36 +97,36 @@
         call: ChatCall,
         step: PlanStep,
         index: number,
-        progress: Progress,
-    ): Promise<Result<ServedWork, Refusal>> {
+        progress: PlanProgress,
+    ): Promise<Result<ServedRequest, Refusal>> {
         const { version } = step;
         const { earlierLines, escalatedFrom, exploring } = progress;
         // A plan that explores is paid for to learn; without its rating the price is lost.
         const isSampled = escalatedFrom !== undefined || exploring || this.#options.isSampled(call.requestClass);
         const text = isSampled ? new AnswerText() : undefined;
-        const result = await this.#options.attempts.run({
+        const result = await this.#options.attemptRunner.run({
             call,
             version,
-            step: index,
+            stepIndex: index,
             earlierLines,
-            since: this.#getStepStart(call, index),
+            stepStartedAt: this.#getStepStartedAt(call, index),
             direct: true,
-            restart: () => undefined,
+            onRestart: () => undefined,
             write: async event => {
                 text?.add(event.data);
                 await call.sink.write(event);
             },
             writeEnd: event => call.sink.write(event),
-            beforeEnd: usage => this.#addBill(call, [...earlierLines, createLine(version, usage)]),
+            beforeEnd: usage => this.#addBill(call, [...earlierLines, createBillLine(version, usage)]),
         });
-        this.#count(call, version, result);
+        this.#recordResult(call, version, result);
         if (result.isErr()) {
             return err(result.error);
         }
         if (text !== undefined) {
-            void this.#rateLater(call, version, text.getText(), escalatedFrom);
+            void this.#rateInBackground(call, version, text.getText(), escalatedFrom);
         }
-        return ok(toServedWork(result.value));
+        return ok(toServedRequest(result.value));
     }
 
     /**
@@ -137,44 +137,44 @@
         call: ChatCall,
         step: PlanStep,
         index: number,
-        progress: Progress,
-    ): Promise<Result<ServedWork | undefined, Refusal>> {
+        progress: PlanProgress,
+    ): Promise<Result<ServedRequest | undefined, Refusal>> {
         const { version } = step;
         const { earlierLines } = progress;
-        const held: EngineEvent[] = [];
+        const bufferedEvents: EngineEvent[] = [];
         let text = new AnswerText();
         let usage: TokenUsage = { inputTokens: 0, cachedTokens: 0, outputTokens: 0 };
-        const result = await this.#options.attempts.run({
+        const result = await this.#options.attemptRunner.run({
             call,
             version,
-            step: index,
+            stepIndex: index,
             earlierLines,
-            since: this.#getStepStart(call, index),
+            stepStartedAt: this.#getStepStartedAt(call, index),
             direct: false,
-            restart: () => {
-                held.length = 0;
+            onRestart: () => {
+                bufferedEvents.length = 0;
                 text = new AnswerText();
             },
             write: async event => {
                 text.add(event.data);
-                held.push(event);
+                bufferedEvents.push(event);
             },
             writeEnd: async event => {
-                held.push(event);
+                bufferedEvents.push(event);
             },
             beforeEnd: async found => {
                 usage = found;
                 return ok(undefined);
             },
         });
-        this.#count(call, version, result);
+        this.#recordResult(call, version, result);
         if (result.isErr()) {
-            progress.outcome = getWorse(progress.outcome, result.error.outcome);
+            progress.outcome = combineOutcomes(progress.outcome, result.error.outcome);
             // The next step may still answer; this one gave nothing that can be billed.
-            return call.gone.aborted || call.deadline.aborted ? err(result.error) : ok(undefined);
+            return call.disconnectSignal.aborted || call.deadlineSignal.aborted ? err(result.error) : ok(undefined);
         }
         progress.outcome = "ran";
-        const line = createLine(version, usage);
+        const line = createBillLine(version, usage);
         const score = await this.#rateNow(call, version, text.getText());
         const accepted = score !== undefined && step.acceptScore !== undefined && score >= step.acceptScore;
         this.#options.explanations.addRating(call.requestId, version.id, score, accepted);
@@ -187,33 +187,33 @@
         if (billed.isErr()) {
             return err({ failure: billed.error, outcome: "ran" });
         }
-        this.#beginHeld(call, result.value);
-        for (const event of held) {
+        this.#startBuffered(call, result.value);
+        for (const event of bufferedEvents) {
             await call.sink.write(event);
         }
-        return ok(toServedWork(result.value));
+        return ok(toServedRequest(result.value));
     }
 
     /** Begins an answer that was held back. Its first token is the caller's only now, however early the engine had it. */
-    #beginHeld(call: ChatCall, { headers }: Attempt): void {
+    #startBuffered(call: ChatCall, { headers }: AttemptResult): void {
         const milliseconds = this.#options.clock.monotonic() - call.arrivedAt;
         this.#options.metrics.firstToken.observe({ class: call.requestClass }, milliseconds / 1000);
-        call.sink.begin(headers);
+        call.sink.start(headers);
     }
 
     /**
      * Returns from when a step's time to the first token counts. A later step's version had no part in the wait for the
      * earlier answer; counted from the arrival, it would look slow in every cascade, and a roll-out could halt for it.
      */
-    #getStepStart(call: ChatCall, index: number): number {
+    #getStepStartedAt(call: ChatCall, index: number): number {
         return index === 0 ? call.arrivedAt : this.#options.clock.monotonic();
     }
 
     async #rateNow(call: ChatCall, version: ModelVersion, answer: string): Promise<number | undefined> {
         const timeLeft = getTimeLeft(call, this.#options.clock.monotonic());
-        const timeout = Math.max(1, Math.min(maximumRatingMilliseconds, timeLeft * ratingTimeShare));
+        const timeoutMilliseconds = Math.max(1, Math.min(maxRatingMilliseconds, timeLeft * ratingTimeShare));
         const startedAt = this.#options.clock.monotonic();
-        const score = await this.#rate(call, version, answer, timeout);
+        const score = await this.#rate(call, version, answer, timeoutMilliseconds);
         this.#options.answerTimes.addRating(this.#options.clock.monotonic() - startedAt);
         this.#addRating(call, version, score, this.#options.clock.wall());
         return score;
@@ -224,7 +224,7 @@
      * given to a harder request than most, so it counts among escalations only: among the others it would make the
      * second version look worse than it is.
      */
-    async #rateLater(
+    async #rateInBackground(
         call: ChatCall,
         version: ModelVersion,
         answer: string,
@@ -270,14 +270,14 @@
         const score = rated.unwrapOr(undefined);
         if (score !== undefined) {
             const labels = { version: version.id, class: call.requestClass };
-            this.#options.metrics.ratings.inc(labels, score);
+            this.#options.metrics.ratingSum.inc(labels, score);
             this.#options.metrics.ratingCount.inc(labels);
         }
         return score;
     }
 
-    #count(call: ChatCall, version: ModelVersion, result: Result<Attempt, Refusal>): void {
-        if (result.isErr() && (call.gone.aborted || result.error.outcome === "not-run")) {
+    #recordResult(call: ChatCall, version: ModelVersion, result: Result<AttemptResult, Refusal>): void {
+        if (result.isErr() && (call.disconnectSignal.aborted || result.error.outcome === "not-run")) {
             // The version had no part in a caller's leaving or in a full pool.
             return;
         }
@@ -292,7 +292,7 @@
             this.#options.answerTimes.add(version.id, call.requestClass, { firstToken, total: whole });
             this.#options.metrics.answers.inc({ version: version.id, class: call.requestClass });
             if (version.status === "candidate") {
-                this.#options.metrics.exposed.inc({ version: version.id });
+                this.#options.metrics.candidateAnswers.inc({ version: version.id });
             }
         }
     }
@@ -309,7 +309,9 @@
     }
 }
 
-function toServedWork(attempt: { readonly firstTokenMilliseconds: number; readonly usage: TokenUsage; }): ServedWork {
+function toServedRequest(
+    attempt: { readonly firstTokenMilliseconds: number; readonly usage: TokenUsage; },
+): ServedRequest {
     return {
         outcome: "ok",
         firstTokenMilliseconds: attempt.firstTokenMilliseconds,
--- a/src/entry/problem.ts
+++ b/src/entry/problem.ts
@@ -85,6 +85,6 @@
 }
 
 /** Creates a refusal of a request of which nothing was sent to an upstream. */
-export function refuseNotRun(failure: Failure): Refusal {
+export function createNotRunRefusal(failure: Failure): Refusal {
     return { failure, outcome: "not-run" };
 }
--- a/src/entry/ratingSampler.ts
+++ b/src/entry/ratingSampler.ts
@@ -9,27 +9,27 @@
 /** Samples answers: all of them while there are few, and a bounded rate of them when there are many. */
 export class RatingSampler {
     readonly #clock: Clock;
-    readonly #perSecond: number;
-    #available: number;
+    readonly #ratingsPerSecond: number;
+    #availableRatings: number;
     #refilledAt: number;
 
     constructor(clock: Clock, perSecond: number) {
         this.#clock = clock;
-        this.#perSecond = perSecond;
-        this.#available = perSecond * burstSeconds;
+        this.#ratingsPerSecond = perSecond;
+        this.#availableRatings = perSecond * burstSeconds;
         this.#refilledAt = clock.monotonic();
     }
 
     /** Tells whether the next finished answer should be rated. */
     take(): boolean {
         const now = this.#clock.monotonic();
-        const refill = (now - this.#refilledAt) / 1000 * this.#perSecond;
-        this.#available = Math.min(this.#perSecond * burstSeconds, this.#available + refill);
+        const refill = (now - this.#refilledAt) / 1000 * this.#ratingsPerSecond;
+        this.#availableRatings = Math.min(this.#ratingsPerSecond * burstSeconds, this.#availableRatings + refill);
         this.#refilledAt = now;
-        if (this.#available < 1) {
+        if (this.#availableRatings < 1) {
             return false;
         }
-        this.#available -= 1;
+        this.#availableRatings -= 1;
         return true;
     }
 }
--- a/src/entry/requestBody.ts
+++ b/src/entry/requestBody.ts
@@ -12,26 +12,26 @@
  * A body of any size, or one that trickles in for minutes, would hold memory for each such caller; enough of them
  * stop the entry for everybody.
  * @param request - The request.
- * @param maximumBytes - The largest body that is taken.
+ * @param maxBytes - The largest body that is taken.
  * @param timeoutMilliseconds - How long the caller may take to send it.
  */
 export async function readBody(
     request: IncomingMessage,
-    maximumBytes: number,
+    maxBytes: number,
     timeoutMilliseconds: number,
 ): Promise<Result<Buffer, Failure>> {
     let timer: NodeJS.Timeout | undefined;
-    const late = new Promise<Result<Buffer, Failure>>(resolve => {
-        timer = setTimeout(() => resolve(err(createLateFailure())), timeoutMilliseconds);
+    const timeout = new Promise<Result<Buffer, Failure>>(resolve => {
+        timer = setTimeout(() => resolve(err(createTimeoutFailure())), timeoutMilliseconds);
     });
-    const read = getRawBody(request, { limit: maximumBytes, length: request.headers["content-length"] })
-        .then(body => ok(body), error => err(describeFailure(error, maximumBytes)));
-    const result = await Promise.race([read, late]);
+    const read = getRawBody(request, { limit: maxBytes, length: request.headers["content-length"] })
+        .then(body => ok(body), error => err(createReadFailure(error, maxBytes)));
+    const result = await Promise.race([read, timeout]);
     clearTimeout(timer);
     return result;
 }
 
-function createLateFailure(): Failure {
+function createTimeoutFailure(): Failure {
     return new Failure({
         kind: "deadline",
         message: "The body did not arrive in time.",
@@ -39,11 +39,11 @@
     });
 }
 
-function describeFailure(error: unknown, maximumBytes: number): Failure {
+function createReadFailure(error: unknown, maxBytes: number): Failure {
     if ((error as { type?: string; }).type === "entity.too.large") {
         return new Failure({
             kind: "invalid-input",
-            message: `The body is larger than ${maximumBytes} bytes.`,
+            message: `The body is larger than ${maxBytes} bytes.`,
             remedy: "Send a shorter history.",
         });
     }
--- a/src/entry/resumePipeline.ts
+++ b/src/entry/resumePipeline.ts
@@ -10,7 +10,7 @@
 import type { Vm } from "../world/index.js";
 import { relayAnswer } from "./answerRelay.js";
 import type { AnswerSink } from "./answerSink.js";
-import { createBill, createLine } from "./callBill.js";
+import { createBill, createBillLine } from "./callBill.js";
 import type { CallerIdentity } from "./callerIdentity.js";
 import type { Refusal } from "./problem.js";
 import { readResumeToken, type ResumePoint } from "./resumeToken.js";
@@ -35,7 +35,7 @@
     readonly lastId: number;
     readonly identity: CallerIdentity;
     readonly sink: AnswerSink;
-    readonly gone: AbortSignal;
+    readonly disconnectSignal: AbortSignal;
 }
 
 /** Resumes streams. */
@@ -56,30 +56,30 @@
             return err({ failure: createTokenFailure(), outcome: "unknown" });
         }
         if (!Number.isSafeInteger(resumption.lastId) || resumption.lastId < 0) {
-            return err({ failure: createPlaceFailure(), outcome: "unknown" });
+            return err({ failure: createEventIdFailure(), outcome: "unknown" });
         }
         const runner = this.#options.getUpstream(point.runner);
         if (runner === undefined) {
-            return err({ failure: createGoneFailure(), outcome: "unknown" });
+            return err({ failure: createAnswerExpiredFailure(), outcome: "unknown" });
         }
         return this.#relay(resumption, point, runner);
     }
 
     async #relay(resumption: Resumption, point: ResumePoint, runner: Vm): Promise<Result<void, Refusal>> {
         const { engines, journal } = this.#options;
-        const answered = await engines.resume(runner, point.streamId, resumption.lastId, resumption.gone);
+        const answered = await engines.resume(runner, point.streamId, resumption.lastId, resumption.disconnectSignal);
         if (answered.isErr()) {
-            return err({ failure: createGoneFailure(), outcome: "unknown" });
+            return err({ failure: createAnswerExpiredFailure(), outcome: "unknown" });
         }
         journal.write(events.streamResumed, { request: point.requestId, from: resumption.lastId });
-        resumption.sink.begin({ "x-request-id": point.requestId, "x-rattanlock-version": point.version });
+        resumption.sink.start({ "x-request-id": point.requestId, "x-rattanlock-version": point.version });
         const relayed = await relayAnswer({
             engines,
             runner,
             streamId: point.streamId,
             answer: answered.value,
             lastId: resumption.lastId,
-            signal: resumption.gone,
+            signal: resumption.disconnectSignal,
             onFirstEvent: () => undefined,
             write: event => resumption.sink.write(event),
             beforeEnd: usage => this.#bill(point, usage),
@@ -88,12 +88,12 @@
     }
 
     /** Bills like the entry that the caller lost. When both do, the ledger keeps one: the request is the same. */
-    async #bill(point: ResumePoint, usage: Parameters<typeof createLine>[1]): Promise<Result<void, Failure>> {
+    async #bill(point: ResumePoint, usage: Parameters<typeof createBillLine>[1]): Promise<Result<void, Failure>> {
         const version = this.#options.getConfiguration().getVersion(point.version);
         if (version === undefined) {
-            return err(createGoneFailure());
+            return err(createAnswerExpiredFailure());
         }
-        const lines = [...point.earlierLines, createLine(version, usage)];
+        const lines = [...point.earlierLines, createBillLine(version, usage)];
         const bill = createBill(
             { ...point, session: point.session },
             lines,
@@ -113,7 +113,7 @@
     });
 }
 
-function createPlaceFailure(): Failure {
+function createEventIdFailure(): Failure {
     return new Failure({
         kind: "invalid-input",
         message: "Last-Event-ID is not the number of an event.",
@@ -121,7 +121,7 @@
     });
 }
 
-function createGoneFailure(): Failure {
+function createAnswerExpiredFailure(): Failure {
     return new Failure({
         kind: "gone",
         message: "The rest of the answer is no longer kept.",
--- a/src/entry/resumeToken.ts
+++ b/src/entry/resumeToken.ts
@@ -51,8 +51,8 @@
         return undefined;
     }
     const expected = Buffer.from(sign(payload, key));
-    const given = Buffer.from(signature);
-    if (expected.length !== given.length || !timingSafeEqual(expected, given)) {
+    const received = Buffer.from(signature);
+    if (expected.length !== received.length || !timingSafeEqual(expected, received)) {
         return undefined;
     }
     const parsed = resumeSchema.safeParse(JSON.parse(Buffer.from(payload, "base64url").toString()));
--- a/src/entry/rolloutDriver.ts
+++ b/src/entry/rolloutDriver.ts
@@ -13,7 +13,7 @@
 import type { LogRecord } from "../log/index.js";
 
 /** Pause between two judgements, in milliseconds. */
-const judgementPauseMilliseconds = 1000;
+const evaluationIntervalMilliseconds = 1000;
 /** Format of the records that the driver writes. */
 const recordFormat = 1;
 
@@ -24,16 +24,16 @@
     readonly clock: Clock;
     readonly journal: Journal;
     readonly rollouts: RolloutFold;
-    readonly judge: RolloutEvaluator;
+    readonly evaluator: RolloutEvaluator;
     readonly lease: LeaseHolder;
     /** Identifiers of the entries that take callers. */
     readonly getEntries: () => readonly string[];
     /** Versions that serve, to be watched for a change to the worse. */
-    readonly getSettledVersions: () => readonly string[];
+    readonly getStableVersions: () => readonly string[];
     /** Appends a record to the control stream; false when the log did not take it. */
     readonly append: (record: LogRecord) => Promise<boolean>;
     /** Tells all peers at once. */
-    readonly spreadHalt: (halt: Halt) => void;
+    readonly broadcastHalt: (halt: Halt) => void;
     /** Tells whether a version is loaded on enough runners to take callers. */
     readonly isLoaded: (version: string) => boolean;
 }
@@ -43,15 +43,15 @@
     readonly #options: RolloutDriverOptions;
     readonly #task: RepeatedTask;
     /** Halts raised here that the log has not taken yet. */
-    readonly #unwritten = new Map<string, Halt>();
+    readonly #unappendedHalts = new Map<string, Halt>();
     /** Roll-outs whose candidate is not loaded yet, as far as this entry drives them. */
-    readonly #waiting = new Set<string>();
+    readonly #waitingRollouts = new Set<string>();
 
     constructor(options: RolloutDriverOptions) {
         this.#options = options;
         this.#task = new RepeatedTask({
-            run: () => this.#judgeAll(),
-            pauseMilliseconds: judgementPauseMilliseconds,
+            run: () => this.#evaluateAll(),
+            pauseMilliseconds: evaluationIntervalMilliseconds,
         });
     }
 
@@ -66,60 +66,60 @@
     }
 
     /** Returns the roll-outs that this entry, as holder of the lease, holds back until their candidate is loaded. */
-    getWaiting(): readonly string[] {
+    getWaitingRollouts(): readonly string[] {
         const { lease, rollouts } = this.#options;
         if (lease.getFencingToken() === undefined) {
             return [];
         }
-        return [...this.#waiting].filter(id => rollouts.getRollout(id)?.state === "active");
+        return [...this.#waitingRollouts].filter(id => rollouts.getRollout(id)?.state === "active");
     }
 
-    async #judgeAll(): Promise<void> {
+    async #evaluateAll(): Promise<void> {
         for (const rollout of this.#options.rollouts.getRollouts()) {
             if (rollout.state === "active") {
-                await this.#judgeRollout(rollout);
+                await this.#evaluateRollout(rollout);
             }
         }
-        for (const version of this.#options.getSettledVersions()) {
+        for (const version of this.#options.getStableVersions()) {
             if (!this.#options.rollouts.isHalted(version)) {
-                this.#judgeSettled(version);
+                this.#evaluateStable(version);
             }
         }
         await this.#writeHalts();
     }
 
-    async #judgeRollout(rollout: Rollout): Promise<void> {
-        const { judge, entry, lease } = this.#options;
-        const verdict = judge.evaluate(rollout.id, this.#options.getEntries(), entry);
-        this.#act(rollout, verdict);
-        const fence = lease.getFencingToken();
-        if (fence === undefined || this.#isWaiting(rollout)) {
+    async #evaluateRollout(rollout: Rollout): Promise<void> {
+        const { evaluator, entry, lease } = this.#options;
+        const decision = evaluator.evaluate(rollout.id, this.#options.getEntries(), entry);
+        this.#applyDecision(rollout, decision);
+        const fencingToken = lease.getFencingToken();
+        if (fencingToken === undefined || this.#isWaiting(rollout)) {
             return;
         }
-        const record = judge.getRecord(rollout.id, verdict, fence);
-        if (record === undefined || verdict.action === "halt") {
+        const record = evaluator.getRecord(rollout.id, decision, fencingToken);
+        if (record === undefined || decision.action === "halt") {
             return;
         }
         const appended = await this.#options.append(this.#createRecord(record.kind, record.body));
         if (appended) {
             this.#options.journal.write(events.rolloutMoved, {
                 rollout: rollout.id,
-                action: verdict.action,
-                reason: verdict.reason,
-                fence,
+                action: decision.action,
+                reason: decision.reason,
+                fence: fencingToken,
             });
         }
     }
 
-    #judgeSettled(version: string): void {
-        const { judge, journal } = this.#options;
-        const wasHeld = judge.isHeld(version);
-        const verdict = judge.evaluateStable(version);
-        const isHeld = judge.isHeld(version);
+    #evaluateStable(version: string): void {
+        const { evaluator, journal } = this.#options;
+        const wasHeld = evaluator.isHeld(version);
+        const decision = evaluator.evaluateStable(version);
+        const isHeld = evaluator.isHeld(version);
         if (isHeld !== wasHeld) {
-            journal.write(isHeld ? events.versionHeld : events.versionReleased, { version, reason: verdict.reason });
+            journal.write(isHeld ? events.versionHeld : events.versionReleased, { version, reason: decision.reason });
         }
-        this.#act(undefined, verdict);
+        this.#applyDecision(undefined, decision);
     }
 
     /**
@@ -128,23 +128,23 @@
      */
     #isWaiting(rollout: Rollout): boolean {
         if (this.#options.isLoaded(rollout.candidate)) {
-            this.#waiting.delete(rollout.id);
+            this.#waitingRollouts.delete(rollout.id);
             return false;
         }
-        if (!this.#waiting.has(rollout.id)) {
-            this.#waiting.add(rollout.id);
+        if (!this.#waitingRollouts.has(rollout.id)) {
+            this.#waitingRollouts.add(rollout.id);
             const { id, candidate } = rollout;
             this.#options.journal.write(events.rolloutWaits, { rollout: id, version: candidate });
         }
         return true;
     }
 
-    #act(rollout: Rollout | undefined, verdict: RolloutEvaluation): void {
-        if (verdict.action !== "halt") {
+    #applyDecision(rollout: Rollout | undefined, decision: RolloutEvaluation): void {
+        if (decision.action !== "halt") {
             return;
         }
         const { rollouts, journal, clock } = this.#options;
-        const halt: Halt = { id: randomUUID(), version: verdict.version, reason: verdict.reason, at: clock.wall() };
+        const halt: Halt = { id: randomUUID(), version: decision.version, reason: decision.reason, at: clock.wall() };
         if (!rollouts.addHalt(halt)) {
             return;
         }
@@ -153,18 +153,18 @@
             version: halt.version,
             reason: halt.reason,
         });
-        this.#options.spreadHalt(halt);
-        this.#unwritten.set(halt.id, halt);
+        this.#options.broadcastHalt(halt);
+        this.#unappendedHalts.set(halt.id, halt);
     }
 
     /** Writes halts into the log as soon as it takes them, so that nodes which start later know of them too. */
     async #writeHalts(): Promise<void> {
-        for (const halt of this.#unwritten.values()) {
+        for (const halt of this.#unappendedHalts.values()) {
             const record = this.#createRecord(rolloutRecordKinds.halt, { ...halt, evidence: undefined });
             if (!await this.#options.append(record)) {
                 return;
             }
-            this.#unwritten.delete(halt.id);
+            this.#unappendedHalts.delete(halt.id);
         }
     }
 
--- a/src/entry/servicePipeline.ts
+++ b/src/entry/servicePipeline.ts
@@ -9,15 +9,15 @@
 import type { AdmissionController, RetryBudget, RunnerChooser } from "../decisions/index.js";
 import { events, type Journal } from "../events/index.js";
 import type { ServiceAnswer, ServiceClient, UpstreamFailure } from "../upstream/index.js";
-import { getWorse } from "./attemptRunner.js";
+import { combineOutcomes } from "./attemptRunner.js";
 import { checkFreshness } from "./chatPipeline.js";
-import { type Refusal, refuseNotRun } from "./problem.js";
+import { createNotRunRefusal, type Refusal } from "./problem.js";
 import { packAnswer, unpackAnswer } from "./storedAnswer.js";
 
 /** Instances that are tried for one call, at most. */
-const maximumAttempts = 3;
+const maxAttempts = 3;
 /** Tokens that a call to a plain service counts for in admission. */
-const tokensOfCall = 100;
+const tokensPerCall = 100;
 /** Methods that HTTP defines as idempotent: a repeat does no harm. */
 const idempotentMethods: ReadonlySet<string> = new Set(["GET", "HEAD", "OPTIONS", "PUT", "DELETE"]);
 
@@ -33,7 +33,7 @@
     readonly headers: Readonly<Record<string, string>>;
     readonly body: Uint8Array | undefined;
     readonly idempotencyKey: string | undefined;
-    readonly gone: AbortSignal;
+    readonly disconnectSignal: AbortSignal;
     /** Monotonic milliseconds of the arrival. */
     readonly arrivedAt: number;
 }
@@ -65,7 +65,7 @@
 export class ServicePipeline {
     readonly #options: ServicePipelineOptions;
     /** Outcomes that are being written. */
-    readonly #completions = new Set<Promise<void>>();
+    readonly #pendingCompletions = new Set<Promise<void>>();
 
     constructor(options: ServicePipelineOptions) {
         this.#options = options;
@@ -78,18 +78,18 @@
     async run(request: ServiceRequest): Promise<Result<ServiceReply, Refusal>> {
         const ready = this.#checkReady(request);
         if (ready.isErr()) {
-            return err(refuseNotRun(ready.error));
+            return err(createNotRunRefusal(ready.error));
         }
         const admitted = await this.#options.admission.admit({
             workspace: request.workspace,
             share: request.settings.share,
             priority: request.settings.priority,
             deadlineMilliseconds: request.settings.firstTokenMilliseconds,
-            estimatedTokens: tokensOfCall,
-            signal: request.gone,
+            estimatedTokens: tokensPerCall,
+            signal: request.disconnectSignal,
         });
         if (admitted.isErr()) {
-            return err(refuseNotRun(admitted.error));
+            return err(createNotRunRefusal(admitted.error));
         }
         const result = request.idempotencyKey === undefined
             ? await this.#callAndBill(request)
@@ -97,7 +97,7 @@
         admitted.value.release({
             outcome: result.isOk() ? "ok" : result.error.outcome === "not-run" ? "refused" : "failed",
             firstTokenMilliseconds: this.#options.clock.monotonic() - request.arrivedAt,
-            tokens: tokensOfCall,
+            tokens: tokensPerCall,
         });
         return result;
     }
@@ -107,7 +107,7 @@
             return err(createPoolFailure(request.pool));
         }
         if (!this.#options.canBill()) {
-            return err(createBillsFailure());
+            return err(createBillsFullFailure());
         }
         return checkFreshness(request.settings, this.#options.getConfigurationAge());
     }
@@ -122,24 +122,24 @@
         const { claims } = this.#options;
         const claimed = await claims.claim({ key, value: request.requestId, requestId: request.requestId });
         if (claimed.isErr()) {
-            return err(refuseNotRun(claimed.error));
+            return err(createNotRunRefusal(claimed.error));
         }
-        const verdict = claimed.value;
-        if (verdict.kind !== "granted") {
-            return this.#answerForeignClaim(verdict);
+        const decision = claimed.value;
+        if (decision.kind !== "granted") {
+            return this.#answerFromExistingClaim(decision);
         }
-        if (request.gone.aborted || !verdict.isStillValid()) {
-            await claims.release(verdict);
-            return err(refuseNotRun(createLateFailure()));
+        if (request.disconnectSignal.aborted || !decision.isStillValid()) {
+            await claims.release(decision);
+            return err(createNotRunRefusal(createClaimTimeoutFailure()));
         }
         const result = await this.#callAndBill(request);
-        await this.#settleClaim(verdict, result);
+        await this.#recordClaimOutcome(decision, result);
         return result;
     }
 
     /** Waits until the outcomes of answered calls are in the log, or were given up. */
-    async settle(): Promise<void> {
-        await Promise.all(this.#completions);
+    async waitForCompletions(): Promise<void> {
+        await Promise.all(this.#pendingCompletions);
     }
 
     /**
@@ -148,13 +148,13 @@
      * The outcome of an answered call is written behind its answer: with the log away the caller would wait for seconds
      * for something that only a later call with the same key needs.
      */
-    async #settleClaim(grant: GrantedClaim, result: Result<ServiceReply, Refusal>): Promise<void> {
+    async #recordClaimOutcome(grant: GrantedClaim, result: Result<ServiceReply, Refusal>): Promise<void> {
         const { claims } = this.#options;
         if (result.isOk()) {
             const completion = claims.complete({ ...grant, outcome: packAnswer(result.value.answer) })
                 .then(() => undefined)
-                .finally(() => this.#completions.delete(completion));
-            this.#completions.add(completion);
+                .finally(() => this.#pendingCompletions.delete(completion));
+            this.#pendingCompletions.add(completion);
             return;
         }
         if (result.error.outcome === "not-run") {
@@ -162,10 +162,10 @@
         }
     }
 
-    #answerForeignClaim(verdict: DeniedClaim): Result<ServiceReply, Refusal> {
-        this.#options.journal.write(events.claimHeldElsewhere, { request: verdict.value });
-        if (verdict.kind === "completed" && verdict.outcome !== undefined) {
-            return unpackAnswer(verdict.outcome)
+    #answerFromExistingClaim(existingClaim: DeniedClaim): Result<ServiceReply, Refusal> {
+        this.#options.journal.write(events.claimHeldElsewhere, { request: existingClaim.value });
+        if (existingClaim.kind === "completed" && existingClaim.outcome !== undefined) {
+            return unpackAnswer(existingClaim.outcome)
                 .map(answer => ({ answer, replayed: true }))
                 .mapErr(failure => ({ failure, outcome: "ran" as Outcome }));
         }
@@ -173,7 +173,8 @@
             outcome: "unknown",
             failure: new Failure({
                 kind: "in-progress",
-                message: `The same key is held by request ${verdict.value}, which runs or ended in an unknown way.`,
+                message:
+                    `The same key is held by request ${existingClaim.value}, which runs or ended in an unknown way.`,
                 remedy: "Ask again with the same key for its answer; do not send the work under another key.",
                 retryAfterMilliseconds: 1000,
             }),
@@ -181,7 +182,7 @@
     }
 
     async #callAndBill(request: ServiceRequest): Promise<Result<ServiceReply, Refusal>> {
-        const called = await this.#callAnywhere(request);
+        const called = await this.#callWithRetries(request);
         if (called.isErr()) {
             return err(called.error);
         }
@@ -192,20 +193,20 @@
         return ok({ answer: called.value, replayed: false });
     }
 
-    async #callAnywhere(request: ServiceRequest): Promise<Result<ServiceAnswer, Refusal>> {
+    async #callWithRetries(request: ServiceRequest): Promise<Result<ServiceAnswer, Refusal>> {
         this.#options.retries.addRequest();
         const excluded = new Set<string>();
-        let worst: Outcome = "not-run";
+        let combinedOutcome: Outcome = "not-run";
         for (let attempt = 0;; attempt += 1) {
             const called = await this.#callOnce(request, excluded);
             if (called.isOk()) {
                 return ok(called.value);
             }
-            worst = getWorse(worst, called.error.outcome);
+            combinedOutcome = combineOutcomes(combinedOutcome, called.error.outcome);
             const repeatable = idempotentMethods.has(request.method) && request.idempotencyKey === undefined;
-            const mayRetry = called.error.retriable && (repeatable || worst === "not-run");
-            if (!mayRetry || attempt + 1 >= maximumAttempts || !this.#options.retries.take()) {
-                return err({ failure: called.error.failure, outcome: worst });
+            const mayRetry = called.error.retriable && (repeatable || combinedOutcome === "not-run");
+            if (!mayRetry || attempt + 1 >= maxAttempts || !this.#options.retries.take()) {
+                return err({ failure: called.error.failure, outcome: combinedOutcome });
             }
         }
     }
@@ -271,7 +272,7 @@
     });
 }
 
-function createBillsFailure(): Failure {
+function createBillsFullFailure(): Failure {
     return new Failure({
         kind: "unavailable",
         message: "Bills cannot be kept: the log has been away for so long that their buffer is full.",
@@ -280,7 +281,7 @@
     });
 }
 
-function createLateFailure(): Failure {
+function createClaimTimeoutFailure(): Failure {
     return new Failure({
         kind: "deadline",
         message: "The claim on the key came too late to start the call.",
--- a/src/entry/sessions.ts
+++ b/src/entry/sessions.ts
@@ -10,7 +10,7 @@
  * How long a token is good for; it is renewed with every answer. It must be well below the time for which a pin stays
  * in the log, or a token could outlive its pin, and the session be pinned anew to another version elsewhere.
  */
-const tokenMilliseconds = 12 * 3600 * 1000;
+const tokenLifetimeMilliseconds = 12 * 3600 * 1000;
 
 /** What sessions are kept with. */
 export interface SessionsOptions {
@@ -38,8 +38,8 @@
             return undefined;
         }
         const { signingKey, previousSigningKey, clock } = this.#options;
-        const secrets = previousSigningKey === undefined ? [signingKey] : [signingKey, previousSigningKey];
-        const token = readSessionToken(call.sessionToken, secrets, clock.wall());
+        const signingKeys = previousSigningKey === undefined ? [signingKey] : [signingKey, previousSigningKey];
+        const token = readSessionToken(call.sessionToken, signingKeys, clock.wall());
         if (token?.workspace !== call.workspace || token.session !== call.session) {
             return undefined;
         }
@@ -66,7 +66,7 @@
         if (call.session === undefined || !call.settings.stickySession) {
             return undefined;
         }
-        const expiresAt = this.#options.clock.wall() + tokenMilliseconds;
+        const expiresAt = this.#options.clock.wall() + tokenLifetimeMilliseconds;
         const { workspace, session } = call;
         return createSessionToken({ workspace, session, version, expiresAt }, this.#options.signingKey);
     }
--- a/src/entry/sharedState.ts
+++ b/src/entry/sharedState.ts
@@ -6,10 +6,10 @@
 import type { Halt, RolloutFold } from "../control/index.js";
 import type { Evidence, EvidenceCounts, ExposureCounts, Exposures, RunnerChooser } from "../decisions/index.js";
 import type { Gossip } from "../membership/index.js";
-import { freshMilliseconds } from "./freshness.js";
+import { maxFreshAgeMilliseconds } from "./freshness.js";
 
 /** Pause between two publications, in milliseconds. */
-const publicationPauseMilliseconds = 1000;
+const publishIntervalMilliseconds = 1000;
 
 const evidencePrefix = "evidence/";
 const noSequence = -1;
@@ -38,7 +38,7 @@
     readonly #options: SharedStateOptions;
     readonly #task: RepeatedTask;
     /** By origin: the run whose counts were taken in last. */
-    readonly #runs = new Map<string, string>();
+    readonly #incarnationKeys = new Map<string, string>();
     #evidenceSequence = 0;
     #exposuresSequence = -1;
     #publishedFresh: boolean | undefined;
@@ -47,9 +47,9 @@
         this.#options = options;
         this.#task = new RepeatedTask({
             run: () => this.#publish(),
-            pauseMilliseconds: publicationPauseMilliseconds,
+            pauseMilliseconds: publishIntervalMilliseconds,
         });
-        options.gossip.onUpdate((origin, key, value) => this.#take(origin, key, value));
+        options.gossip.onUpdate((origin, key, value) => this.#handleUpdate(origin, key, value));
     }
 
     /** Starts to publish. */
@@ -66,7 +66,7 @@
      * Tells all entries of a halt, at once.
      * @param halt - The halt.
      */
-    spreadHalt(halt: Halt): void {
+    broadcastHalt(halt: Halt): void {
         this.#set(`${haltPrefix}${halt.id}`, halt, true);
     }
 
@@ -74,7 +74,7 @@
      * Tells all entries that an upstream is leaving, at once.
      * @param upstream - Identifier of the upstream.
      */
-    spreadLeaving(upstream: string): void {
+    broadcastLeaving(upstream: string): void {
         this.#set(`${leavingUpstreamPrefix}${upstream}`, true, true);
     }
 
@@ -82,19 +82,19 @@
      * Tells whether another entry says that it has confirmed its configuration lately.
      * @param origin - The entry.
      */
-    isOtherFresh(origin: string): boolean {
+    isPeerFresh(origin: string): boolean {
         return this.#options.gossip.get(origin, freshKey)?.toString() === "true";
     }
 
     #publish(): void {
-        this.#forgetEndedRuns();
+        this.#forgetPastIncarnations();
         this.#publishEvidence();
         const exposures = this.#options.exposures.exportOwn();
         if (exposures.sequence !== this.#exposuresSequence) {
             this.#exposuresSequence = exposures.sequence;
             this.#set(exposuresKey, exposures, false);
         }
-        const isFresh = this.#options.getConfigurationAge() <= freshMilliseconds;
+        const isFresh = this.#options.getConfigurationAge() <= maxFreshAgeMilliseconds;
         if (isFresh !== this.#publishedFresh) {
             this.#publishedFresh = isFresh;
             this.#set(freshKey, isFresh, false);
@@ -123,22 +123,22 @@
         this.#options.gossip.set(key, Buffer.from(JSON.stringify(value)), { urgent });
     }
 
-    #take(origin: string, key: string, value: Buffer | undefined): void {
+    #handleUpdate(origin: string, key: string, value: Buffer | undefined): void {
         if (value === undefined) {
             return;
         }
         if (key.startsWith(evidencePrefix)) {
             const counts = JSON.parse(value.toString()) as EvidenceCounts;
-            this.#forgetEndedRun(origin);
-            const run = this.#getRun(origin);
-            this.#runs.set(origin, run);
-            this.#options.evidence.merge(run, counts);
+            this.#forgetPastIncarnation(origin);
+            const incarnationKey = this.#getIncarnationKey(origin);
+            this.#incarnationKeys.set(origin, incarnationKey);
+            this.#options.evidence.merge(incarnationKey, counts);
         }
         else if (key === exposuresKey) {
             this.#options.exposures.merge(origin, JSON.parse(value.toString()) as ExposureCounts);
         }
         else if (key.startsWith(haltPrefix)) {
-            this.#takeHalt(value);
+            this.#handleHalt(value);
         }
         else if (key.startsWith(leavingUpstreamPrefix)) {
             this.#options.runners.markLeaving(key.slice(leavingUpstreamPrefix.length));
@@ -146,7 +146,7 @@
     }
 
     /** A restarted entry counts from zero, so its runs must not be taken for one another. */
-    #getRun(origin: string): string {
+    #getIncarnationKey(origin: string): string {
         return `${origin}/${this.#options.getIncarnation(origin)}`;
     }
 
@@ -154,21 +154,21 @@
      * Marks the counts of runs that are over, so that they go once they are too old to matter. At a site that replaces
      * its entries every day, memory would otherwise grow by a whole entry's counts with each of them.
      */
-    #forgetEndedRuns(): void {
-        for (const origin of this.#runs.keys()) {
-            this.#forgetEndedRun(origin);
+    #forgetPastIncarnations(): void {
+        for (const origin of this.#incarnationKeys.keys()) {
+            this.#forgetPastIncarnation(origin);
         }
     }
 
-    #forgetEndedRun(origin: string): void {
-        const run = this.#runs.get(origin);
-        if (run !== undefined && run !== this.#getRun(origin)) {
-            this.#runs.delete(origin);
-            this.#options.evidence.forget(run);
+    #forgetPastIncarnation(origin: string): void {
+        const incarnationKey = this.#incarnationKeys.get(origin);
+        if (incarnationKey !== undefined && incarnationKey !== this.#getIncarnationKey(origin)) {
+            this.#incarnationKeys.delete(origin);
+            this.#options.evidence.forget(incarnationKey);
         }
     }
 
-    #takeHalt(value: Buffer): void {
+    #handleHalt(value: Buffer): void {
         const halt = haltSchema.safeParse(JSON.parse(value.toString()));
         if (halt.success) {
             this.#options.rollouts.addHalt(halt.data);
--- a/src/entry/stateFetcher.ts
+++ b/src/entry/stateFetcher.ts
@@ -12,18 +12,18 @@
 const controlStream = "control";
 
 /** A configuration that was confirmed this long ago needs no peer's word yet, in milliseconds. */
-const leastCurrentMilliseconds = 3000;
+const minFetchAgeMilliseconds = 3000;
 /** What an answer of the log may take beyond the wait of a long poll. */
 const slackMilliseconds = 500;
 /** Peers that are asked in one round, at most. */
-const askedPeers = 3;
+const maxPeersPerRound = 3;
 
 /** What a fetcher works with. */
 export interface StateFetcherOptions {
     readonly clock: Clock;
     readonly configuration: Pick<
         ConfigurationReader,
-        "confirm" | "exportState" | "getAge" | "getFormat" | "getOffset" | "offer"
+        "confirm" | "exportState" | "getAge" | "getFormat" | "getOffset" | "importState"
     >;
     readonly control: Pick<ControlReader, "exportState" | "getOffset" | "importState">;
     readonly membership: Pick<Membership, "getMembers">;
@@ -32,7 +32,7 @@
     readonly self: string;
     readonly getCounter: () => number;
     /** Draws one of a number of peers. */
-    readonly draw: (bound: number) => number;
+    readonly nextInteger: (bound: number) => number;
     /** How long a long poll of the log waits. */
     readonly logWaitMilliseconds: number;
 }
@@ -41,13 +41,13 @@
 export class StateFetcher {
     readonly #options: StateFetcherOptions;
     readonly #task: RepeatedTask;
-    readonly #currentMilliseconds: number;
+    readonly #fetchAgeMilliseconds: number;
 
     constructor(options: StateFetcherOptions) {
         // A read confirms the configuration as of when it was asked, and the next one ends a wait later. Up to two waits
         // are thus ordinary; with a lower bound, nodes that the log answers asked three peers for half of the time.
-        const ordinary = 2 * options.logWaitMilliseconds + slackMilliseconds;
-        this.#currentMilliseconds = Math.max(leastCurrentMilliseconds, ordinary);
+        const maxNormalAgeMilliseconds = 2 * options.logWaitMilliseconds + slackMilliseconds;
+        this.#fetchAgeMilliseconds = Math.max(minFetchAgeMilliseconds, maxNormalAgeMilliseconds);
         this.#options = options;
         this.#task = new RepeatedTask({ run: () => this.#fetch(), pauseMilliseconds });
     }
@@ -88,7 +88,7 @@
 
     async #fetch(): Promise<void> {
         const { configuration } = this.#options;
-        if (configuration.getAge() < this.#currentMilliseconds) {
+        if (configuration.getAge() < this.#fetchAgeMilliseconds) {
             return;
         }
         for (const peer of this.#pickPeers()) {
@@ -98,11 +98,11 @@
     }
 
     #pickPeers(): readonly Member[] {
-        const { membership, self, draw } = this.#options;
+        const { membership, self, nextInteger } = this.#options;
         const others = membership.getMembers().filter(member => member.id !== self && member.state === "alive");
         const picked: Member[] = [];
-        while (picked.length < askedPeers && others.length > 0) {
-            picked.push(...others.splice(draw(others.length), 1));
+        while (picked.length < maxPeersPerRound && others.length > 0) {
+            picked.push(...others.splice(nextInteger(others.length), 1));
         }
         return picked;
     }
@@ -113,29 +113,29 @@
      */
     async #fetchConfiguration(peer: Member): Promise<void> {
         const { configuration, clock } = this.#options;
-        const askedAt = clock.monotonic();
-        const reply = await this.#ask(peer, configurationStream, configuration.getOffset());
+        const requestedAt = clock.monotonic();
+        const reply = await this.#requestState(peer, configurationStream, configuration.getOffset());
         if (reply === undefined) {
             return;
         }
         if (reply.newer) {
             const { state } = decode(reply.state) as { state: unknown; };
-            configuration.offer(state, reply.offset);
+            configuration.importState(state, reply.offset);
         }
         if (reply.offset === configuration.getOffset()) {
-            configuration.confirm(askedAt - reply.ageMilliseconds);
+            configuration.confirm(requestedAt - reply.ageMilliseconds);
         }
     }
 
     async #fetchControl(peer: Member): Promise<void> {
         const { control } = this.#options;
-        const reply = await this.#ask(peer, controlStream, control.getOffset());
+        const reply = await this.#requestState(peer, controlStream, control.getOffset());
         if (reply?.newer === true) {
             control.importState(decode(reply.state));
         }
     }
 
-    async #ask(peer: Member, stream: string, knownOffset: number): Promise<FetchStateReply | undefined> {
+    async #requestState(peer: Member, stream: string, knownOffset: number): Promise<FetchStateReply | undefined> {
         const reply = await this.#options.client.fetchState(peer, {
             stream,
             knownOffset,
--- a/src/entry/status.ts
+++ b/src/entry/status.ts
@@ -13,11 +13,11 @@
  * @param cradle - The entry's parts.
  */
 export function createStatus(cradle: Cradle): object {
-    const { configuration, control, membership, rollouts, leases, lease, bills, billKeeper } = cradle;
+    const { configuration, control, membership, rollouts, leases, lease, bills, billReplicas } = cradle;
     return {
         entry: cradle.self.id,
         failureDomain: cradle.self.failureDomain,
-        ready: cradle.state.isReady(),
+        ready: cradle.entryState.isReady(),
         configurationOffset: configuration.getOffset(),
         configurationAgeMilliseconds: toFinite(configuration.getAge()),
         controlOffset: control.getOffset(),
@@ -35,12 +35,12 @@
             halted: rollouts.isHalted(version.id),
         })),
         rollouts: rollouts.getRollouts(),
-        waitingRollouts: cradle.driver.getWaiting(),
-        orders: cradle.orders.getStatus(),
+        waitingRollouts: cradle.rolloutDriver.getWaitingRollouts(),
+        orders: cradle.orderDriver.getStatus(),
         halts: rollouts.getHalts(),
         limits: createLimits(cradle.admission),
         serviceLimits: createLimits(cradle.serviceAdmission),
-        bills: { waiting: bills.getSize(), kept: billKeeper.getSize(), full: bills.isFull() },
+        bills: { waiting: bills.getSize(), kept: billReplicas.getSize(), full: bills.isFull() },
         ownProtocol: newestProtocol,
         commonProtocol: membership.getCommonProtocol(),
         upstreams: cradle.runners.getSubset().map(({ id, pool, failureDomain }) => ({
--- a/src/entry/storedAnswer.ts
+++ b/src/entry/storedAnswer.ts
@@ -7,7 +7,7 @@
 import type { ServiceAnswer } from "../upstream/index.js";
 
 /** Largest body that is stored, in bytes. A larger one is replaced by its absence; the status is kept. */
-const maximumStoredBytes = 16 * 1024;
+const maxStoredBodyBytes = 16 * 1024;
 
 const storedSchema = z.object({
     status: z.number().int(),
@@ -20,7 +20,7 @@
  * @param answer - The answer.
  */
 export function packAnswer(answer: ServiceAnswer): string {
-    const body = answer.body.byteLength <= maximumStoredBytes
+    const body = answer.body.byteLength <= maxStoredBodyBytes
         ? Buffer.from(answer.body).toString("base64")
         : undefined;
     return JSON.stringify({ status: answer.status, headers: answer.headers, body });
--- a/src/entry/streamCancellation.ts
+++ b/src/entry/streamCancellation.ts
@@ -9,7 +9,7 @@
  * Pauses before each try to cancel a stream, in milliseconds. A busy engine takes a second or more to learn that a
  * reader has gone; given up earlier, the answer would go on to its end with nobody to read it.
  */
-const cancellationPauses = [0, 20, 80, 200, 500, 1000, 2000];
+const cancellationDelaysMilliseconds = [0, 20, 80, 200, 500, 1000, 2000];
 
 /**
  * Cancels a stream that nobody reads. This entry's own reading ended a moment ago, and the engine may learn of it later
@@ -24,7 +24,7 @@
     runner: Vm,
     streamId: string,
 ): Promise<TokenUsage | undefined> {
-    for (const pauseMilliseconds of cancellationPauses) {
+    for (const pauseMilliseconds of cancellationDelaysMilliseconds) {
         await sleep(pauseMilliseconds);
         const cancelled = await engines.cancel(runner, streamId, true);
         if (cancelled.isErr() || cancelled.value.kind !== "read") {
--- a/src/entry/ticketOutcome.ts
+++ b/src/entry/ticketOutcome.ts
@@ -9,10 +9,10 @@
  * A caller that left says nothing about the upstreams: counted as failures, impatient callers would lower the limit
  * until everybody else is refused.
  * @param refusal - Why there was no answer.
- * @param hasCallerLeft - Whether the caller's connection is gone.
+ * @param isCallerDisconnected - Whether the caller's connection is gone.
  */
-export function getTicketOutcome(refusal: Refusal, hasCallerLeft: boolean): "refused" | "failed" | "cancelled" {
-    if (hasCallerLeft) {
+export function getTicketOutcome(refusal: Refusal, isCallerDisconnected: boolean): "refused" | "failed" | "cancelled" {
+    if (isCallerDisconnected) {
         return "cancelled";
     }
     if (refusal.failure.kind === "deadline" || refusal.failure.kind === "upstream-failed") {
--- a/src/entry/versionPolicy.ts
+++ b/src/entry/versionPolicy.ts
@@ -34,12 +34,12 @@
      * Puts candidates in the place of settled versions where a roll-out exposes the caller.
      * @param plan - The plan on settled versions.
      * @param call - The call.
-     * @param caller - What decides whether the caller is exposed.
+     * @param exposureKey - What decides whether the caller is exposed.
      */
-    expose(plan: Plan, call: ChatCall, caller: string): Plan {
+    applyRollouts(plan: Plan, call: ChatCall, exposureKey: string): Plan {
         const steps: PlanStep[] = [];
         for (const step of plan.steps) {
-            const version = this.#pick(step.version, call, caller);
+            const version = this.#selectCandidate(step.version, call, exposureKey);
             steps.push(version === undefined ? step : { ...step, version });
         }
         return { ...plan, steps };
@@ -50,24 +50,24 @@
      * where the next one starts from. Without the finished ones a candidate would lose all its callers at the moment
      * at which it has passed, until an operator changes its status.
      */
-    #pick(settled: ModelVersion, call: ChatCall, caller: string): ModelVersion | undefined {
-        if (call.request.model === settled.id) {
+    #selectCandidate(stable: ModelVersion, call: ChatCall, exposureKey: string): ModelVersion | undefined {
+        if (call.request.model === stable.id) {
             return undefined;
         }
-        let picked: ModelVersion | undefined;
+        let selected: ModelVersion | undefined;
         for (const rollout of this.#rollouts.getRollouts()) {
-            const isUnderWay = rollout.state === "active" || rollout.state === "finished";
-            if (!isUnderWay || rollout.baseline !== (picked ?? settled).id) {
+            const isInEffect = rollout.state === "active" || rollout.state === "finished";
+            if (!isInEffect || rollout.baseline !== (selected ?? stable).id) {
                 continue;
             }
             const candidate = call.settings.allowedVersions.find(version => version.id === rollout.candidate);
             if (candidate === undefined || candidate.status === "draining" || this.isHalted(candidate.id)) {
                 continue;
             }
-            if (this.#router.pick({ rollout: rollout.id, caller }) === candidate.id) {
-                picked = candidate;
+            if (this.#router.pick({ rollout: rollout.id, caller: exposureKey }) === candidate.id) {
+                selected = candidate;
             }
         }
-        return picked;
+        return selected;
     }
 }
--- a/src/entry/versionSelection.ts
+++ b/src/entry/versionSelection.ts
@@ -20,13 +20,13 @@
  * @param options - What it depends on.
  */
 export function selectVersions(options: SelectionOptions): Result<readonly ModelVersion[], Failure> {
-    const named = options.allowed.filter(version => isNamed(version, options.model));
-    if (named.length === 0) {
+    const matching = options.allowed.filter(version => matchesModel(version, options.model));
+    if (matching.length === 0) {
         return err(createNotAllowedFailure(options.model));
     }
     const selected: ModelVersion[] = [];
-    for (const version of named) {
-        const takesNewWork = version.status === "serving" || isExactlyNamed(version, options.model);
+    for (const version of matching) {
+        const takesNewWork = version.status === "serving" || isVersionId(version, options.model);
         if (takesNewWork && version.status !== "draining" && !options.isHalted(version.id)) {
             selected.push(version);
         }
@@ -56,11 +56,11 @@
     return ok(version);
 }
 
-function isNamed(version: ModelVersion, model: string): boolean {
+function matchesModel(version: ModelVersion, model: string): boolean {
     return model === automaticModel || version.model === model || version.id === model;
 }
 
-function isExactlyNamed(version: ModelVersion, model: string): boolean {
+function isVersionId(version: ModelVersion, model: string): boolean {
     return version.id === model;
 }
 
--- a/src/entry/vmWatcher.ts
+++ b/src/entry/vmWatcher.ts
@@ -20,7 +20,7 @@
     readonly #options: VmWatcherOptions;
     readonly #task: RepeatedTask;
     #vms: ReadonlyMap<string, Vm> = new Map();
-    #list = noVms;
+    #lastList = noVms;
 
     constructor(options: VmWatcherOptions) {
         this.#options = options;
@@ -56,10 +56,10 @@
     /** Keeps the last list while the platform does not answer: an outage of the list must not empty the site. */
     async #read(): Promise<void> {
         const read = await this.#options.client.getVms();
-        if (read.isErr() || read.value === this.#list) {
+        if (read.isErr() || read.value === this.#lastList) {
             return;
         }
-        this.#list = read.value;
+        this.#lastList = read.value;
         this.#vms = new Map(read.value.map(vm => [vm.id, vm]));
         this.#options.onList(read.value);
     }
--- a/src/events/formatCatalogue.ts
+++ b/src/events/formatCatalogue.ts
@@ -3,7 +3,7 @@
  */
 import { type EventDefinition, events } from "./catalogue.js";
 
-const head = `# Events
+const header = `# Events
 
 Every event that a rattanlock process can write. \`DEBUG=rattanlock:*\` shows all of them, one JSON line each, on the
 standard error; \`DEBUG=rattanlock:warning,rattanlock:error\` shows those that an operator should look at. Each line holds
@@ -20,7 +20,7 @@
 export function formatCatalogue(): string {
     const definitions: EventDefinition[] = Object.values(events);
     definitions.sort((left, right) => left.number - right.number);
-    let text = head;
+    let text = header;
     for (const { number, name, level, description } of definitions) {
         text += `| ${number} | ${name} | ${level} | ${description} |\n`;
     }
--- a/src/events/lineWriter.ts
+++ b/src/events/lineWriter.ts
@@ -11,14 +11,14 @@
 const linesPerSecond = 400;
 const burstLines = 1_200;
 /** Bytes that may wait for a slow reader; beyond them lines are left out. */
-const mostWaitingBytes = 512 * 1024;
+const maxPendingBytes = 512 * 1024;
 /**
  * Lines are written together after so long, in milliseconds. Each write on its own goes through a thread of the runtime's pool:
  * a fifth of the processor time of a stream of 30 events went there. A process that is killed loses the lines of that time;
  * warnings and errors do not wait.
  */
-const gatherMilliseconds = 40;
-const standardOutput = 1;
+const flushDelayMilliseconds = 40;
+const standardOutputDescriptor = 1;
 
 /** Options of a line writer. */
 export interface LineWriterOptions {
@@ -31,27 +31,27 @@
 export class LineWriter {
     readonly #clock: Clock;
     readonly #output: Writable;
-    #allowance = burstLines;
+    #availableLines = burstLines;
     #refilledAt: number;
-    #gathered: string[] = [];
-    #gatheredLength = 0;
+    #buffered: string[] = [];
+    #bufferedLength = 0;
     #timer: NodeJS.Timeout | undefined;
-    #leftOut = 0;
-    #leftOutInAll = 0;
+    #droppedSinceReport = 0;
+    #droppedTotal = 0;
     #isBroken = false;
 
     constructor(options: LineWriterOptions) {
         this.#clock = options.clock;
         // A pipe behind process.stdout is written synchronously: a reader that stalls would stop the whole process.
-        this.#output = options.output ?? createWriteStream("", { fd: standardOutput, autoClose: false });
+        this.#output = options.output ?? createWriteStream("", { fd: standardOutputDescriptor, autoClose: false });
         // Whoever reads the lines may go away. Unheard, the error ends the process, and callers lose a node for its log.
         this.#output.on("error", () => this.#isBroken = true);
         this.#refilledAt = options.clock.monotonic();
     }
 
     /** Returns how many lines were left out since the start. */
-    getLeftOut(): number {
-        return this.#leftOutInAll;
+    getDroppedCount(): number {
+        return this.#droppedTotal;
     }
 
     /**
@@ -61,21 +61,21 @@
     write(line: EventLine): void {
         this.#refill();
         const reserve = line.level === "info" ? burstLines / 4 : 0;
-        const waiting = this.#output.writableLength + this.#gatheredLength;
-        if (this.#isBroken || this.#allowance <= reserve || waiting > mostWaitingBytes) {
-            this.#leftOut += 1;
-            this.#leftOutInAll += 1;
+        const pendingLength = this.#output.writableLength + this.#bufferedLength;
+        if (this.#isBroken || this.#availableLines <= reserve || pendingLength > maxPendingBytes) {
+            this.#droppedSinceReport += 1;
+            this.#droppedTotal += 1;
             return;
         }
-        if (this.#leftOut > 0) {
-            const count = this.#leftOut;
-            this.#leftOut = 0;
+        if (this.#droppedSinceReport > 0) {
+            const count = this.#droppedSinceReport;
+            this.#droppedSinceReport = 0;
             const { number, name, level } = events.linesLeftOut;
-            this.#print({ ...line, event: number, name, level, request: undefined, count });
+            this.#enqueue({ ...line, event: number, name, level, request: undefined, count });
         }
-        this.#print(line);
+        this.#enqueue(line);
         if (line.level === "info") {
-            this.#timer ??= setTimeout(() => void this.flush(), gatherMilliseconds);
+            this.#timer ??= setTimeout(() => void this.flush(), flushDelayMilliseconds);
         }
         else {
             void this.flush();
@@ -86,23 +86,23 @@
     flush(): Promise<void> {
         clearTimeout(this.#timer);
         this.#timer = undefined;
-        const text = this.#gathered.join("");
-        this.#gathered = [];
-        this.#gatheredLength = 0;
+        const text = this.#buffered.join("");
+        this.#buffered = [];
+        this.#bufferedLength = 0;
         return this.#isBroken ? Promise.resolve() : new Promise(resolve => this.#output.write(text, () => resolve()));
     }
 
-    #print(line: EventLine & { readonly count?: number; }): void {
-        this.#allowance -= 1;
+    #enqueue(line: EventLine & { readonly count?: number; }): void {
+        this.#availableLines -= 1;
         const text = `${JSON.stringify(line)}\n`;
-        this.#gathered.push(text);
-        this.#gatheredLength += text.length;
+        this.#buffered.push(text);
+        this.#bufferedLength += text.length;
     }
 
     #refill(): void {
         const now = this.#clock.monotonic();
-        const gained = (now - this.#refilledAt) / 1_000 * linesPerSecond;
-        this.#allowance = Math.min(burstLines, this.#allowance + gained);
+        const refilledLines = (now - this.#refilledAt) / 1_000 * linesPerSecond;
+        this.#availableLines = Math.min(burstLines, this.#availableLines + refilledLines);
         this.#refilledAt = now;
     }
 }
--- a/src/load/loadCommand.ts
+++ b/src/load/loadCommand.ts
@@ -5,7 +5,7 @@
 import { readFileSync, writeFileSync } from "node:fs";
 import { parseArgs } from "node:util";
 import { Failure } from "../common/index.js";
-import { formatMistake } from "../settings/index.js";
+import { formatValidationError } from "../settings/index.js";
 import { compareResults, formatDifferences } from "./compare.js";
 import { type LoadResult, parseLoadResult } from "./loadResult.js";
 import type { LoadRunOptions } from "./loadRun.js";
@@ -134,7 +134,7 @@
 
 function readProfile(content: string, file: string) {
     return parseLoadProfile(content, file).mapErr(mistakes =>
-        createRefusal("The load profile cannot be used.", mistakes.map(formatMistake).join("\n"))
+        createRefusal("The load profile cannot be used.", mistakes.map(formatValidationError).join("\n"))
     );
 }
 
--- a/src/load/profile.ts
+++ b/src/load/profile.ts
@@ -9,7 +9,6 @@
     defineSection,
     getValues,
     integer,
-    type Mistake,
     name,
     optional,
     type SectionSchema,
@@ -19,6 +18,7 @@
     type SettingValues,
     text,
     toggle,
+    type ValidationError,
 } from "../settings/index.js";
 
 const loadSection = defineSection("load", "How much load there is and what counts as a good answer.", {
@@ -26,45 +26,45 @@
         description: "Requests that arrive per second on average; `--rate` goes before it.",
         example: "20",
         defaultText: "10",
-        minimum: 0.01,
-        maximum: 100_000,
+        min: 0.01,
+        max: 100_000,
     }),
     seconds: decimal({
         description: "How long requests arrive; `--seconds` goes before it.",
         example: "60",
         defaultText: "30",
-        minimum: 0.1,
-        maximum: 86_400,
+        min: 0.1,
+        max: 86_400,
     }),
     seed: integer({
         description: "Seed of the arrivals and the mix; `--seed` goes before it.",
         example: "7",
         defaultText: "1",
-        minimum: 0,
-        maximum: 2_147_483_647,
+        min: 0,
+        max: 2_147_483_647,
     }),
     first_token_ms: integer({
         description:
             "An answer is good when its first token, or else the whole of it, comes this soon after its intended arrival.",
         example: "900",
         defaultText: "900",
-        minimum: 1,
-        maximum: 600_000,
+        min: 1,
+        max: 600_000,
     }),
     bound_ms: integer({
         description: "How long a caller waits for one try.",
         example: "30000",
         defaultText: "30000",
-        minimum: 1,
-        maximum: 600_000,
+        min: 1,
+        max: 600_000,
     }),
     tries: integer({
         description:
             "How often a caller sends a request at most, when it is told to come back or its connection fails.",
         example: "3",
         defaultText: "3",
-        minimum: 1,
-        maximum: 100,
+        min: 1,
+        max: 100,
     }),
 }, false);
 
@@ -82,8 +82,8 @@
         description: "Part of all requests, relative to the other sections.",
         example: "3",
         defaultText: "1",
-        minimum: 0,
-        maximum: 1_000_000,
+        min: 0,
+        max: 1_000_000,
     }),
     model: text({ description: "The model to ask for.", example: "auto", defaultText: "auto" }),
     application: optional(name({ description: "The application within the workspace.", example: "declarations" })),
@@ -93,35 +93,35 @@
         description: "Length of the history that stands before each question.",
         example: "12000",
         defaultText: "200",
-        minimum: 0,
-        maximum: 1_000_000,
+        min: 0,
+        max: 1_000_000,
     }),
     histories: integer({
         description: "How many different histories there are; requests over one history share a prompt prefix.",
         example: "20",
         defaultText: "20",
-        minimum: 1,
-        maximum: 1_000_000,
+        min: 1,
+        max: 1_000_000,
     }),
     maximum_tokens: optional(integer({
         description: "Most tokens of an answer.",
         example: "256",
-        minimum: 1,
-        maximum: 1_000_000,
+        min: 1,
+        max: 1_000_000,
     })),
     open_sessions: integer({
         description: "How many sessions of a conversation are open at a time.",
         example: "8",
         defaultText: "8",
-        minimum: 1,
-        maximum: 100_000,
+        min: 1,
+        max: 100_000,
     }),
     turns: integer({
         description: "Questions in a session before a new one takes its place.",
         example: "4",
         defaultText: "4",
-        minimum: 1,
-        maximum: 10_000,
+        min: 1,
+        max: 10_000,
     }),
     pool: optional(name({ description: "The pool of a plain service.", example: "label-app" })),
     path: text({ description: "The path of the service's calls.", example: "/print", defaultText: "/" }),
@@ -158,7 +158,7 @@
  * @param content - The text of the file.
  * @param file - The file's name, for messages.
  */
-export function parseLoadProfile(content: string, file: string): Result<LoadProfile, readonly Mistake[]> {
+export function parseLoadProfile(content: string, file: string): Result<LoadProfile, readonly ValidationError[]> {
     return checkSettings(content, file, profileSchema).andThen(document => {
         const mistakes = checkWorks(document);
         if (mistakes.length > 0) {
@@ -184,8 +184,8 @@
     return { ...values, key, name: section.slice("work.".length) };
 }
 
-function checkWorks(document: SettingDocument): readonly Mistake[] {
-    const mistakes: Mistake[] = [];
+function checkWorks(document: SettingDocument): readonly ValidationError[] {
+    const mistakes: ValidationError[] = [];
     let shares = 0;
     for (const section of getNames(document, "work")) {
         const { workspace, kind, pool, share } = getValues(document, section, workSection);
--- a/src/platform/node.ts
+++ b/src/platform/node.ts
@@ -5,7 +5,7 @@
 import type { Server } from "node:net";
 import { setTimeout as sleep } from "node:timers/promises";
 import { events } from "../events/index.js";
-import { formatMistake } from "../settings/index.js";
+import { formatValidationError } from "../settings/index.js";
 import { createNodeContainer, type NodeParts } from "./nodeParts.js";
 import { type NodeSettings, parseNodeSettings } from "./nodeSettings.js";
 
@@ -77,7 +77,10 @@
                 journal.write(events.settingsReloaded, { file });
             },
             validationErrors => {
-                journal.write(events.settingsRefused, { file, cause: validationErrors.map(formatMistake).join(" ") });
+                journal.write(events.settingsRefused, {
+                    file,
+                    cause: validationErrors.map(formatValidationError).join(" "),
+                });
             },
         );
     }
--- a/src/platform/nodeParts.ts
+++ b/src/platform/nodeParts.ts
@@ -235,7 +235,7 @@
     metrics.configurationAge.set(topics.getConfigurationAge() / 1_000);
     metrics.members.set(membership.getAlive().length);
     metrics.upstreams.set([...registry.getAll()].length);
-    metrics.linesLeftOut.set(lineWriter.getLeftOut());
+    metrics.linesLeftOut.set(lineWriter.getDroppedCount());
     return { type: metrics.registry.contentType, text: await metrics.registry.metrics() };
 }
 
--- a/src/platform/nodeSettings.ts
+++ b/src/platform/nodeSettings.ts
@@ -3,7 +3,7 @@
  */
 import { err, ok, type Result } from "neverthrow";
 import { z } from "zod";
-import { type Mistake, parseDocument } from "../settings/index.js";
+import { parseDocument, type ValidationError } from "../settings/index.js";
 
 /** Where to listen or call. */
 export interface Endpoint {
@@ -117,16 +117,16 @@
  * @param content - The file's content.
  * @param file - Its name, for messages.
  */
-export function parseNodeSettings(content: string, file: string): Result<NodeSettings, readonly Mistake[]> {
+export function parseNodeSettings(content: string, file: string): Result<NodeSettings, readonly ValidationError[]> {
     const document = parseDocument(content, file);
     const raw: Record<string, Record<string, string>> = {};
     for (const section of document.sections.values()) {
         raw[section.name] = Object.fromEntries(Array.from(section.lines.values(), line => [line.key, line.value]));
     }
     const parsed = settingsSchema.safeParse(raw);
-    if (!parsed.success || document.mistakes.length > 0) {
+    if (!parsed.success || document.errors.length > 0) {
         const issues = parsed.error?.issues ?? [];
-        return err([...document.mistakes, ...issues.map(issue => toValidationError(issue, document, file))]);
+        return err([...document.errors, ...issues.map(issue => toValidationError(issue, document, file))]);
     }
     const { node, listen, peers, store, bounds } = parsed.data;
     return ok({
@@ -153,7 +153,11 @@
     });
 }
 
-function toValidationError(issue: z.core.$ZodIssue, document: ReturnType<typeof parseDocument>, file: string): Mistake {
+function toValidationError(
+    issue: z.core.$ZodIssue,
+    document: ReturnType<typeof parseDocument>,
+    file: string,
+): ValidationError {
     const [section, key] = issue.path.map(String);
     const found = document.sections.get(section ?? "");
     return {
--- a/src/platform/program.ts
+++ b/src/platform/program.ts
@@ -4,7 +4,7 @@
 import { readFileSync } from "node:fs";
 import type { Server } from "node:net";
 import { events } from "../events/index.js";
-import { formatMistake } from "../settings/index.js";
+import { formatValidationError } from "../settings/index.js";
 import { PlatformNode } from "./node.js";
 import { parseNodeSettings } from "./nodeSettings.js";
 
@@ -33,7 +33,7 @@
     const parsed = parseNodeSettings(readFileSync(file, "utf8"), file);
     if (parsed.isErr()) {
         for (const validationError of parsed.error) {
-            console.error(formatMistake(validationError));
+            console.error(formatValidationError(validationError));
         }
         process.exit(exitCodes.badInput);
     }
--- a/src/settings/entrySettings.ts
+++ b/src/settings/entrySettings.ts
@@ -2,27 +2,27 @@
  * Settings of the processes: entries and the ledger.
  */
 import { err, ok, type Result } from "neverthrow";
-import type { Mistake } from "./mistake.js";
 import type { SettingDocument } from "./settingDocument.js";
 import { address, httpUrl, integer, name, optional, secret, type SettingValues, text, toggle } from "./settingKey.js";
 import { checkSettings, defineSection, getValues, type SettingSchema } from "./settingSchema.js";
+import type { ValidationError } from "./validationError.js";
 
-const second = 1_000;
-const minute = 60 * second;
+const millisecondsPerSecond = 1_000;
+const millisecondsPerMinute = 60 * millisecondsPerSecond;
 /** A shorter secret could be guessed, and with it the version that a session is pinned to could be chosen by callers. */
-const signingKeyLength = 32;
+const minSigningKeyLength = 32;
 
 /** Within less time hardly a rating comes in, and a version would be compared with its own first bad answers. */
-const leastWindowSeconds = 10;
+const minWindowSeconds = 10;
 
-function milliseconds(description: string, defaultMilliseconds: number, maximum = 10 * minute) {
+function createMillisecondsKey(description: string, defaultMilliseconds: number, max = 10 * millisecondsPerMinute) {
     const defaultText = String(defaultMilliseconds);
-    return integer({ description, defaultText, example: defaultText, minimum: 1, maximum, unit: "milliseconds" });
+    return integer({ description, defaultText, example: defaultText, min: 1, max, unit: "milliseconds" });
 }
 
-function count(description: string, defaultCount: number, maximum = 1_000_000) {
+function createCountKey(description: string, defaultCount: number, max = 1_000_000) {
     const defaultText = String(defaultCount);
-    return integer({ description, defaultText, example: defaultText, minimum: 1, maximum });
+    return integer({ description, defaultText, example: defaultText, min: 1, max });
 }
 
 const processSection = defineSection("process", "Who the process is and where it runs.", {
@@ -48,19 +48,28 @@
 });
 
 const timingSection = defineSection("timing", "How often and how long.", {
-    gossip_interval_ms: milliseconds("Pause between two exchanges with peers.", 500),
-    peer_timeout_ms: milliseconds("A peer that answers no call for this long counts as gone.", 3 * second),
-    lease_term_ms: milliseconds("Term of a lease.", 10 * second),
-    lease_drift_ms: milliseconds("Allowance for clocks that run at different rates.", second),
-    vm_list_interval_ms: milliseconds("Pause between two reads of the VM list.", second),
-    load_interval_ms: milliseconds("Shortest pause between two reads of an upstream's load.", 500),
-    order_interval_ms: milliseconds("Pause between two looks at which versions engines have loaded.", 2 * second),
-    log_timeout_ms: milliseconds("How long to wait for an answer of the log.", 5 * second),
-    log_wait_ms: milliseconds("How long a long poll of the log waits.", 2 * second),
-    upstream_connect_timeout_ms: milliseconds("How long to wait for a connection to an upstream.", second),
-    upstream_idle_timeout_ms: milliseconds(
+    gossip_interval_ms: createMillisecondsKey("Pause between two exchanges with peers.", 500),
+    peer_timeout_ms: createMillisecondsKey(
+        "A peer that answers no call for this long counts as gone.",
+        3 * millisecondsPerSecond,
+    ),
+    lease_term_ms: createMillisecondsKey("Term of a lease.", 10 * millisecondsPerSecond),
+    lease_drift_ms: createMillisecondsKey("Allowance for clocks that run at different rates.", millisecondsPerSecond),
+    vm_list_interval_ms: createMillisecondsKey("Pause between two reads of the VM list.", millisecondsPerSecond),
+    load_interval_ms: createMillisecondsKey("Shortest pause between two reads of an upstream's load.", 500),
+    order_interval_ms: createMillisecondsKey(
+        "Pause between two looks at which versions engines have loaded.",
+        2 * millisecondsPerSecond,
+    ),
+    log_timeout_ms: createMillisecondsKey("How long to wait for an answer of the log.", 5 * millisecondsPerSecond),
+    log_wait_ms: createMillisecondsKey("How long a long poll of the log waits.", 2 * millisecondsPerSecond),
+    upstream_connect_timeout_ms: createMillisecondsKey(
+        "How long to wait for a connection to an upstream.",
+        millisecondsPerSecond,
+    ),
+    upstream_idle_timeout_ms: createMillisecondsKey(
         "How long an upstream may send nothing before it counts as lost.",
-        30 * second,
+        30 * millisecondsPerSecond,
     ),
     settled_window_s: integer({
         description:
@@ -68,41 +77,54 @@
             + "older. Set it alike at all entries.",
         defaultText: "600",
         example: "600",
-        minimum: leastWindowSeconds,
-        maximum: 86_400,
+        min: minWindowSeconds,
+        max: 86_400,
         unit: "seconds",
     }),
-    addresses_keep_ms: milliseconds("How long callers may keep the answer about addresses.", 10 * second),
-    resume_grace_ms: milliseconds(
+    addresses_keep_ms: createMillisecondsKey(
+        "How long callers may keep the answer about addresses.",
+        10 * millisecondsPerSecond,
+    ),
+    resume_grace_ms: createMillisecondsKey(
         "How long an answer goes on whose caller vanished, so that it can be resumed.",
         3_000,
     ),
-    drain_timeout_ms: milliseconds("How long a graceful shutdown waits for open streams.", 2 * minute),
-    bill_flush_ms: milliseconds("Pause between two appends of bills.", second),
-    claim_batch_ms: milliseconds("How long a collector gathers claims before it appends them.", 10),
-    snapshot_interval_ms: milliseconds(
+    drain_timeout_ms: createMillisecondsKey(
+        "How long a graceful shutdown waits for open streams.",
+        2 * millisecondsPerMinute,
+    ),
+    bill_flush_ms: createMillisecondsKey("Pause between two appends of bills.", millisecondsPerSecond),
+    claim_batch_ms: createMillisecondsKey("How long a collector gathers claims before it appends them.", 10),
+    snapshot_interval_ms: createMillisecondsKey(
         "Pause between two snapshots in the log; keep it well under the log's retention.",
-        10 * minute,
-        24 * 60 * minute,
+        10 * millisecondsPerMinute,
+        24 * 60 * millisecondsPerMinute,
     ),
 }, false);
 
 const limitsSection = defineSection("limits", "Bounds of what the process keeps and takes.", {
-    body_bytes: count("Largest body of a request, in bytes.", 8_388_608, 134_217_728),
-    open_requests: count("Requests that it works on at once.", 2_000),
-    kept_bills: count("Bills that wait for the log; above it, new work is refused.", 50_000),
-    kept_stream_bytes: count("Bytes of finished streams kept for callers who resume.", 33_554_432, 1_073_741_824),
-    sessions: count("Session pins kept in memory.", 200_000),
+    body_bytes: createCountKey("Largest body of a request, in bytes.", 8_388_608, 134_217_728),
+    open_requests: createCountKey("Requests that it works on at once.", 2_000),
+    kept_bills: createCountKey("Bills that wait for the log; above it, new work is refused.", 50_000),
+    kept_stream_bytes: createCountKey(
+        "Bytes of finished streams kept for callers who resume.",
+        33_554_432,
+        1_073_741_824,
+    ),
+    sessions: createCountKey("Session pins kept in memory.", 200_000),
     retry_percent: integer({
         description: "Retries allowed, as a part of first attempts.",
         defaultText: "10",
         example: "10",
-        minimum: 0,
-        maximum: 100,
+        min: 0,
+        max: 100,
         unit: "percent",
     }),
-    load_polls: count("Upstreams that the process asks for their load in a second; longest unheard first.", 16),
-    subset: count("Upstreams of a pool that the process probes for load.", 32),
+    load_polls: createCountKey(
+        "Upstreams that the process asks for their load in a second; longest unheard first.",
+        16,
+    ),
+    subset: createCountKey("Upstreams of a pool that the process probes for load.", 32),
 }, false);
 
 const certificateKeys = {
@@ -131,12 +153,12 @@
 
 const sessionSection = defineSection("session", "Session tokens.", {
     signing_key: secret({
-        minimumLength: signingKeyLength,
+        minLength: minSigningKeyLength,
         description: "Secret that signs session tokens, the same on every entry of the site.",
         example: "replace-me-with-32-random-characters",
     }),
     previous_signing_key: optional(secret({
-        minimumLength: signingKeyLength,
+        minLength: minSigningKeyLength,
         description: "Secret that is still accepted while the site changes to a new one.",
         example: "the-one-used-until-yesterday-32-characters",
     })),
@@ -205,10 +227,10 @@
  * @param content - The text of the file.
  * @param file - The file's name, for messages.
  */
-export function parseEntrySettings(content: string, file: string): Result<EntrySettings, readonly Mistake[]> {
+export function parseEntrySettings(content: string, file: string): Result<EntrySettings, readonly ValidationError[]> {
     return checkSettings(content, file, entrySchema).andThen(document => {
-        const mistakes = [tlsSection, upstreamTlsSection].flatMap(({ title }) => checkCertificates(document, title));
-        return mistakes.length === 0 ? ok(readEntry(document)) : err(mistakes);
+        const errors = [tlsSection, upstreamTlsSection].flatMap(({ title }) => checkCertificates(document, title));
+        return errors.length === 0 ? ok(readEntrySettings(document)) : err(errors);
     });
 }
 
@@ -217,7 +239,7 @@
  * @param content - The text of the file.
  * @param file - The file's name, for messages.
  */
-export function parseLedgerSettings(content: string, file: string): Result<LedgerSettings, readonly Mistake[]> {
+export function parseLedgerSettings(content: string, file: string): Result<LedgerSettings, readonly ValidationError[]> {
     return checkSettings(content, file, ledgerSchema).map(document => ({
         process: getValues(document, "process", processSection),
         platform: getValues(document, "platform", ledgerPlatformSection),
@@ -226,15 +248,15 @@
 }
 
 /** Keys that a section of certificates needs together; the server name is not always one. */
-const neededTlsKeys = ["certificate", "key", "authority"];
+const requiredTlsKeys = ["certificate", "key", "authority"];
 
 /** Checks that a section is whole: with a part of it missing, the talk would be in the clear or not at all. */
-function checkCertificates(document: SettingDocument, title: string): readonly Mistake[] {
+function checkCertificates(document: SettingDocument, title: string): readonly ValidationError[] {
     const section = document.sections.get(title);
     if (section === undefined) {
         return [];
     }
-    const missing = neededTlsKeys.filter(key => !section.lines.has(key));
+    const missing = requiredTlsKeys.filter(key => !section.lines.has(key));
     return missing.map(key => ({
         file: document.file,
         line: section.line,
@@ -245,7 +267,7 @@
     }));
 }
 
-function readEntry(document: SettingDocument): EntrySettings {
+function readEntrySettings(document: SettingDocument): EntrySettings {
     return {
         process: getValues(document, "process", processSection),
         listen: getValues(document, "listen", listenSection),
--- a/src/settings/reference.ts
+++ b/src/settings/reference.ts
@@ -25,8 +25,8 @@
 
 function formatSection(section: SectionSchema): readonly string[] {
     const rows = Object.entries(section.keys).map(([name, key]) => formatRow(name, key));
-    const head = ["| key | value | default | meaning |", "| --- | --- | --- | --- |"];
-    return [`### \`[${section.title}]\``, section.description, [...head, ...rows].join("\n")];
+    const header = ["| key | value | default | meaning |", "| --- | --- | --- | --- |"];
+    return [`### \`[${section.title}]\``, section.description, [...header, ...rows].join("\n")];
 }
 
 function formatRow(name: string, key: SettingKey<unknown>): string {
--- a/src/settings/settingDocument.ts
+++ b/src/settings/settingDocument.ts
@@ -5,7 +5,7 @@
  * nested objects, merge repeated sections without a word and forget the lines, all of which a message needs.
  */
 import { parse } from "ini";
-import type { Mistake } from "./mistake.js";
+import type { ValidationError } from "./validationError.js";
 
 /** One `key = value` line. */
 export interface SettingLine {
@@ -28,10 +28,10 @@
     readonly file: string;
     readonly sections: ReadonlyMap<string, SettingSection>;
     /** What is wrong with the text itself, whatever its keys mean. */
-    readonly mistakes: readonly Mistake[];
+    readonly errors: readonly ValidationError[];
 }
 
-interface OpenSection {
+interface MutableSection {
     readonly name: string;
     readonly line: number;
     readonly lines: Map<string, SettingLine>;
@@ -43,12 +43,12 @@
  * @param file - The file's name, for messages.
  */
 export function parseDocument(content: string, file: string): SettingDocument {
-    const sections = new Map<string, OpenSection>();
-    const mistakes: Mistake[] = [];
-    let section: OpenSection | undefined;
+    const sections = new Map<string, MutableSection>();
+    const errors: ValidationError[] = [];
+    let section: MutableSection | undefined;
     let line = 0;
-    const report = (key: string, message: string, remedy: string) => {
-        mistakes.push({ file, line, section: section?.name ?? "", key, message, remedy });
+    const addError = (key: string, message: string, remedy: string) => {
+        errors.push({ file, line, section: section?.name ?? "", key, message, remedy });
     };
     for (const lineText of content.split(/\r\n|\r|\n/)) {
         line += 1;
@@ -61,27 +61,27 @@
             const earlier = sections.get(name);
             section = { name, line, lines: new Map() };
             if (earlier !== undefined) {
-                report("", `The section already stands on line ${earlier.line}.`, "Join the two.");
+                addError("", `The section already stands on line ${earlier.line}.`, "Join the two.");
             }
             sections.set(name, earlier ?? section);
             continue;
         }
         const setting = parseLine(lineText, line);
         if (setting === undefined) {
-            report("", "The line is no section, key or comment.", "Write key = value, [section] or ; comment.");
+            addError("", "The line is no section, key or comment.", "Write key = value, [section] or ; comment.");
         }
         else if (section === undefined) {
-            report(setting.key, "The key stands before any section.", "Put it below a [section] line.");
+            addError(setting.key, "The key stands before any section.", "Put it below a [section] line.");
         }
         else if (section.lines.has(setting.key)) {
             const earlierLine = section.lines.get(setting.key)?.line;
-            report(setting.key, `The key already stands on line ${earlierLine}.`, "Keep one of the two.");
+            addError(setting.key, `The key already stands on line ${earlierLine}.`, "Keep one of the two.");
         }
         else {
             section.lines.set(setting.key, setting);
         }
     }
-    return { file, sections, mistakes };
+    return { file, sections, errors };
 }
 
 function isBlank(lineText: string): boolean {
--- a/src/settings/settingKey.ts
+++ b/src/settings/settingKey.ts
@@ -48,8 +48,8 @@
 }
 
 interface RangeOptions extends KeyOptions {
-    readonly minimum: number;
-    readonly maximum: number;
+    readonly min: number;
+    readonly max: number;
     readonly unit?: string;
 }
 
@@ -87,10 +87,10 @@
 }
 
 /** Makes a key with a secret of a least length. */
-export function secret(options: KeyOptions & { readonly minimumLength: number; }): SettingKey<string> {
-    const length = `${options.minimumLength} characters or more`;
+export function secret(options: KeyOptions & { readonly minLength: number; }): SettingKey<string> {
+    const length = `${options.minLength} characters or more`;
     return createKey(`text of ${length}`, options, value => {
-        return value.length < options.minimumLength ? err(`Write a secret of ${length}.`) : ok(value);
+        return value.length < options.minLength ? err(`Write a secret of ${length}.`) : ok(value);
     });
 }
 
@@ -129,10 +129,10 @@
 }
 
 /** Makes a key with one of a few words. */
-export function choice<T extends string>(words: readonly T[], options: KeyOptions): SettingKey<T> {
-    return createKey(words.join(", "), options, value => {
-        const word = words.find(candidate => candidate === value);
-        return word === undefined ? err(`Write one of ${words.join(", ")}.`) : ok(word);
+export function choice<T extends string>(values: readonly T[], options: KeyOptions): SettingKey<T> {
+    return createKey(values.join(", "), options, value => {
+        const match = values.find(candidate => candidate === value);
+        return match === undefined ? err(`Write one of ${values.join(", ")}.`) : ok(match);
     });
 }
 
@@ -162,20 +162,22 @@
 ): SettingKey<readonly string[]> {
     return createKey(`list of ${options.item}s`, options, value => {
         const items = value === "" ? [] : value.split(",").map(item => item.trim());
-        const wrong = items.find(item => !options.pattern.test(item));
-        return wrong === undefined
+        const invalidItem = items.find(item => !options.pattern.test(item));
+        return invalidItem === undefined
             ? ok(items)
-            : err(`"${wrong}" is not a ${options.item}; write a comma-separated list such as ${options.example}.`);
+            : err(
+                `"${invalidItem}" is not a ${options.item}; write a comma-separated list such as ${options.example}.`,
+            );
     });
 }
 
 function isWithin(value: number, options: RangeOptions): boolean {
-    return value >= options.minimum && value <= options.maximum;
+    return value >= options.min && value <= options.max;
 }
 
 function describeRange(kind: string, options: RangeOptions): string {
     const unit = options.unit === undefined ? "" : ` of ${options.unit}`;
-    return `${kind}${unit} from ${options.minimum} to ${options.maximum}`;
+    return `${kind}${unit} from ${options.min} to ${options.max}`;
 }
 
 function isPort(port: number): boolean {
--- a/src/settings/settingSchema.ts
+++ b/src/settings/settingSchema.ts
@@ -2,9 +2,9 @@
  * Schemas of settings files, and the check that reports every mistake of a file in one go.
  */
 import { err, ok, type Result } from "neverthrow";
-import { findNearest, type Mistake } from "./mistake.js";
 import { parseDocument, type SettingDocument, type SettingSection } from "./settingDocument.js";
 import { getPropertyName, type SettingKey, type SettingKeys, type SettingValues } from "./settingKey.js";
+import { findClosestName, type ValidationError } from "./validationError.js";
 
 /** One kind of section. */
 export interface SectionSchema<Keys extends SettingKeys = SettingKeys> {
@@ -51,26 +51,26 @@
     content: string,
     file: string,
     schema: SettingSchema,
-): Result<SettingDocument, readonly Mistake[]> {
+): Result<SettingDocument, readonly ValidationError[]> {
     const document = parseDocument(content, file);
-    const mistakes = [...document.mistakes];
+    const errors = [...document.errors];
     for (const section of document.sections.values()) {
         const sectionSchema = findSectionSchema(schema, section.name);
         if (sectionSchema === undefined) {
-            mistakes.push(createUnknownSection(file, section, schema));
+            errors.push(createUnknownSectionError(file, section, schema));
             continue;
         }
-        mistakes.push(...checkSection(file, section, sectionSchema));
+        errors.push(...checkSection(file, section, sectionSchema));
     }
     for (const sectionSchema of schema.sections) {
         const isAbsent = ![...document.sections.keys()].some(name => sectionSchema.pattern.test(name));
         if (sectionSchema.isRequired && isAbsent) {
-            const empty = { name: sectionSchema.title, line: 0, lines: new Map() };
-            mistakes.push(...checkSection(file, empty, sectionSchema));
+            const emptySection = { name: sectionSchema.title, line: 0, lines: new Map() };
+            errors.push(...checkSection(file, emptySection, sectionSchema));
         }
     }
-    mistakes.sort((left, right) => left.line - right.line);
-    return mistakes.length === 0 ? ok(document) : err(mistakes);
+    errors.sort((left, right) => left.line - right.line);
+    return errors.length === 0 ? ok(document) : err(errors);
 }
 
 /** Finds the kind of section that a name belongs to. */
@@ -98,15 +98,15 @@
     const lines = document.sections.get(name)?.lines;
     const values: Record<string, unknown> = {};
     for (const [keyName, key] of Object.entries(schema.keys)) {
-        const written = lines?.get(keyName)?.value ?? key.defaultText;
-        values[getPropertyName(keyName)] = written === undefined ? undefined : key.parse(written).unwrapOr(undefined);
+        const text = lines?.get(keyName)?.value ?? key.defaultText;
+        values[getPropertyName(keyName)] = text === undefined ? undefined : key.parse(text).unwrapOr(undefined);
     }
     return values as SettingValues<Keys>;
 }
 
 /** Says that a key is not known in a section, and which one may have been meant. */
-export function describeUnknownKey(key: string, schema: SectionSchema): Pick<Mistake, "message" | "remedy"> {
-    const nearest = findNearest(key, Object.keys(schema.keys));
+export function describeUnknownKey(key: string, schema: SectionSchema): Pick<ValidationError, "message" | "remedy"> {
+    const nearest = findClosestName(key, Object.keys(schema.keys));
     return {
         message: "The key is not known here.",
         remedy: nearest === undefined
@@ -115,13 +115,13 @@
     };
 }
 
-function checkSection(file: string, section: SettingSection, schema: SectionSchema): Mistake[] {
-    const mistakes: Mistake[] = [];
+function checkSection(file: string, section: SettingSection, schema: SectionSchema): ValidationError[] {
+    const errors: ValidationError[] = [];
     const place = { file, section: section.name };
     for (const setting of section.lines.values()) {
         const key = getKey(schema, setting.key);
         if (key === undefined) {
-            mistakes.push({
+            errors.push({
                 ...place,
                 line: setting.line,
                 key: setting.key,
@@ -132,21 +132,21 @@
         const parsed = key.parse(setting.value);
         if (parsed.isErr()) {
             const message = `"${setting.value}" cannot be used.`;
-            mistakes.push({ ...place, line: setting.line, key: setting.key, message, remedy: parsed.error });
+            errors.push({ ...place, line: setting.line, key: setting.key, message, remedy: parsed.error });
         }
     }
     for (const [name, key] of Object.entries(schema.keys)) {
         if (key.isRequired && !section.lines.has(name)) {
             const remedy = `Write, for instance, ${name} = ${key.example}.`;
-            mistakes.push({ ...place, line: section.line, key: name, message: "The key is missing.", remedy });
+            errors.push({ ...place, line: section.line, key: name, message: "The key is missing.", remedy });
         }
     }
-    return mistakes;
+    return errors;
 }
 
-function createUnknownSection(file: string, section: SettingSection, schema: SettingSchema): Mistake {
+function createUnknownSectionError(file: string, section: SettingSection, schema: SettingSchema): ValidationError {
     const titles = schema.sections.map(known => known.title);
-    const nearest = findNearest(section.name, titles);
+    const nearest = findClosestName(section.name, titles);
     return {
         file,
         line: section.line,
--- a/src/settings/siteSettings.ts
+++ b/src/settings/siteSettings.ts
@@ -2,9 +2,9 @@
  * Settings of operators' commands: where a site's platform is.
  */
 import { ok, type Result } from "neverthrow";
-import type { Mistake } from "./mistake.js";
 import { httpUrl, optional, type SettingValues } from "./settingKey.js";
 import { checkSettings, defineSection, getValues, type SettingSchema } from "./settingSchema.js";
+import type { ValidationError } from "./validationError.js";
 
 const platformSection = defineSection("platform", "Where the platform's services are.", {
     log_url: optional(httpUrl({ description: "The append-only log.", example: "http://10.0.0.2:7000" })),
@@ -26,7 +26,7 @@
  * @param content - The text of the file.
  * @param file - The file's name, for messages.
  */
-export function parseSiteSettings(content: string, file: string): Result<SiteSettings, readonly Mistake[]> {
+export function parseSiteSettings(content: string, file: string): Result<SiteSettings, readonly ValidationError[]> {
     return checkSettings(content, file, siteSchema)
         .andThen(document => ok(getValues(document, "platform", platformSection)));
 }
--- a/src/settings/mistake.ts
+++ b/src/settings/validationError.ts
@@ -3,7 +3,7 @@
  */
 
 /** One mistake in a settings file. */
-export interface Mistake {
+export interface ValidationError {
     readonly file: string;
     /** From 1; 0 when no line can be named, such as for a section that is missing. */
     readonly line: number;
@@ -16,10 +16,10 @@
 }
 
 /** Shows a mistake on one line, in the form that editors jump to. */
-export function formatMistake(mistake: Mistake): string {
-    const section = mistake.section === "" ? "" : `[${mistake.section}] `;
-    const key = mistake.key === "" ? "" : `${mistake.key}: `;
-    return `${mistake.file}:${mistake.line}: ${section}${key}${mistake.message} ${mistake.remedy}`;
+export function formatValidationError(error: ValidationError): string {
+    const section = error.section === "" ? "" : `[${error.section}] `;
+    const key = error.key === "" ? "" : `${error.key}: `;
+    return `${error.file}:${error.line}: ${section}${key}${error.message} ${error.remedy}`;
 }
 
 /**
@@ -27,7 +27,7 @@
  * @param name - What was written.
  * @param known - What could have been meant.
  */
-export function findNearest(name: string, known: Iterable<string>): string | undefined {
+export function findClosestName(name: string, known: Iterable<string>): string | undefined {
     let nearest: string | undefined;
     let nearestDistance = Math.max(2, Math.floor(name.length / 3)) + 1;
     for (const candidate of known) {
--- a/src/timeline/timeLine.ts
+++ b/src/timeline/timeLine.ts
@@ -19,7 +19,7 @@
  * @param lines - Events of any processes in any order; repeats are dropped.
  */
 export function mergeEvents(lines: Iterable<EventLine>): readonly TimeLineEvent[] {
-    const ordered = removeRepeats(lines).sort(compareEvents);
+    const ordered = removeDuplicates(lines).sort(compareEvents);
     const merged: TimeLineEvent[] = [];
     const start = ordered[0]?.time ?? 0;
     let shownMilliseconds = 0;
@@ -35,7 +35,7 @@
  * @param events - The time line.
  */
 export function formatTimeLine(events: readonly TimeLineEvent[]): string {
-    const width = getGreatestLength(events.map(({ line }) => line.process));
+    const width = getMaxLength(events.map(({ line }) => line.process));
     const rows: string[] = [];
     for (const { line, shownMilliseconds } of events) {
         const time = `+${shownMilliseconds.toFixed(0)} ms`.padStart(10);
@@ -62,12 +62,12 @@
 
 const commonFields: ReadonlySet<string> = new Set(["event", "name", "level", "process", "time", "counter"]);
 
-function removeRepeats(lines: Iterable<EventLine>): EventLine[] {
-    const known = new Map<string, EventLine>();
+function removeDuplicates(lines: Iterable<EventLine>): EventLine[] {
+    const uniqueLines = new Map<string, EventLine>();
     for (const line of lines) {
-        known.set(`${line.process}/${line.counter}/${line.event}`, line);
+        uniqueLines.set(`${line.process}/${line.counter}/${line.event}`, line);
     }
-    return [...known.values()];
+    return [...uniqueLines.values()];
 }
 
 function compareEvents(left: EventLine, right: EventLine): number {
@@ -77,10 +77,10 @@
     return left.time - right.time || (left.process < right.process ? -1 : 1);
 }
 
-function getGreatestLength(texts: readonly string[]): number {
-    let greatest = 0;
+function getMaxLength(texts: readonly string[]): number {
+    let maxLength = 0;
     for (const text of texts) {
-        greatest = Math.max(greatest, text.length);
+        maxLength = Math.max(maxLength, text.length);
     }
-    return greatest;
+    return maxLength;
 }
--- a/src/timeline/timeLinePage.ts
+++ b/src/timeline/timeLinePage.ts
@@ -5,9 +5,9 @@
 
 const laneWidth = 130;
 const rowHeight = 30;
-const headHeight = 46;
+const headerHeight = 46;
 const timeWidth = 90;
-const noteWidth = 560;
+const labelWidth = 560;
 const dotRadius = 5;
 
 const style = `
@@ -36,8 +36,8 @@
  */
 export function createTimeLinePage(title: string, events: readonly TimeLineEvent[]): string {
     const processes = [...new Set(events.map(({ line }) => line.process))].sort();
-    const width = timeWidth + processes.length * laneWidth + noteWidth;
-    const height = headHeight + events.length * rowHeight + rowHeight;
+    const width = timeWidth + processes.length * laneWidth + labelWidth;
+    const height = headerHeight + events.length * rowHeight + rowHeight;
     const parts = [
         ...processes.map((process, index) => drawLane(process, index, height)),
         ...events.map((event, index) => drawEvent(event, index, processes)),
@@ -64,31 +64,31 @@
 }
 
 function drawLane(process: string, index: number, height: number): string {
-    const x = getLane(index);
-    return `<line class="lane" x1="${x}" y1="${headHeight - 10}" x2="${x}" y2="${height}"/>`
-        + `<text class="process" x="${x}" y="${headHeight - 20}" text-anchor="middle">${escapeText(process)}</text>`;
+    const x = getLaneX(index);
+    return `<line class="lane" x1="${x}" y1="${headerHeight - 10}" x2="${x}" y2="${height}"/>`
+        + `<text class="process" x="${x}" y="${headerHeight - 20}" text-anchor="middle">${escapeText(process)}</text>`;
 }
 
 function drawEvent({ line, shownMilliseconds }: TimeLineEvent, index: number, processes: readonly string[]): string {
-    const x = getLane(processes.indexOf(line.process));
-    const y = headHeight + index * rowHeight + rowHeight / 2;
-    const noteX = timeWidth + processes.length * laneWidth;
+    const x = getLaneX(processes.indexOf(line.process));
+    const y = headerHeight + index * rowHeight + rowHeight / 2;
+    const labelX = timeWidth + processes.length * laneWidth;
     const fields = formatFields(line);
     return `<g><title>${escapeText(`${line.event} ${line.name} ${fields}`)}</title>`
         + `<text class="time" x="${timeWidth - 14}" y="${y + 4}">+${shownMilliseconds.toFixed(0)} ms</text>`
-        + `<line class="link" x1="${x}" y1="${y}" x2="${noteX - 8}" y2="${y}"/>`
+        + `<line class="link" x1="${x}" y1="${y}" x2="${labelX - 8}" y2="${y}"/>`
         + `<circle class="${line.level}" cx="${x}" cy="${y}" r="${dotRadius}"/>`
-        + `<text x="${noteX}" y="${y + 4}"><tspan class="${line.level}">${line.event} ${escapeText(line.name)}</tspan>`
-        + ` <tspan class="fields">${escapeText(shorten(fields))}</tspan></text></g>`;
+        + `<text x="${labelX}" y="${y + 4}"><tspan class="${line.level}">${line.event} ${escapeText(line.name)}</tspan>`
+        + ` <tspan class="fields">${escapeText(truncate(fields))}</tspan></text></g>`;
 }
 
-function getLane(index: number): number {
+function getLaneX(index: number): number {
     return timeWidth + index * laneWidth + laneWidth / 2;
 }
 
-function shorten(text: string): string {
-    const longest = 78;
-    return text.length > longest ? `${text.slice(0, longest - 1)}…` : text;
+function truncate(text: string): string {
+    const maxLength = 78;
+    return text.length > maxLength ? `${text.slice(0, maxLength - 1)}…` : text;
 }
 
 function escapeText(text: string): string {
--- a/test/command/command.test.ts
+++ b/test/command/command.test.ts
@@ -145,8 +145,8 @@
             await withPublished(async (...[, flags]) => {
                 const [vmAddress, nodeAddress] = [addresses.next(), addresses.next()];
                 const [address, port] = nodeAddress.split(":");
-                let asked = 0;
-                const node = await serveJson(nodeAddress, () => ({ configurationOffset: (asked += 1) > 2 ? 2 : 1 }));
+                let requests = 0;
+                const node = await serveJson(nodeAddress, () => ({ configurationOffset: (requests += 1) > 2 ? 2 : 1 }));
                 const vm = { id: "e1", address, port: 1, role: "entry", state: "live", failureDomain: "hall-mole" };
                 const list = await serveJson(vmAddress, () => ({ vms: [{ ...vm, operatorPort: Number(port) }] }));
                 const file = writeVariant("first_token_ms = 600", "first_token_ms = 650");
--- a/test/command/operations.test.ts
+++ b/test/command/operations.test.ts
@@ -43,7 +43,7 @@
         return true;
     }
 
-    function ask() {
+    function requestChat() {
         return caller.chat({
             entry: site.getEntryOrThrow("entry-1").callers,
             key: getApiKey("banquet"),
@@ -106,16 +106,16 @@
         it("stops a version on every entry until it is lifted", async () => {
             expect((await run("halt", "label-small@5", "--reason", "wrong labels")).code).toEqual(0);
             await waitUntil(() => isHalted("label-small@5"), { what: "the halt on both entries" });
-            expect((await ask()).status).toEqual(503);
+            expect((await requestChat()).status).toEqual(503);
             expect((await run("lift", "label-small@5")).code).toEqual(0);
-            await waitUntil(async () => (await ask()).isWhole, { what: "an answer after the lift" });
+            await waitUntil(async () => (await requestChat()).isWhole, { what: "an answer after the lift" });
             expect((await run("lift", "label-small@5")).code).toEqual(1);
         });
     });
 
     describe("explain and timeline", () => {
         it("show where a request went", async () => {
-            const { requestId = "" } = await ask();
+            const { requestId = "" } = await requestChat();
             const explained = await run("explain", requestId);
             expect(explained.stdout).toEqual(expect.includes("plan: label-small@5"));
             expect(explained.stdout).toEqual(expect.includes("runner: runner-"));
@@ -125,7 +125,7 @@
         });
 
         it("write a page that holds the events", async () => {
-            const { requestId = "" } = await ask();
+            const { requestId = "" } = await requestChat();
             const page = join(mkdtempSync(join(tmpdir(), "rattanlock-page-")), "request.html");
             expect((await run("timeline", requestId, "--html", page)).code).toEqual(0);
             expect(readFileSync(page, "utf8")).toEqual(expect.includes("request-dispatched"));
--- a/test/configuration/configuration.test.ts
+++ b/test/configuration/configuration.test.ts
@@ -1,7 +1,7 @@
 import { expect } from "earl";
 import { describe, it } from "node:test";
 import { Configuration, parseConfigurationFile, type ScopeKey } from "../../src/configuration/index.js";
-import { formatMistake } from "../../src/settings/index.js";
+import { formatValidationError } from "../../src/settings/index.js";
 
 const hash = "a".repeat(64);
 const otherHash = "b".repeat(64);
@@ -72,7 +72,7 @@
             const effective = getEffective("bench", "desk", "chat");
             expect(effective.priority).toEqual(0);
             expect(effective.targetQuality).toEqual(0.9);
-            expect(effective.maximumConfigurationAgeMilliseconds).toEqual(20_000);
+            expect(effective.maxConfigurationAgeMilliseconds).toEqual(20_000);
             const origins = (["priority", "target_quality", "confidence", "allowed"] as ScopeKey[])
                 .map(key => effective.getOrigin(key));
             expect(origins).toEqual([
@@ -141,7 +141,7 @@
 priority = 1
 [workspace.empty]
 `;
-        const mistakes = parseConfigurationFile(content, "tree.ini")._unsafeUnwrapErr().map(formatMistake);
+        const mistakes = parseConfigurationFile(content, "tree.ini")._unsafeUnwrapErr().map(formatValidationError);
         expect(mistakes).toEqual([
             "tree.ini:41: [version.plan@3] output_price: A version that can take work needs a price. Write, for instance, "
             + "output_price = 1.60.",
--- a/test/configuration/configurationFold.test.ts
+++ b/test/configuration/configurationFold.test.ts
@@ -6,17 +6,17 @@
     type Change,
     ConfigurationFold,
     createPublishRecord,
+    type RecordResult,
     treeFormat,
-    type Verdict,
 } from "../../src/configuration/index.js";
 import type { LogEntry, LogRecord } from "../../src/log/index.js";
-import { createEntries, createPublication, smallTree } from "./records.js";
+import { createLogEntries, createPublication, smallTree } from "./records.js";
 
 function foldAll(
     records: readonly LogRecord[],
-): { readonly fold: ConfigurationFold; readonly verdicts: readonly Verdict[]; } {
+): { readonly fold: ConfigurationFold; readonly verdicts: readonly RecordResult[]; } {
     const fold = new ConfigurationFold();
-    const verdicts = createEntries(records).map(entry => fold.apply(entry));
+    const verdicts = createLogEntries(records).map(entry => fold.apply(entry));
     return { fold, verdicts };
 }
 
@@ -168,7 +168,7 @@
         it("rejects a publication based on a tree that is too old or not there yet", () => {
             const filler: LogRecord = { id: "filler", kind: "other", format: 1, writer: "test", body: {} };
             const fold = new ConfigurationFold();
-            const entries = createEntries([
+            const entries = createLogEntries([
                 createPublication(smallTree),
                 ...Array.from({ length: basedOnWindow }, () => filler),
                 createPublication([setShare], { basedOn: 0 }),
@@ -220,7 +220,7 @@
         // again. Whatever the mixture, entries that read the same stream must hold the same tree.
         it("reaches the same state, from the start or from a snapshot, with entries delivered again", () => {
             fc.assert(fc.property(createStream(), fc.nat(), fc.nat(), (records, snapshotSeed, repeatSeed) => {
-                const entries = createEntries(records);
+                const entries = createLogEntries(records);
                 const whole = foldAll(records).fold;
                 const covered = snapshotSeed % (entries.length + 1);
                 const early = new ConfigurationFold();
@@ -238,7 +238,7 @@
             fc.assert(fc.property(createStream(), records => {
                 const fold = new ConfigurationFold();
                 let withdrawnAt: number | undefined;
-                for (const entry of createEntries(records)) {
+                for (const entry of createLogEntries(records)) {
                     const verdict = fold.apply(entry);
                     const { basedOn } = entry.record.body as { basedOn: number; };
                     const isWithdrawn = fold.getConfiguration().getVersion("plan@1")?.status === "withdrawn";
@@ -278,14 +278,14 @@
         { section: "workspace.bench.application.desk", key: "target_quality", value: "0.7" },
         ...smallTree,
     );
-    const draft = fc.record({
+    const publication = fc.record({
         changes: fc.array(change, { minLength: 1, maxLength: 4 }),
         behind: fc.nat(6),
         repeats: fc.nat(30),
     });
-    return fc.array(draft, { minLength: 1, maxLength: 25 }).map(drafts => {
+    return fc.array(publication, { minLength: 1, maxLength: 25 }).map(publications => {
         const records: LogRecord[] = [createPublication(smallTree)];
-        for (const { changes, behind, repeats } of drafts) {
+        for (const { changes, behind, repeats } of publications) {
             const earlier = records[records.length - repeats];
             const basedOn = Math.max(0, records.length - behind);
             records.push(repeats > 0 && earlier !== undefined ? earlier : createPublication(changes, { basedOn }));
--- a/test/configuration/configurationReader.test.ts
+++ b/test/configuration/configurationReader.test.ts
@@ -147,7 +147,7 @@
             const log = new MemoryLog();
             fillLog(log, 3, 4);
             const { reader, priorities } = createReader(log);
-            expect(reader.offer(createState(log, 2), 2)).toEqual(true);
+            expect(reader.importState(createState(log, 2), 2)).toEqual(true);
             reader.start();
             await waitFor(() => reader.getOffset() === 3, "the tail");
             await reader.stop();
@@ -159,11 +159,11 @@
             const log = new MemoryLog();
             fillLog(log, 3, 4);
             const { reader } = createReader(log);
-            reader.offer(createState(log, 3), 3);
-            expect(reader.offer(createState(log, 2), 2)).toEqual(false);
-            expect(reader.offer(createState(log, 3), 3)).toEqual(false);
-            expect(reader.offer(createState(log, 2), 9)).toEqual(false);
-            expect(reader.offer({ format: 2 }, 9)).toEqual(false);
+            reader.importState(createState(log, 3), 3);
+            expect(reader.importState(createState(log, 2), 2)).toEqual(false);
+            expect(reader.importState(createState(log, 3), 3)).toEqual(false);
+            expect(reader.importState(createState(log, 2), 9)).toEqual(false);
+            expect(reader.importState({ format: 2 }, 9)).toEqual(false);
             expect(getPriority(reader.getConfiguration())).toEqual(4);
         });
 
@@ -174,7 +174,7 @@
             const { reader, names } = createReader(log);
             reader.start();
             await waitFor(() => names.includes("configuration-incomplete"), "the report");
-            expect(reader.offer(createState(log, 3), 3)).toEqual(true);
+            expect(reader.importState(createState(log, 3), 3)).toEqual(true);
             await waitFor(() => reader.getAge() < Infinity, "the confirmation");
             await reader.stop();
             expect(getPriority(reader.getConfiguration())).toEqual(5);
@@ -185,7 +185,7 @@
             const log = new MemoryLog();
             fillLog(log, 3, 4);
             const { reader, names } = createReader(new MemoryLog());
-            reader.offer(createState(log, 3), 3);
+            reader.importState(createState(log, 3), 3);
             reader.start();
             await waitFor(() => names.includes("configuration-ahead"), "the report");
             await reader.stop();
@@ -216,7 +216,7 @@
                 clock,
                 writer: "w",
                 intervalMilliseconds: 1_000,
-                records: 9,
+                maxRecords: 9,
             });
             expect((await writer.writeIfDue())._unsafeUnwrap()).toEqual(undefined);
             reader.start();
--- a/test/configuration/records.ts
+++ b/test/configuration/records.ts
@@ -38,6 +38,6 @@
 }
 
 /** Puts records into a stream, from an offset on. */
-export function createEntries(records: readonly LogRecord[], from = 0): readonly LogEntry[] {
+export function createLogEntries(records: readonly LogRecord[], from = 0): readonly LogEntry[] {
     return records.map((record, index) => ({ offset: from + index, time: 1_000 + index, record }));
 }
--- a/test/entry/heldAnswers.test.ts
+++ b/test/entry/bufferedAnswers.test.ts
@@ -33,7 +33,7 @@
         await group.killAll();
     });
 
-    function ask(streamed: boolean): Promise<ChatRecord> {
+    function requestChat(streamed: boolean): Promise<ChatRecord> {
         return caller.chat({
             entry: site.getEntryOrThrow("entry-1").callers,
             key: getApiKey("compliance"),
@@ -58,7 +58,7 @@
         const streamedIds = new Set<string>();
         const countCascades = () => getCascades().filter(id => !streamedIds.has(id)).length;
         await waitUntil(async () => {
-            const records = await Promise.all([true, false, true, false].map(streamed => ask(streamed)));
+            const records = await Promise.all([true, false, true, false].map(streamed => requestChat(streamed)));
             for (const record of [records[0], records[2]]) {
                 streamedIds.add(record.requestId ?? "");
             }
--- a/test/entry/deadline.test.ts
+++ b/test/entry/deadline.test.ts
@@ -2,7 +2,7 @@
 import { after, before, describe, it } from "node:test";
 import { Caller, getApiKey, metroManila, ProcessGroup, Site, waitUntil } from "../../src/testbench/index.js";
 
-const callerBoundMilliseconds = 10_000;
+const callerTimeoutMilliseconds = 10_000;
 
 describe("AttemptRunner at a deadline", () => {
     const group = new ProcessGroup();
@@ -33,18 +33,18 @@
         const key = getApiKey("commissary");
         const changes = [{ section: "workspace.commissary", key: "deadline_ms", value: "1500" }];
         await site.waitInForce(await site.publish(changes));
-        const ask = () =>
+        const requestChat = () =>
             caller.chat({
                 entry,
                 key,
                 text: "Does the pastry hold sesame?",
-                boundMilliseconds: callerBoundMilliseconds,
+                boundMilliseconds: callerTimeoutMilliseconds,
             });
-        await waitUntil(async () => (await ask()).isWhole, { what: "a first answer" });
+        await waitUntil(async () => (await requestChat()).isWhole, { what: "a first answer" });
         await site.setLink(name, "runner-1", { freeze: true });
-        const record = await ask();
+        const record = await requestChat();
         expect([record.status, record.outcome]).toEqual([504, "unknown"]);
         await site.setLink(name, "runner-1", { freeze: false });
-        await waitUntil(async () => (await ask()).isWhole, { what: "an answer after the link is back" });
+        await waitUntil(async () => (await requestChat()).isWhole, { what: "an answer after the link is back" });
     });
 });
--- a/test/entry/hostileInput.test.ts
+++ b/test/entry/hostileInput.test.ts
@@ -117,7 +117,7 @@
     // that goes on with it is slower for everybody else.
     it("cancels at the engine when the caller vanishes in the middle of its answer", async () => {
         await makeAnswersLong();
-        const record = await vanish();
+        const record = await disconnectMidStream();
         expect(record.status).toEqual(200);
         await waitUntilOutcome(record, "cancelled");
         await makeAnswersShort();
@@ -129,7 +129,7 @@
     it("cancels at an engine that learns late of its reader's end", async () => {
         await makeAnswersLong();
         await Promise.all(getRunners().map(runner => setFaults(runner, { readerLagMilliseconds: 900 })));
-        const record = await vanish();
+        const record = await disconnectMidStream();
         await waitUntilOutcome(record, "cancelled");
         await Promise.all(getRunners().map(runner => setFaults(runner, { readerLagMilliseconds: 0 })));
         await makeAnswersShort();
@@ -143,23 +143,23 @@
         await Promise.all(getRunners().map(runner => setFaults(runner, { version, outputTokens: 20 })));
     }
 
-    function vanish(): Promise<ChatRecord> {
+    function disconnectMidStream(): Promise<ChatRecord> {
         const text = "List every allergen of the buffet.";
         return caller.chat({ entry, key, model: version, text, streamed: true, leaveAfterEvents: 1 });
     }
 
     /** Waits until the engines' own notes tell of one run for the request, and this outcome. */
-    async function waitUntilOutcome(record: ChatRecord, wanted: string): Promise<void> {
+    async function waitUntilOutcome(record: ChatRecord, expected: string): Promise<void> {
         let outcomes: string[] = [];
         await waitUntil(async () => {
             outcomes = [];
             for (const runner of getRunners()) {
-                const notes = await getJournal<{ id?: string; outcome: string; }>(runner);
-                const own = notes.filter(({ id }) => id?.startsWith(record.requestId ?? "-"));
-                outcomes.push(...own.map(note => note.outcome));
+                const runs = await getJournal<{ id?: string; outcome: string; }>(runner);
+                const ownRuns = runs.filter(({ id }) => id?.startsWith(record.requestId ?? "-"));
+                outcomes.push(...ownRuns.map(note => note.outcome));
             }
-            return outcomes.length === 1 && outcomes[0] === wanted;
-        }, { what: `the engines to note ${wanted}`, describe: () => outcomes.join() });
+            return outcomes.length === 1 && outcomes[0] === expected;
+        }, { what: `the engines to note ${expected}`, describe: () => outcomes.join() });
     }
 
     function getRunners(): readonly string[] {
--- a/test/entry/mutualTls.test.ts
+++ b/test/entry/mutualTls.test.ts
@@ -14,14 +14,14 @@
     const folder = mkdtempSync(join(tmpdir(), "rattanlock-tls-"));
     let site: Site;
 
-    function install(name: "site-first" | "site-second"): void {
+    function installCertificate(name: "site-first" | "site-second"): void {
         copyFileSync(join(certificates, `${name}.pem`), join(folder, "entry.pem"));
         copyFileSync(join(certificates, `${name}-key.pem`), join(folder, "entry.key"));
         copyFileSync(join(certificates, "site-authority.pem"), join(folder, "authority.pem"));
     }
 
     before(async () => {
-        install("site-first");
+        installCertificate("site-first");
         site = await Site.start(group, {
             ...metroManila,
             prefix: "127.60.4",
@@ -64,7 +64,7 @@
     // Certificates run out and are renewed on the running VMs. An entry that has to be restarted for it would drop its
     // callers; one that went on with the old certificate would be shut out by the others on the day it ends.
     it("takes renewed certificates into use without a restart", async () => {
-        install("site-second");
+        installCertificate("site-second");
         for (const entry of site.getEntries()) {
             await waitUntil(() => entry.process.getEvents().some(line => line.name === "credentials-renewed"), {
                 what: `${entry.name} to use the renewed certificate`,
--- a/test/entry/publicClient.test.ts
+++ b/test/entry/publicClient.test.ts
@@ -54,10 +54,10 @@
     });
 
     it("raises the client's own errors for refusals", async () => {
-        const ask = (client: OpenAI, model: string) =>
+        const requestChat = (client: OpenAI, model: string) =>
             client.chat.completions.create({ model, messages: [{ role: "user", content: "Hello" }] });
-        await expect(ask(createClient("no-such-key"), "auto")).toBeRejectedWith(OpenAI.AuthenticationError);
-        await expect(ask(createClient(getApiKey("banquet")), "label-large"))
+        await expect(requestChat(createClient("no-such-key"), "auto")).toBeRejectedWith(OpenAI.AuthenticationError);
+        await expect(requestChat(createClient(getApiKey("banquet")), "label-large"))
             .toBeRejectedWith(OpenAI.PermissionDeniedError);
     });
 });
--- a/test/entry/requestBody.test.ts
+++ b/test/entry/requestBody.test.ts
@@ -4,8 +4,8 @@
 import { describe, it } from "node:test";
 import { readBody } from "../../src/entry/requestBody.js";
 
-const maximumBytes = 100;
-const longMilliseconds = 10_000;
+const maxBytes = 100;
+const longTimeoutMilliseconds = 10_000;
 
 function createRequest(): PassThrough & IncomingMessage {
     return Object.assign(new PassThrough(), { headers: {} }) as unknown as PassThrough & IncomingMessage;
@@ -14,7 +14,7 @@
 describe("readBody", () => {
     it("reads a body that comes in pieces", async () => {
         const request = createRequest();
-        const body = readBody(request, maximumBytes, longMilliseconds);
+        const body = readBody(request, maxBytes, longTimeoutMilliseconds);
         request.write("one ");
         request.end("two");
         expect((await body)._unsafeUnwrap().toString()).toEqual("one two");
@@ -25,14 +25,14 @@
     it("refuses a sender that stops in the middle", async () => {
         const request = createRequest();
         request.write("one ");
-        const body = await readBody(request, maximumBytes, 20);
+        const body = await readBody(request, maxBytes, 20);
         expect(body._unsafeUnwrapErr().kind).toEqual("deadline");
     });
 
     it("refuses a body above the bound", async () => {
         const request = createRequest();
-        const body = readBody(request, maximumBytes, longMilliseconds);
-        request.end("x".repeat(maximumBytes + 1));
+        const body = readBody(request, maxBytes, longTimeoutMilliseconds);
+        request.end("x".repeat(maxBytes + 1));
         expect((await body)._unsafeUnwrapErr().kind).toEqual("invalid-input");
     });
 });
--- a/test/entry/retryBudget.test.ts
+++ b/test/entry/retryBudget.test.ts
@@ -46,8 +46,8 @@
                 );
             }
             await caller.close();
-            const asked = records.filter(record => record.outcome !== "not-run").length;
-            const retries = (await readEngineRuns(site)).length - asked;
+            const firstAttempts = records.filter(record => record.outcome !== "not-run").length;
+            const retries = (await readEngineRuns(site)).length - firstAttempts;
             expect(retries).toBeGreaterThan(burst);
             expect(retries).toBeLessThan(burst + requestCount / 10 + 1);
         });
--- a/test/entry/sharedState.test.ts
+++ b/test/entry/sharedState.test.ts
@@ -22,7 +22,7 @@
 function createSetup(): Setup {
     const clock = new ManualClock(1_000 * hour);
     const evidence = new Evidence({ clock });
-    let run: string | undefined = "1";
+    let currentIncarnation: string | undefined = "1";
     let listener: GossipListener = () => {};
     const shared = new SharedState({
         gossip: { get: () => undefined, set: () => {}, onUpdate: given => listener = given },
@@ -30,14 +30,14 @@
         exposures: { exportOwn: () => ({ sequence: -1 }) as never, merge: () => {} },
         rollouts: { addHalt: () => true },
         runners: { markLeaving: () => {} },
-        getIncarnation: () => run,
+        getIncarnation: () => currentIncarnation,
         getConfigurationAge: () => 0,
     });
     return {
         clock,
         evidence,
         shared,
-        setRun: incarnation => run = incarnation,
+        setRun: incarnation => currentIncarnation = incarnation,
         takeRating: () => {
             const other = new Evidence({ clock });
             other.addRating({ version, requestClass, score: 1 });
--- a/test/entry/stateFetcher.test.ts
+++ b/test/entry/stateFetcher.test.ts
@@ -8,8 +8,8 @@
 const logWaitMilliseconds = 2_000;
 
 /** Starts a fetcher of an entry whose configuration was confirmed some time ago, and counts whom it asks. */
-async function countAsked(configurationAge: number): Promise<number> {
-    let asked = 0;
+async function countRequests(configurationAge: number): Promise<number> {
+    let requests = 0;
     const fetcher = new StateFetcher({
         clock: new ManualClock(),
         configuration: {
@@ -17,26 +17,26 @@
             getOffset: () => 7,
             getFormat: () => 1,
             exportState: () => undefined as never,
-            offer: () => undefined as never,
+            importState: () => undefined as never,
             confirm: () => {},
         },
         control: { getOffset: () => 3, exportState: () => undefined as never, importState: () => undefined as never },
         membership: { getMembers: () => [createMember("entry-2")] },
         client: {
             fetchState: () => {
-                asked += 1;
+                requests += 1;
                 const failure = new Failure({ kind: "unavailable", message: "Away.", remedy: "Wait." });
                 return Promise.resolve(err(failure));
             },
         },
         self: "entry-1",
         getCounter: () => 0,
-        draw: () => 0,
+        nextInteger: () => 0,
         logWaitMilliseconds,
     });
     fetcher.start();
     await fetcher.stop();
-    return asked;
+    return requests;
 }
 
 function createMember(id: string): Member {
@@ -59,11 +59,11 @@
     // when it was asked, so its age goes up to four seconds. Nodes that then ask three peers each, twice a second, spend
     // more on that than on all the rest of their control.
     it("asks nobody while the log answers long polls", async () => {
-        expect(await countAsked(2 * logWaitMilliseconds)).toEqual(0);
+        expect(await countRequests(2 * logWaitMilliseconds)).toEqual(0);
     });
 
     // A node is cut off from the log. A version may have been withdrawn since, and callers would still get it.
     it("asks once a read of the log is overdue", async () => {
-        expect(await countAsked(5_000)).toEqual(2);
+        expect(await countRequests(5_000)).toEqual(2);
     });
 });
--- a/test/entry/ticketOutcome.test.ts
+++ b/test/entry/ticketOutcome.test.ts
@@ -4,9 +4,9 @@
 import { getTicketOutcome } from "../../src/entry/ticketOutcome.js";
 
 describe("getTicketOutcome", () => {
-    function getOutcome(kind: FailureKind, outcome: Outcome, hasCallerLeft: boolean): string {
+    function getOutcome(kind: FailureKind, outcome: Outcome, isCallerDisconnected: boolean): string {
         const failure = new Failure({ kind, message: "No answer.", remedy: "Send the request again." });
-        return getTicketOutcome({ failure, outcome }, hasCallerLeft);
+        return getTicketOutcome({ failure, outcome }, isCallerDisconnected);
     }
 
     // Many callers lose interest in the middle of their answers. Nothing is wrong with the engines; an entry that took
--- a/test/entry/upstreamTls.test.ts
+++ b/test/entry/upstreamTls.test.ts
@@ -14,14 +14,14 @@
     const key = getApiKey("commissary");
     let site: Site;
 
-    function install(name: "site-first" | "site-second" | "other-first"): void {
+    function installCertificate(name: "site-first" | "site-second" | "other-first"): void {
         copyFileSync(join(certificates, `${name}.pem`), join(folder, "entry.pem"));
         copyFileSync(join(certificates, `${name}-key.pem`), join(folder, "entry.key"));
         copyFileSync(join(certificates, "site-authority.pem"), join(folder, "authority.pem"));
     }
 
     before(async () => {
-        install("site-first");
+        installCertificate("site-first");
         const settings = {
             "tls.portOffset": 40,
             "tls.certificate": join(certificates, "site-second.pem"),
@@ -78,13 +78,13 @@
         const [entry] = site.getEntries();
         const countRenewals = () =>
             entry.process.getEvents().filter(line => line.name === "credentials-renewed").length;
-        install("other-first");
+        installCertificate("other-first");
         await waitUntil(() => countRenewals() === 1, { what: "a certificate that no upstream trusts to be in use" });
         await site.setLink(entry.name, "runner-1", { cut: true });
         await site.setLink(entry.name, "runner-1", { cut: false });
         const refused = await caller.chat({ entry: entry.callers, key, text: "Is there sesame?" });
         expect(refused.status).not.toEqual(200);
-        install("site-first");
+        installCertificate("site-first");
         await waitUntil(() => countRenewals() === 2, { what: "the renewed certificate to be in use" });
         await waitUntil(async () => {
             const answer = await caller.chat({ entry: entry.callers, key, text: "Is there sesame now?" });
--- a/test/events/lineWriter.test.ts
+++ b/test/events/lineWriter.test.ts
@@ -48,7 +48,7 @@
         clock.advance(1_000);
         writer.write(createLine("info", 10_000));
         void writer.flush();
-        expect([lines.at(-1)?.counter, writer.getLeftOut()]).toEqual([10_000, 5_000 - written]);
+        expect([lines.at(-1)?.counter, writer.getDroppedCount()]).toEqual([10_000, 5_000 - written]);
     });
 
     // Every line was a write of its own, and a fifth of the processor time of a stream went there: callers wait for that.
@@ -77,7 +77,7 @@
                 writer.write(createLine("info", index));
             }
         }
-        expect(writer.getLeftOut() > 0).toEqual(true);
+        expect(writer.getDroppedCount() > 0).toEqual(true);
         expect(output.writableLength < 600 * 1_024).toEqual(true);
     });
 
@@ -89,6 +89,6 @@
         await writer.flush();
         writer.write(createLine("warning", 2));
         await writer.flush();
-        expect(writer.getLeftOut()).toEqual(1);
+        expect(writer.getDroppedCount()).toEqual(1);
     });
 });
--- a/test/load/profile.test.ts
+++ b/test/load/profile.test.ts
@@ -2,12 +2,12 @@
 import { readFileSync } from "node:fs";
 import { describe, it } from "node:test";
 import { parseLoadProfile } from "../../src/load/index.js";
-import { formatMistake } from "../../src/settings/index.js";
+import { formatValidationError } from "../../src/settings/index.js";
 
 const workspace = "[workspace.a]\nkey = k\n";
 
 function getMistakes(content: string): readonly string[] {
-    return parseLoadProfile(content, "p.ini")._unsafeUnwrapErr().map(formatMistake);
+    return parseLoadProfile(content, "p.ini")._unsafeUnwrapErr().map(formatValidationError);
 }
 
 describe("parseLoadProfile", () => {
--- a/test/settings/entrySettings.test.ts
+++ b/test/settings/entrySettings.test.ts
@@ -1,6 +1,6 @@
 import { expect } from "earl";
 import { describe, it } from "node:test";
-import { formatMistake, parseEntrySettings, parseLedgerSettings } from "../../src/settings/index.js";
+import { formatValidationError, parseEntrySettings, parseLedgerSettings } from "../../src/settings/index.js";
 
 const validEntry = `
 ; An entry in hall-mole
@@ -23,8 +23,8 @@
 signing_key = 0123456789abcdef0123456789abcdef
 `;
 
-function getMistakes(content: string): readonly string[] {
-    return parseEntrySettings(content, "entry.ini")._unsafeUnwrapErr().map(formatMistake);
+function getErrors(content: string): readonly string[] {
+    return parseEntrySettings(content, "entry.ini")._unsafeUnwrapErr().map(formatValidationError);
 }
 
 describe("parseEntrySettings", () => {
@@ -45,7 +45,7 @@
             .replace("lease_term_ms = 8000", "lease_tern_ms = 8000\nlog_wait_ms = 2s\nlog_wait_ms = 5")
             .replace("[session]", "[sesion]")
             .replace("name = entry-1", "name entry-1");
-        expect(getMistakes(content)).toEqual([
+        expect(getErrors(content)).toEqual([
             "entry.ini:0: [session] signing_key: The key is missing. Write, for instance, signing_key = "
             + "replace-me-with-32-random-characters.",
             "entry.ini:3: [process] name: The key is missing. Write, for instance, name = entry-1.",
@@ -62,20 +62,20 @@
 
     // A certificate without its key: peers would refuse each other, or a reader of the code would fall back to no TLS.
     it("refuses half a section of certificates and a short signing key", () => {
-        const half = getMistakes(`${validEntry}[tls]\ncertificate = a.pem\nkey = a.key\n`);
+        const half = getErrors(`${validEntry}[tls]\ncertificate = a.pem\nkey = a.key\n`);
         expect(half).toEqual([
             "entry.ini:20: [tls] authority: The key is missing beside the others of this section. Give certificate, key and "
             + "authority, or remove the section.",
         ]);
-        const upstreams = getMistakes(`${validEntry}[upstream_tls]\nauthority = a.pem\n`);
+        const upstreams = getErrors(`${validEntry}[upstream_tls]\nauthority = a.pem\n`);
         expect(upstreams.length).toEqual(2);
-        const short = getMistakes(validEntry.replace("0123456789abcdef0123456789abcdef", "short"));
+        const short = getErrors(validEntry.replace("0123456789abcdef0123456789abcdef", "short"));
         expect(short.length).toEqual(1);
     });
 
     it("takes names of objects' own properties for unknown keys", () => {
-        const mistakes = getMistakes(validEntry.replace("[timing]", "[timing]\nconstructor = 1\n__proto__ = 2"));
-        expect(mistakes.map(mistake => mistake.includes("not known") || mistake.includes("no section")))
+        const errors = getErrors(validEntry.replace("[timing]", "[timing]\nconstructor = 1\n__proto__ = 2"));
+        expect(errors.map(mistake => mistake.includes("not known") || mistake.includes("no section")))
             .toEqual([true, true]);
     });
 });
--- a/test/settings/reference.test.ts
+++ b/test/settings/reference.test.ts
@@ -16,9 +16,9 @@
             for (const section of schema.sections) {
                 for (const [name, key] of Object.entries(section.keys)) {
                     const texts = name === "keys" ? [key.defaultText] : [key.defaultText, key.example];
-                    for (const written of texts) {
-                        expect([name, written, written === undefined || key.parse(written).isOk()])
-                            .toEqual([name, written, true]);
+                    for (const text of texts) {
+                        expect([name, text, text === undefined || key.parse(text).isOk()])
+                            .toEqual([name, text, true]);
                     }
                 }
             }
