--- a/src/caller/addressFollower.ts
+++ b/src/caller/addressResolver.ts
@@ -5,21 +5,21 @@
 import { callJson } from "./call.js";
 
 const millisecondsPerSecond = 1000;
-const askBoundMilliseconds = 2000;
+const requestTimeoutMilliseconds = 2000;
 
-const documentSchema = z.object({
+const addressesSchema = z.object({
     addresses: z.array(z.object({ url: z.string() })),
     keepSeconds: z.number(),
 });
 
 /** Follows the site's addresses. */
-export class AddressFollower {
+export class AddressResolver {
     /** Where to ask as long as nothing else is known. */
     readonly #seeds: readonly string[];
     #addresses: readonly string[] = [];
-    #keptUntil = 0;
-    #turn = 0;
-    #asking: Promise<void> | undefined;
+    #expiresAt = 0;
+    #nextIndex = 0;
+    #pendingRefresh: Promise<void> | undefined;
 
     /** @param seeds - `HOST:PORT` of some entries. */
     constructor(seeds: readonly string[]) {
@@ -28,22 +28,22 @@
 
     /** Returns the address for the next request as `HOST:PORT`, each address of the kept answer in turn. */
     async getAddress(): Promise<string> {
-        if (performance.now() >= this.#keptUntil) {
-            this.#asking ??= this.#ask().finally(() => this.#asking = undefined);
-            await this.#asking;
+        if (performance.now() >= this.#expiresAt) {
+            this.#pendingRefresh ??= this.#refresh().finally(() => this.#pendingRefresh = undefined);
+            await this.#pendingRefresh;
         }
-        this.#turn += 1;
-        return this.#addresses[this.#turn % this.#addresses.length];
+        this.#nextIndex += 1;
+        return this.#addresses[this.#nextIndex % this.#addresses.length];
     }
 
-    async #ask(): Promise<void> {
+    async #refresh(): Promise<void> {
         for (const address of [...this.#addresses, ...this.#seeds]) {
-            const document = await readDocument(address);
+            const document = await fetchAddresses(address);
             if (document === undefined || document.addresses.length === 0) {
                 continue;
             }
             this.#addresses = document.addresses.map(({ url }) => new URL(url).host);
-            this.#keptUntil = performance.now() + document.keepSeconds * millisecondsPerSecond;
+            this.#expiresAt = performance.now() + document.keepSeconds * millisecondsPerSecond;
             return;
         }
         throw new Error("No entry tells the addresses to use.");
@@ -51,10 +51,14 @@
 }
 
 /** Asks one entry; one that does not answer is passed over, since no request depends on it yet. */
-async function readDocument(address: string): Promise<z.infer<typeof documentSchema> | undefined> {
+async function fetchAddresses(address: string): Promise<z.infer<typeof addressesSchema> | undefined> {
     try {
-        return documentSchema.parse(
-            await callJson<unknown>({ address, path: "/v1/addresses", boundMilliseconds: askBoundMilliseconds }),
+        return addressesSchema.parse(
+            await callJson<unknown>({
+                address,
+                path: "/v1/addresses",
+                timeoutMilliseconds: requestTimeoutMilliseconds,
+            }),
         );
     }
     catch {
--- a/src/caller/call.ts
+++ b/src/caller/call.ts
@@ -3,7 +3,7 @@
  */
 import { request } from "undici";
 
-const callBoundMilliseconds = 10_000;
+const defaultTimeoutMilliseconds = 10_000;
 
 /** A call over HTTP. */
 export interface Call {
@@ -14,9 +14,9 @@
     readonly headers?: Readonly<Record<string, string>>;
     /** Sent as JSON. */
     readonly body?: object;
-    readonly boundMilliseconds?: number;
+    readonly timeoutMilliseconds?: number;
     /** Whether a body that breaks off is returned as far as it came, in place of an error. */
-    readonly keepsPart?: boolean;
+    readonly allowsPartialBody?: boolean;
 }
 
 /** What came back. */
@@ -25,23 +25,23 @@
     readonly headers: Readonly<Record<string, string | string[] | undefined>>;
     readonly text: string;
     /** Whether the body broke off. */
-    readonly broken: boolean;
+    readonly isTruncated: boolean;
 }
 
 /** Makes a call; throws when the connection fails or the bound is over. */
 export async function call(options: Call): Promise<Reply> {
-    const { address, path, method = "GET", headers, body, boundMilliseconds = callBoundMilliseconds } = options;
+    const { address, path, method = "GET", headers, body, timeoutMilliseconds = defaultTimeoutMilliseconds } = options;
     const reply = await request(`http://${address}${path}`, {
         method,
         headers: { ...body === undefined ? {} : { "content-type": "application/json" }, ...headers },
         body: body === undefined ? undefined : JSON.stringify(body),
-        signal: AbortSignal.timeout(boundMilliseconds),
+        signal: AbortSignal.timeout(timeoutMilliseconds),
     });
     const { text, error } = await readText(reply.body);
-    if (error !== undefined && options.keepsPart !== true) {
+    if (error !== undefined && options.allowsPartialBody !== true) {
         throw error;
     }
-    return { status: reply.statusCode, headers: reply.headers, text, broken: error !== undefined };
+    return { status: reply.statusCode, headers: reply.headers, text, isTruncated: error !== undefined };
 }
 
 /** Reads a body to its end, or as far as it comes. */
--- a/src/caller/caller.ts
+++ b/src/caller/caller.ts
@@ -4,10 +4,10 @@
 import { createParser } from "eventsource-parser";
 import { Agent, request } from "undici";
 
-const defaultBoundMilliseconds = 30_000;
+const defaultTimeoutMilliseconds = 30_000;
 
 /** A chat completion to ask for. */
-export interface ChatAsk {
+export interface ChatCompletionRequest {
     /** `HOST:PORT` of the entry. */
     readonly entry: string;
     readonly key: string;
@@ -18,12 +18,12 @@
     readonly requestClass?: string;
     readonly session?: string;
     readonly sessionToken?: string;
-    readonly maximumTokens?: number;
-    readonly boundMilliseconds?: number;
+    readonly maxTokens?: number;
+    readonly timeoutMilliseconds?: number;
     /** Is called after each piece of the answer, with the number of events so far. */
     readonly onProgress?: (eventCount: number) => void;
     /** Leaves the answer after so many events, as a caller does whose connection breaks. */
-    readonly leaveAfterEvents?: number;
+    readonly disconnectAfterEvents?: number;
 }
 
 /** What became of a request. */
@@ -34,7 +34,7 @@
     readonly version: string | undefined;
     readonly text: string;
     /** Whether the answer came to its end mark. */
-    readonly isWhole: boolean;
+    readonly isComplete: boolean;
     readonly lastEventId: number;
     readonly resumeToken: string | undefined;
     readonly sessionToken: string | undefined;
@@ -48,14 +48,14 @@
 }
 
 /** A call to a plain service. */
-export interface ServiceAsk {
+export interface ServiceCallRequest {
     readonly entry: string;
     readonly key: string;
     readonly pool: string;
     readonly path: string;
     readonly idempotencyKey?: string;
     readonly body?: string;
-    readonly boundMilliseconds?: number;
+    readonly timeoutMilliseconds?: number;
 }
 
 /** What became of a call to a plain service. */
@@ -81,78 +81,83 @@
 
     /**
      * Asks for a chat completion; never throws for what the site does.
-     * @param ask - The request.
+     * @param chatRequest - The request.
      */
-    async chat(ask: ChatAsk): Promise<ChatRecord> {
+    async chat(chatRequest: ChatCompletionRequest): Promise<ChatRecord> {
         const collector = new AnswerCollector();
-        const abort = new AbortController();
-        const bound = AbortSignal.timeout(ask.boundMilliseconds ?? defaultBoundMilliseconds);
+        const abortController = new AbortController();
+        const timeoutSignal = AbortSignal.timeout(chatRequest.timeoutMilliseconds ?? defaultTimeoutMilliseconds);
         try {
-            const response = await request(`http://${ask.entry}/v1/chat/completions`, {
+            const response = await request(`http://${chatRequest.entry}/v1/chat/completions`, {
                 method: "POST",
                 dispatcher: this.#agent,
-                signal: AbortSignal.any([abort.signal, bound]),
-                headers: createHeaders(ask),
+                signal: AbortSignal.any([abortController.signal, timeoutSignal]),
+                headers: createHeaders(chatRequest),
                 body: JSON.stringify({
-                    model: ask.model ?? "auto",
-                    messages: [{ role: "user", content: ask.text }],
-                    stream: ask.streamed === true,
-                    max_tokens: ask.maximumTokens,
+                    model: chatRequest.model ?? "auto",
+                    messages: [{ role: "user", content: chatRequest.text }],
+                    stream: chatRequest.streamed === true,
+                    max_tokens: chatRequest.maxTokens,
                 }),
             });
-            collector.begin(response.statusCode, response.headers);
-            await this.#collect(response.body, collector, ask, abort);
+            collector.start(response.statusCode, response.headers);
+            await this.#collect(response.body, collector, chatRequest, abortController);
         }
         catch {
             // The record tells how far the answer came; a broken connection is what many tests cause on purpose.
         }
-        return collector.finish();
+        return collector.toRecord();
     }
 
     /**
      * Takes up a broken answer at any entry.
      * @param entry - `HOST:PORT` of the entry.
      * @param key - The API key.
-     * @param broken - What came so far.
+     * @param partial - What came so far.
      */
-    async resume(entry: string, key: string, broken: ChatRecord): Promise<ChatRecord> {
-        const collector = new AnswerCollector(broken);
+    async resume(entry: string, key: string, partial: ChatRecord): Promise<ChatRecord> {
+        const collector = new AnswerCollector(partial);
         try {
             const response = await request(`http://${entry}/v1/streams/current`, {
                 dispatcher: this.#agent,
-                signal: AbortSignal.timeout(defaultBoundMilliseconds),
+                signal: AbortSignal.timeout(defaultTimeoutMilliseconds),
                 headers: {
                     "authorization": `Bearer ${key}`,
-                    "x-rattanlock-resume": broken.resumeToken ?? "",
-                    "last-event-id": String(broken.lastEventId),
+                    "x-rattanlock-resume": partial.resumeToken ?? "",
+                    "last-event-id": String(partial.lastEventId),
                 },
             });
-            collector.begin(response.statusCode, response.headers);
+            collector.start(response.statusCode, response.headers);
             await this.#collect(response.body, collector, {}, new AbortController());
         }
         catch {
             // As above.
         }
-        return collector.finish();
+        return collector.toRecord();
     }
 
     /**
      * Calls a plain service by POST; never throws for what the site does.
-     * @param ask - The call.
+     * @param serviceRequest - The call.
      */
-    async callService(ask: ServiceAsk): Promise<ServiceRecord> {
+    async callService(serviceRequest: ServiceCallRequest): Promise<ServiceRecord> {
         try {
-            const response = await request(`http://${ask.entry}/services/${ask.pool}${ask.path}`, {
-                method: "POST",
-                dispatcher: this.#agent,
-                signal: AbortSignal.timeout(ask.boundMilliseconds ?? defaultBoundMilliseconds),
-                headers: {
-                    "authorization": `Bearer ${ask.key}`,
-                    "content-type": "text/plain",
-                    ...(ask.idempotencyKey === undefined ? {} : { "idempotency-key": ask.idempotencyKey }),
+            const response = await request(
+                `http://${serviceRequest.entry}/services/${serviceRequest.pool}${serviceRequest.path}`,
+                {
+                    method: "POST",
+                    dispatcher: this.#agent,
+                    signal: AbortSignal.timeout(serviceRequest.timeoutMilliseconds ?? defaultTimeoutMilliseconds),
+                    headers: {
+                        "authorization": `Bearer ${serviceRequest.key}`,
+                        "content-type": "text/plain",
+                        ...(serviceRequest.idempotencyKey === undefined
+                            ? {}
+                            : { "idempotency-key": serviceRequest.idempotencyKey }),
+                    },
+                    body: serviceRequest.body ?? "",
                 },
-                body: ask.body ?? "",
-            });
+            );
             return {
                 status: response.statusCode,
                 requestId: getHeader(response.headers, "x-request-id"),
@@ -177,14 +182,14 @@
     async #collect(
         body: AsyncIterable<Uint8Array>,
         collector: AnswerCollector,
-        { leaveAfterEvents, onProgress }: Pick<ChatAsk, "leaveAfterEvents" | "onProgress">,
-        abort: AbortController,
+        { disconnectAfterEvents, onProgress }: Pick<ChatCompletionRequest, "disconnectAfterEvents" | "onProgress">,
+        abortController: AbortController,
     ): Promise<void> {
         for await (const bytes of body) {
             collector.add(bytes);
             onProgress?.(collector.getEventCount());
-            if (leaveAfterEvents !== undefined && collector.getEventCount() >= leaveAfterEvents) {
-                abort.abort();
+            if (disconnectAfterEvents !== undefined && collector.getEventCount() >= disconnectAfterEvents) {
+                abortController.abort();
                 return;
             }
         }
@@ -195,27 +200,27 @@
 class AnswerCollector {
     readonly #startedAt = performance.now();
     readonly #decoder = new TextDecoder();
-    readonly #parser = createParser({ onEvent: event => this.#takeEvent(event.id, event.data) });
-    readonly #earlier: ChatRecord | undefined;
+    readonly #parser = createParser({ onEvent: event => this.#handleEvent(event.id, event.data) });
+    readonly #partial: ChatRecord | undefined;
     #status = 0;
     #headers: Headers = {};
     #isStream = false;
-    #document = "";
+    #body = "";
     #text: string;
     #lastEventId: number;
     #eventCount = 0;
-    #isWhole = false;
+    #isComplete = false;
     #firstTokenAt: number | undefined;
     #completionTokens = 0;
     #problem: string | undefined;
 
-    constructor(earlier?: ChatRecord) {
-        this.#earlier = earlier;
-        this.#text = earlier?.text ?? "";
-        this.#lastEventId = earlier?.lastEventId ?? 0;
+    constructor(partial?: ChatRecord) {
+        this.#partial = partial;
+        this.#text = partial?.text ?? "";
+        this.#lastEventId = partial?.lastEventId ?? 0;
     }
 
-    begin(status: number, headers: Headers): void {
+    start(status: number, headers: Headers): void {
         this.#status = status;
         this.#headers = headers;
         this.#isStream = getHeader(headers, "content-type")?.startsWith("text/event-stream") === true;
@@ -227,7 +232,7 @@
             this.#parser.feed(text);
         }
         else {
-            this.#document += text;
+            this.#body += text;
         }
     }
 
@@ -239,26 +244,26 @@
         if (this.#isStream) {
             return;
         }
-        const body = JSON.parse(this.#document) as ChatDocument;
+        const document = JSON.parse(this.#body) as ChatDocument;
         if (this.#status !== 200) {
-            this.#problem = body.detail;
+            this.#problem = document.detail;
             return;
         }
-        this.#text = body.choices?.[0]?.message?.content ?? "";
-        this.#completionTokens = body.usage?.completion_tokens ?? 0;
-        this.#isWhole = true;
+        this.#text = document.choices?.[0]?.message?.content ?? "";
+        this.#completionTokens = document.usage?.completion_tokens ?? 0;
+        this.#isComplete = true;
     }
 
-    finish(): ChatRecord {
+    toRecord(): ChatRecord {
         const now = performance.now();
         return {
             status: this.#status,
-            requestId: getHeader(this.#headers, "x-request-id") ?? this.#earlier?.requestId,
+            requestId: getHeader(this.#headers, "x-request-id") ?? this.#partial?.requestId,
             version: getHeader(this.#headers, "x-rattanlock-version"),
             text: this.#text,
-            isWhole: this.#isWhole,
+            isComplete: this.#isComplete,
             lastEventId: this.#lastEventId,
-            resumeToken: getHeader(this.#headers, "x-rattanlock-resume") ?? this.#earlier?.resumeToken,
+            resumeToken: getHeader(this.#headers, "x-rattanlock-resume") ?? this.#partial?.resumeToken,
             sessionToken: getHeader(this.#headers, "x-rattanlock-session-token"),
             outcome: getHeader(this.#headers, "x-rattanlock-outcome"),
             problem: this.#problem,
@@ -269,14 +274,14 @@
         };
     }
 
-    #takeEvent(id: string | undefined, data: string): void {
+    #handleEvent(id: string | undefined, data: string): void {
         this.#eventCount += 1;
         this.#firstTokenAt ??= performance.now();
         if (id !== undefined) {
             this.#lastEventId = Number(id);
         }
         if (data === "[DONE]") {
-            this.#isWhole = true;
+            this.#isComplete = true;
             return;
         }
         const chunk = JSON.parse(data) as ChatChunk;
@@ -298,16 +303,16 @@
     readonly usage?: { readonly completion_tokens?: number; };
 }
 
-function createHeaders(ask: ChatAsk): Record<string, string> {
+function createHeaders(chatRequest: ChatCompletionRequest): Record<string, string> {
     const headers: Record<string, string> = {
-        "authorization": `Bearer ${ask.key}`,
+        "authorization": `Bearer ${chatRequest.key}`,
         "content-type": "application/json",
     };
     const optional = {
-        "x-rattanlock-application": ask.application,
-        "x-rattanlock-class": ask.requestClass,
-        "x-rattanlock-session": ask.session,
-        "x-rattanlock-session-token": ask.sessionToken,
+        "x-rattanlock-application": chatRequest.application,
+        "x-rattanlock-class": chatRequest.requestClass,
+        "x-rattanlock-session": chatRequest.session,
+        "x-rattanlock-session-token": chatRequest.sessionToken,
     };
     for (const [name, value] of Object.entries(optional)) {
         if (value !== undefined) {
--- a/src/demo/demo.ts
+++ b/src/demo/demo.ts
@@ -5,12 +5,12 @@
 import { rolloutRecordKinds } from "../control/index.js";
 import { getJournal, type Site, waitUntil } from "../testbench/index.js";
 import type { DemoPlan } from "./demoPlan.js";
-import { createSummary, type DemoFacts } from "./summary.js";
+import { createSummary, type DemoObservations } from "./summary.js";
 import { Workload } from "./workload.js";
 
-const firstRequests = 120;
+const requestsBeforeChange = 120;
 const requestsAfterWithdrawal = 60;
-const rolloutBoundMilliseconds = 60_000;
+const rolloutTimeoutMilliseconds = 60_000;
 /** Format of the records that the demo writes as an operator. */
 const recordFormat = 1;
 
@@ -18,26 +18,26 @@
 export class Demo {
     readonly #site: Site;
     readonly #plan: DemoPlan;
-    readonly #say: (line: string) => void;
+    readonly #print: (line: string) => void;
 
-    constructor(site: Site, plan: DemoPlan, say: (line: string) => void) {
+    constructor(site: Site, plan: DemoPlan, print: (line: string) => void) {
         this.#site = site;
         this.#plan = plan;
-        this.#say = say;
+        this.#print = print;
     }
 
     /** Runs the demo and returns its summary. */
     async run(): Promise<readonly string[]> {
         const workload = new Workload(this.#site, this.#plan);
         workload.start();
-        this.#say("Callers send chat completions, conversations and calls that must not run twice ...");
-        await waitForRequests(workload, firstRequests);
+        this.#print("Callers send chat completions, conversations and calls that must not run twice ...");
+        await waitForRequests(workload, requestsBeforeChange);
         const changeMilliseconds = await this.#publishChange();
         const rolloutMilliseconds = await this.#runRollout(workload);
         const withdrawal = await this.#withdraw();
         await waitForRequests(workload, workload.getChats().length + requestsAfterWithdrawal);
         await workload.stop();
-        const facts: DemoFacts = {
+        const observations: DemoObservations = {
             plan: this.#plan,
             chats: workload.getChats(),
             prints: workload.getPrints(),
@@ -47,22 +47,22 @@
             rolloutMilliseconds,
             withdrawnAt: withdrawal.inForceAt,
             withdrawalMilliseconds: withdrawal.milliseconds,
-            engineStarts: await this.#readStarts(),
+            engineRunStarts: await this.#readStarts(),
         };
-        return createSummary(facts);
+        return createSummary(observations);
     }
 
     async #publishChange(): Promise<number> {
         const { section, key, value } = this.#plan.change;
-        this.#say(`An operator publishes ${key} = ${value} for ${section} ...`);
+        this.#print(`An operator publishes ${key} = ${value} for ${section} ...`);
         const startedAt = performance.now();
-        await this.#site.waitInForce(await this.#site.publish([this.#plan.change]));
+        await this.#site.waitUntilApplied(await this.#site.publish([this.#plan.change]));
         return performance.now() - startedAt;
     }
 
     async #runRollout(workload: Workload): Promise<number> {
         const { model, candidate, baseline } = this.#plan.rollout;
-        this.#say(`A roll-out of ${candidate} in place of ${baseline} starts; the candidate is bad in truth ...`);
+        this.#print(`A roll-out of ${candidate} in place of ${baseline} starts; the candidate is bad in truth ...`);
         const startedAt = performance.now();
         const rollout = randomUUID();
         await this.#site.append("control", {
@@ -76,19 +76,19 @@
         await waitUntil(async () => {
             const status = await this.#site.getStatus(first.name);
             return status.halts.some(halt => halt.version === candidate);
-        }, { what: `${candidate} to be halted`, boundMilliseconds: rolloutBoundMilliseconds });
-        const met = workload.getChats().filter(({ chat }) => chat.version === candidate).length;
-        this.#say(`It is halted after ${met} answers.`);
+        }, { description: `${candidate} to be halted`, timeoutMilliseconds: rolloutTimeoutMilliseconds });
+        const candidateAnswers = workload.getChats().filter(({ chat }) => chat.version === candidate).length;
+        this.#print(`It is halted after ${candidateAnswers} answers.`);
         return performance.now() - startedAt;
     }
 
     async #withdraw(): Promise<{ readonly milliseconds: number; readonly inForceAt: number; }> {
-        this.#say(`An operator withdraws ${this.#plan.withdrawn} ...`);
+        this.#print(`An operator withdraws ${this.#plan.withdrawnVersion} ...`);
         const startedAt = performance.now();
         const offset = await this.#site.publish([
-            { section: `version.${this.#plan.withdrawn}`, key: "status", value: "withdrawn" },
+            { section: `version.${this.#plan.withdrawnVersion}`, key: "status", value: "withdrawn" },
         ]);
-        await this.#site.waitInForce(offset);
+        await this.#site.waitUntilApplied(offset);
         return { milliseconds: performance.now() - startedAt, inForceAt: Date.now() };
     }
 
@@ -129,17 +129,17 @@
 
     /** Waits until the log holds a bill for every answer; whatever is missing after that is missing for good. */
     async #waitForBills(workload: Workload) {
-        const answered = workload.getChats().filter(({ chat }) => chat.isWhole);
+        const answered = workload.getChats().filter(({ chat }) => chat.isComplete);
         return waitUntil(async () => {
             const bills = await this.#site.readBills();
             return answered.every(({ chat }) => bills.has(chat.requestId ?? "")) ? bills : undefined;
-        }, { what: "a bill for every answer" });
+        }, { description: "a bill for every answer" });
     }
 }
 
 async function waitForRequests(workload: Workload, count: number): Promise<void> {
     await waitUntil(() => workload.getChats().length >= count, {
-        what: `${count} chat completions`,
-        boundMilliseconds: rolloutBoundMilliseconds,
+        description: `${count} chat completions`,
+        timeoutMilliseconds: rolloutTimeoutMilliseconds,
     });
 }
--- a/src/demo/demoPlan.ts
+++ b/src/demo/demoPlan.ts
@@ -23,7 +23,7 @@
     readonly change: Change;
     /** A candidate that is bad in truth, and the version in whose place it comes. */
     readonly rollout: { readonly model: string; readonly candidate: string; readonly baseline: string; };
-    readonly withdrawn: string;
+    readonly withdrawnVersion: string;
 }
 
 /** The demos by the name of their site. */
@@ -56,7 +56,7 @@
         service: { workspace: "commissary", pool: "label-app", path: "/print" },
         change: { section: "workspace.banquet", key: "target_quality", value: "0.65" },
         rollout: { model: "label-small", candidate: "label-small@6", baseline: "label-small@5" },
-        withdrawn: "label-medium@2",
+        withdrawnVersion: "label-medium@2",
     },
     "catania": {
         site: catania,
@@ -86,6 +86,6 @@
         service: { workspace: "officina", pool: "sportello-app", path: "/bookings" },
         change: { section: "workspace.banco", key: "target_quality", value: "0.8" },
         rollout: { model: "tag-small", candidate: "tag-small@8", baseline: "tag-small@7" },
-        withdrawn: "bench-medium@2",
+        withdrawnVersion: "bench-medium@2",
     },
 };
--- a/src/demo/main.ts
+++ b/src/demo/main.ts
@@ -30,7 +30,7 @@
         const summary = await new Demo(site, plan, console.log).run();
         console.log(summary.join("\n"));
         if (values.keep) {
-            await keep(site, plan.work[0].workspace);
+            await keepRunning(site, plan.work[0].workspace);
         }
         return await stopEntries(site);
     }
@@ -47,17 +47,19 @@
     return failed === 0 ? 0 : exitCodes.failed;
 }
 
-async function keep(site: Site, workspace: string): Promise<void> {
+async function keepRunning(site: Site, workspace: string): Promise<void> {
     const [entry] = site.getEntries();
-    const log = `http://${site.getPlatform("log")}`;
-    const vmList = `http://${site.getPlatform("vm-list")}`;
+    const log = `http://${site.getPlatformAddress("log")}`;
+    const vmList = `http://${site.getPlatformAddress("vm-list")}`;
     console.log([
         "",
         "The site goes on until you press Ctrl-C. Try:",
-        `  curl -s http://${entry.callers}/v1/addresses`,
-        `  curl -sN http://${entry.callers}/v1/chat/completions -H "Authorization: Bearer ${getApiKey(workspace)}" \\`,
+        `  curl -s http://${entry.callerAddress}/v1/addresses`,
+        `  curl -sN http://${entry.callerAddress}/v1/chat/completions -H "Authorization: Bearer ${
+            getApiKey(workspace)
+        }" \\`,
         "      -d '{\"model\": \"auto\", \"stream\": true, \"messages\": [{\"role\": \"user\", \"content\": \"Hello\"}]}'",
-        `  curl -s http://${entry.operators}/status`,
+        `  curl -s http://${entry.operatorAddress}/status`,
         `  npx rattanlock status --log ${log} --vm-list ${vmList}`,
     ].join("\n"));
     await new Promise<void>(resolve => {
--- a/src/demo/summary.ts
+++ b/src/demo/summary.ts
@@ -6,7 +6,7 @@
 import type { PrintRecord, WorkRecord } from "./workload.js";
 
 /** What the demo saw. */
-export interface DemoFacts {
+export interface DemoObservations {
     readonly plan: DemoPlan;
     readonly chats: readonly WorkRecord[];
     readonly prints: readonly PrintRecord[];
@@ -18,50 +18,54 @@
     /** Wall-clock milliseconds at which the withdrawal was in force everywhere. */
     readonly withdrawnAt: number;
     readonly withdrawalMilliseconds: number;
-    readonly engineStarts: readonly { readonly version: string; readonly at: number; }[];
+    readonly engineRunStarts: readonly { readonly version: string; readonly at: number; }[];
 }
 
 /** A promise that the demo saw broken. */
-export class BrokenPromise extends Error {}
+export class InvariantViolation extends Error {}
 
 /**
  * Creates the summary. Throws when the demo saw a promise broken.
- * @param facts - What the demo saw.
+ * @param observations - What the demo saw.
  */
-export function createSummary(facts: DemoFacts): readonly string[] {
-    checkPromises(facts);
+export function createSummary(observations: DemoObservations): readonly string[] {
+    checkInvariants(observations);
     return [
-        ...summarizeRequests(facts),
-        ...summarizeVersions(facts),
-        ...summarizeChanges(facts),
+        ...summarizeRequests(observations),
+        ...summarizeVersions(observations),
+        ...summarizeChanges(observations),
     ];
 }
 
-function checkPromises(facts: DemoFacts): void {
-    for (const [key, runs] of facts.runs) {
+function checkInvariants(observations: DemoObservations): void {
+    for (const [key, runs] of observations.runs) {
         if (runs > 1) {
-            throw new BrokenPromise(`The call with the key ${key} ran ${runs} times.`);
+            throw new InvariantViolation(`The call with the key ${key} ran ${runs} times.`);
         }
     }
-    for (const { chat } of facts.chats) {
-        if (chat.isWhole && !chat.text.includes(chat.requestId ?? "-")) {
-            throw new BrokenPromise(`The request ${chat.requestId} got another request's answer.`);
+    for (const { chat } of observations.chats) {
+        if (chat.isComplete && !chat.text.includes(chat.requestId ?? "-")) {
+            throw new InvariantViolation(`The request ${chat.requestId} got another request's answer.`);
         }
     }
-    const { withdrawn } = facts.plan;
-    const late = facts.engineStarts.filter(({ version, at }) => version === withdrawn && at > facts.withdrawnAt);
-    if (late.length > 0) {
-        throw new BrokenPromise(`${withdrawn} got ${late.length} new requests after its withdrawal was in force.`);
+    const { withdrawnVersion } = observations.plan;
+    const lateRuns = observations.engineRunStarts.filter(({ version, at }) =>
+        version === withdrawnVersion && at > observations.withdrawnAt
+    );
+    if (lateRuns.length > 0) {
+        throw new InvariantViolation(
+            `${withdrawnVersion} got ${lateRuns.length} new requests after its withdrawal was in force.`,
+        );
     }
 }
 
-function summarizeRequests({ chats, prints, runs, bills }: DemoFacts): readonly string[] {
+function summarizeRequests({ chats, prints, runs, bills }: DemoObservations): readonly string[] {
     const lines = ["", "Requests"];
     const workspaces = [...new Set(chats.map(({ work }) => work.workspace))];
     for (const workspace of workspaces) {
-        const own = chats.filter(({ work }) => work.workspace === workspace);
-        const answered = own.filter(({ chat }) => chat.isWhole);
-        const refused = own.filter(({ chat }) => chat.status !== 200);
+        const workspaceChats = chats.filter(({ work }) => work.workspace === workspace);
+        const answered = workspaceChats.filter(({ chat }) => chat.isComplete);
+        const refused = workspaceChats.filter(({ chat }) => chat.status !== 200);
         let cost = 0;
         for (const { chat } of answered) {
             cost += bills.get(chat.requestId ?? "")?.total ?? 0;
@@ -69,7 +73,9 @@
         const qualities = answered.map(({ chat }) => readQuality(chat.text));
         const firstTokens = answered.map(({ chat }) => chat.firstTokenMilliseconds);
         lines.push(
-            `  ${workspace.padEnd(12)} ${own.length} requests, ${answered.length} answered, ${refused.length} refused, `
+            `  ${
+                workspace.padEnd(12)
+            } ${workspaceChats.length} requests, ${answered.length} answered, ${refused.length} refused, `
                 + `cost ${cost.toFixed(6)}, mean quality ${mean(qualities).toFixed(2)}, `
                 + `first token ${percentile(firstTokens, 0.5)} ms (median) ${percentile(firstTokens, 0.95)} ms (p95)`,
         );
@@ -83,7 +89,7 @@
     return lines;
 }
 
-function summarizeVersions({ chats }: DemoFacts): readonly string[] {
+function summarizeVersions({ chats }: DemoObservations): readonly string[] {
     const counts = new Map<string, number>();
     for (const { work, chat } of chats) {
         if (chat.version !== undefined) {
@@ -98,18 +104,18 @@
     return lines;
 }
 
-function summarizeChanges(facts: DemoFacts): readonly string[] {
-    const { candidate } = facts.plan.rollout;
-    const met = facts.chats.filter(({ chat }) => chat.version === candidate).length;
-    const { length } = facts.chats;
+function summarizeChanges(observations: DemoObservations): readonly string[] {
+    const { candidate } = observations.plan.rollout;
+    const candidateAnswers = observations.chats.filter(({ chat }) => chat.version === candidate).length;
+    const { length } = observations.chats;
     return [
         "",
         "Changes",
-        `  a published change was in force on all entries after ${Math.round(facts.changeMilliseconds)} ms`,
-        `  the bad candidate ${candidate} was halted after ${Math.round(facts.rolloutMilliseconds)} ms; `
-        + `${met} of ${length} answers came from it`,
-        `  the withdrawal of ${facts.plan.withdrawn} was in force after ${
-            Math.round(facts.withdrawalMilliseconds)
+        `  a published change was in force on all entries after ${Math.round(observations.changeMilliseconds)} ms`,
+        `  the bad candidate ${candidate} was halted after ${Math.round(observations.rolloutMilliseconds)} ms; `
+        + `${candidateAnswers} of ${length} answers came from it`,
+        `  the withdrawal of ${observations.plan.withdrawnVersion} was in force after ${
+            Math.round(observations.withdrawalMilliseconds)
         } ms; `
         + "it got nothing new after that",
     ];
@@ -127,7 +133,7 @@
     return values.length === 0 ? 0 : sum / values.length;
 }
 
-function percentile(values: readonly number[], part: number): number {
+function percentile(values: readonly number[], fraction: number): number {
     const sorted = [...values].sort((left, right) => left - right);
-    return Math.round(sorted[Math.min(sorted.length - 1, Math.floor(part * sorted.length))] ?? 0);
+    return Math.round(sorted[Math.min(sorted.length - 1, Math.floor(fraction * sorted.length))] ?? 0);
 }
--- a/src/demo/workload.ts
+++ b/src/demo/workload.ts
@@ -6,7 +6,7 @@
 import type { DemoPlan, DemoWork } from "./demoPlan.js";
 
 const callersPerWork = 6;
-const sessionLength = 4;
+const turnsPerSession = 4;
 const conflictStatus = 409;
 
 /** A chat completion of the demo. */
@@ -31,7 +31,7 @@
     readonly #chats: WorkRecord[] = [];
     readonly #prints: PrintRecord[] = [];
     #isStopped = false;
-    #turn = 0;
+    #nextEntryIndex = 0;
 
     constructor(site: Site, plan: DemoPlan) {
         this.#site = site;
@@ -69,7 +69,7 @@
         while (!this.#isStopped) {
             const session = work.hasSessions ? randomUUID() : undefined;
             let sessionToken: string | undefined;
-            for (let turn = 0; turn < (work.hasSessions ? sessionLength : 1); turn += 1) {
+            for (let turn = 0; turn < (work.hasSessions ? turnsPerSession : 1); turn += 1) {
                 const chat = await this.#caller.chat({
                     entry: this.#nextEntry(),
                     key: getApiKey(work.workspace),
@@ -101,14 +101,14 @@
                 });
             const [first, second] = await Promise.all([send(), send()]);
             // Whoever comes second while the first runs is told so, and asks again for the first one's answer.
-            const late = second.status === conflictStatus ? await send() : second;
-            this.#prints.push({ key, first, second: late });
+            const retried = second.status === conflictStatus ? await send() : second;
+            this.#prints.push({ key, first, second: retried });
         }
     }
 
     #nextEntry(): string {
         const entries = this.#site.getEntries();
-        this.#turn += 1;
-        return entries[this.#turn % entries.length].callers;
+        this.#nextEntryIndex += 1;
+        return entries[this.#nextEntryIndex % entries.length].callerAddress;
     }
 }
--- a/src/load/linePlot.ts
+++ b/src/load/linePlot.ts
@@ -34,25 +34,25 @@
  */
 export function drawLinePlot(plot: LinePlot): string {
     const points = plot.series.flatMap(series => series.points);
-    const xMaximum = Math.max(...points.map(([x]) => x), ...(plot.xTicks ?? []).map(([x]) => x), Number.MIN_VALUE);
-    const yMaximum = Math.max(...points.map(([...[, y]]) => y), Number.MIN_VALUE);
-    const toX = (x: number): number => margin.left + x / xMaximum * (width - margin.left - margin.right);
-    const toY = (y: number): number => height - margin.bottom - y / yMaximum * (height - margin.top - margin.bottom);
+    const maxX = Math.max(...points.map(([x]) => x), ...(plot.xTicks ?? []).map(([x]) => x), Number.MIN_VALUE);
+    const maxY = Math.max(...points.map(([...[, y]]) => y), Number.MIN_VALUE);
+    const toX = (x: number): number => margin.left + x / maxX * (width - margin.left - margin.right);
+    const toY = (y: number): number => height - margin.bottom - y / maxY * (height - margin.top - margin.bottom);
     const parts: string[] = [];
     for (let tick = 0; tick <= tickCount; tick += 1) {
-        const y = yMaximum * tick / tickCount;
+        const y = maxY * tick / tickCount;
         parts.push(
-            `<line class="grid" x1="${margin.left}" x2="${width - margin.right}" y1="${at(toY(y))}" y2="${
-                at(toY(y))
+            `<line class="grid" x1="${margin.left}" x2="${width - margin.right}" y1="${formatCoordinate(toY(y))}" y2="${
+                formatCoordinate(toY(y))
             }"/>`,
             drawLabel({ x: margin.left - 8, y: toY(y) + 4, anchor: "end", text: formatTick(y) }),
         );
     }
-    for (const [x, label] of plot.xTicks ?? createTicks(xMaximum)) {
+    for (const [x, label] of plot.xTicks ?? createTicks(maxX)) {
         parts.push(drawLabel({ x: toX(x), y: height - margin.bottom + 18, anchor: "middle", text: label }));
     }
     for (const [index, series] of plot.series.entries()) {
-        const path = series.points.map(([x, y]) => `${at(toX(x))},${at(toY(y))}`).join(" ");
+        const path = series.points.map(([x, y]) => `${formatCoordinate(toX(x))},${formatCoordinate(toY(y))}`).join(" ");
         parts.push(
             `<polyline class="series-${index + 1}" points="${path}"><title>${
                 escapeText(series.name)
@@ -78,13 +78,15 @@
 }
 
 function drawLabel(label: { x: number; y: number; anchor: string; text: string; }): string {
-    return `<text x="${at(label.x)}" y="${at(label.y)}" text-anchor="${label.anchor}">${escapeText(label.text)}</text>`;
+    return `<text x="${formatCoordinate(label.x)}" y="${formatCoordinate(label.y)}" text-anchor="${label.anchor}">${
+        escapeText(label.text)
+    }</text>`;
 }
 
-function createTicks(maximum: number): readonly (readonly [number, string])[] {
+function createTicks(max: number): readonly (readonly [number, string])[] {
     const ticks: [number, string][] = [];
     for (let tick = 0; tick <= tickCount; tick += 1) {
-        const x = maximum * tick / tickCount;
+        const x = max * tick / tickCount;
         ticks.push([x, formatTick(x)]);
     }
     return ticks;
@@ -94,6 +96,6 @@
     return value >= 100 || Number.isInteger(value) ? value.toFixed(0) : value.toPrecision(2);
 }
 
-function at(coordinate: number): string {
+function formatCoordinate(coordinate: number): string {
     return coordinate.toFixed(1);
 }
--- a/src/load/loadClient.ts
+++ b/src/load/loadClient.ts
@@ -2,7 +2,7 @@
  * The callers of a run: they follow the site's addresses, come back when they are told to, and keep a record.
  */
 import { setTimeout as wait } from "node:timers/promises";
-import type { ChatAsk, ChatRecord, ServiceAsk, ServiceRecord } from "../caller/index.js";
+import type { ChatCompletionRequest, ChatRecord, ServiceCallRequest, ServiceRecord } from "../caller/index.js";
 import type { Clock } from "../common/index.js";
 import type { LoadSettings } from "./profile.js";
 import { createPrompt } from "./prompt.js";
@@ -11,9 +11,9 @@
 const millisecondsPerSecond = 1000;
 
 /** How callers reach the site. */
-export interface Channel {
-    readonly chat: (ask: ChatAsk) => Promise<ChatRecord>;
-    readonly callService: (ask: ServiceAsk) => Promise<ServiceRecord>;
+export interface SiteTransport {
+    readonly chat: (ask: ChatCompletionRequest) => Promise<ChatRecord>;
+    readonly callService: (ask: ServiceCallRequest) => Promise<ServiceRecord>;
     readonly resume: (entry: string, key: string, broken: ChatRecord) => Promise<ChatRecord>;
     /** Gives `HOST:PORT` for the next try. */
     readonly getAddress: () => Promise<string>;
@@ -21,11 +21,11 @@
 
 /** What callers need. */
 export interface LoadClientOptions {
-    readonly channel: Channel;
+    readonly transport: SiteTransport;
     readonly clock: Clock;
     readonly settings: Pick<LoadSettings, "boundMilliseconds" | "tries">;
     /** Distinguishes the idempotency keys and sessions of this run from those of others. */
-    readonly run: string;
+    readonly runId: string;
     readonly sleep?: (milliseconds: number) => Promise<void>;
 }
 
@@ -40,7 +40,7 @@
     readonly status: number;
     readonly outcome: string | undefined;
     readonly version: string | undefined;
-    readonly tries: number;
+    readonly attempts: number;
     /** How much later than intended the first try was sent. */
     readonly lateMilliseconds: number;
     /** Undefined when no token came, and for answers that are not streamed. */
@@ -52,9 +52,9 @@
     readonly refusals: readonly number[];
 }
 
-interface Try {
+interface AttemptResult {
     readonly status: number;
-    readonly isWhole: boolean;
+    readonly isComplete: boolean;
     readonly outcome: string | undefined;
     readonly version: string | undefined;
     readonly retryAfterSeconds: number | undefined;
@@ -62,9 +62,9 @@
     readonly gaps: readonly number[];
 }
 
-const failedTry: Try = {
+const failedAttempt: AttemptResult = {
     status: 0,
-    isWhole: false,
+    isComplete: false,
     outcome: undefined,
     version: undefined,
     retryAfterSeconds: undefined,
@@ -91,57 +91,59 @@
         const lateMilliseconds = clock.monotonic() - intendedAt;
         const refusals: number[] = [];
         let dueAt = intendedAt;
-        let tries = 0;
+        let attempts = 0;
         while (true) {
-            const tried = await this.#try(arrival);
-            tries += 1;
+            const result = await this.#attempt(arrival);
+            attempts += 1;
             const now = clock.monotonic();
-            if (isRefusal(tried)) {
+            if (isRefusal(result)) {
                 refusals.push(now - dueAt);
             }
-            const pause = getPause(arrival, tried);
-            if (pause !== undefined && tries < settings.tries) {
-                dueAt = now + pause;
-                await sleep(pause);
+            const retryDelay = getRetryDelay(arrival, result);
+            if (retryDelay !== undefined && attempts < settings.tries) {
+                dueAt = now + retryDelay;
+                await sleep(retryDelay);
                 continue;
             }
             return {
                 arrival,
-                end: getEnd(tried),
-                status: tried.status,
-                outcome: tried.outcome,
-                version: tried.version,
-                tries,
+                end: getEnd(result),
+                status: result.status,
+                outcome: result.outcome,
+                version: result.version,
+                attempts,
                 lateMilliseconds,
-                firstTokenMilliseconds: tried.firstTokenAt === undefined ? undefined : tried.firstTokenAt - intendedAt,
+                firstTokenMilliseconds: result.firstTokenAt === undefined
+                    ? undefined
+                    : result.firstTokenAt - intendedAt,
                 milliseconds: now - intendedAt,
-                gaps: tried.gaps,
+                gaps: result.gaps,
                 refusals,
             };
         }
     }
 
-    async #try(arrival: Arrival): Promise<Try> {
+    async #attempt(arrival: Arrival): Promise<AttemptResult> {
         let entry: string;
         try {
-            entry = await this.#options.channel.getAddress();
+            entry = await this.#options.transport.getAddress();
         }
         catch {
             // No entry tells the addresses: to the caller this is a connection that failed.
-            return failedTry;
+            return failedAttempt;
         }
         return arrival.work.kind === "service" ? this.#callService(arrival, entry) : this.#chat(arrival, entry);
     }
 
-    async #chat(arrival: Arrival, entry: string): Promise<Try> {
-        const { channel, clock, run, settings } = this.#options;
+    async #chat(arrival: Arrival, entry: string): Promise<AttemptResult> {
+        const { transport, clock, runId, settings } = this.#options;
         const { work } = arrival;
-        const session = arrival.session === undefined ? undefined : `${run}-${arrival.session}`;
+        const session = arrival.session === undefined ? undefined : `${runId}-${arrival.session}`;
         const gaps: number[] = [];
         let firstTokenAt: number | undefined;
         let lastTokenAt = 0;
-        let events = 0;
-        const first = await channel.chat({
+        let eventCount = 0;
+        const initial = await transport.chat({
             entry,
             key: work.key,
             model: work.model,
@@ -151,11 +153,11 @@
             requestClass: work.requestClass,
             session,
             sessionToken: session === undefined ? undefined : this.#sessionTokens.get(session),
-            maximumTokens: work.maximumTokens,
-            boundMilliseconds: settings.boundMilliseconds,
+            maxTokens: work.maximumTokens,
+            timeoutMilliseconds: settings.boundMilliseconds,
             onProgress: count => {
                 const now = clock.monotonic();
-                if (count === events) {
+                if (count === eventCount) {
                     return;
                 }
                 if (firstTokenAt !== undefined) {
@@ -163,29 +165,35 @@
                 }
                 firstTokenAt ??= now;
                 lastTokenAt = now;
-                events = count;
+                eventCount = count;
             },
         });
-        const record = await this.#resume(first, work.key);
+        const record = await this.#resume(initial, work.key);
         if (session !== undefined && record.sessionToken !== undefined) {
             this.#sessionTokens.set(session, record.sessionToken);
         }
-        if (record.isWhole && work.streamed) {
+        if (record.isComplete && work.streamed) {
             firstTokenAt ??= clock.monotonic();
         }
-        return { ...pickTry(record), isWhole: record.isWhole, version: record.version, firstTokenAt, gaps };
+        return {
+            ...pickAttemptFields(record),
+            isComplete: record.isComplete,
+            version: record.version,
+            firstTokenAt,
+            gaps,
+        };
     }
 
     /** Takes up a broken answer at the next entry, as often as a request may be tried. */
-    async #resume(first: ChatRecord, key: string): Promise<ChatRecord> {
-        const { channel, settings } = this.#options;
-        let record = first;
+    async #resume(initial: ChatRecord, key: string): Promise<ChatRecord> {
+        const { transport, settings } = this.#options;
+        let record = initial;
         for (let count = 1; count < settings.tries; count += 1) {
-            if (record.isWhole || record.status !== 200 || record.resumeToken === undefined) {
+            if (record.isComplete || record.status !== 200 || record.resumeToken === undefined) {
                 return record;
             }
             try {
-                const resumed = await channel.resume(await channel.getAddress(), key, record);
+                const resumed = await transport.resume(await transport.getAddress(), key, record);
                 // What broke off keeps its status, so that a failed resumption counts as a broken answer.
                 record = {
                     ...resumed,
@@ -201,55 +209,57 @@
         return record;
     }
 
-    async #callService(arrival: Arrival, entry: string): Promise<Try> {
-        const { channel, run, settings } = this.#options;
+    async #callService(arrival: Arrival, entry: string): Promise<AttemptResult> {
+        const { transport, runId, settings } = this.#options;
         const { work, number } = arrival;
-        const record = await channel.callService({
+        const record = await transport.callService({
             entry,
             key: work.key,
             pool: work.pool ?? "",
             path: work.path,
             // Each try shows the same key, so that a call whose answer was lost is not run a second time.
-            idempotencyKey: `${run}-${number}`,
-            body: `${work.name} ${run}-${number}`,
-            boundMilliseconds: settings.boundMilliseconds,
+            idempotencyKey: `${runId}-${number}`,
+            body: `${work.name} ${runId}-${number}`,
+            timeoutMilliseconds: settings.boundMilliseconds,
         });
-        const isWhole = record.status >= 200 && record.status < 300;
-        return { ...pickTry(record), isWhole, version: undefined, firstTokenAt: undefined, gaps: [] };
+        const isComplete = record.status >= 200 && record.status < 300;
+        return { ...pickAttemptFields(record), isComplete, version: undefined, firstTokenAt: undefined, gaps: [] };
     }
 }
 
-function pickTry(record: ChatRecord | ServiceRecord): Pick<Try, "status" | "outcome" | "retryAfterSeconds"> {
+function pickAttemptFields(
+    record: ChatRecord | ServiceRecord,
+): Pick<AttemptResult, "status" | "outcome" | "retryAfterSeconds"> {
     return { status: record.status, outcome: record.outcome, retryAfterSeconds: record.retryAfterSeconds };
 }
 
-function isRefusal({ isWhole, status }: Try): boolean {
-    return !isWhole && status >= 400;
+function isRefusal({ isComplete, status }: AttemptResult): boolean {
+    return !isComplete && status >= 400;
 }
 
-function getEnd(tried: Try): LoadEnd {
-    if (tried.isWhole) {
+function getEnd(result: AttemptResult): LoadEnd {
+    if (result.isComplete) {
         return "answered";
     }
-    if (tried.status === 0) {
+    if (result.status === 0) {
         return "failed";
     }
-    return isRefusal(tried) ? "refused" : "broken";
+    return isRefusal(result) ? "refused" : "broken";
 }
 
 /** Returns how long to wait before the next try, or undefined when there should be none. */
-function getPause(arrival: Arrival, tried: Try): number | undefined {
-    if (tried.isWhole) {
+function getRetryDelay(arrival: Arrival, result: AttemptResult): number | undefined {
+    if (result.isComplete) {
         return undefined;
     }
-    if (tried.status === 0) {
+    if (result.status === 0) {
         // Only what cannot take effect twice is sent again when nobody knows what became of it: a chat completion
         // before its first token, or a call under its idempotency key.
-        return tried.firstTokenAt === undefined ? 0 : undefined;
+        return result.firstTokenAt === undefined ? 0 : undefined;
     }
-    const mayRepeat = tried.outcome === "not-run" || arrival.work.kind === "service";
-    if (!mayRepeat || tried.retryAfterSeconds === undefined) {
+    const isRetryable = result.outcome === "not-run" || arrival.work.kind === "service";
+    if (!isRetryable || result.retryAfterSeconds === undefined) {
         return undefined;
     }
-    return tried.retryAfterSeconds * millisecondsPerSecond;
+    return result.retryAfterSeconds * millisecondsPerSecond;
 }
--- a/src/load/loadCommand.ts
+++ b/src/load/loadCommand.ts
@@ -13,9 +13,9 @@
 import { createReportPage } from "./reportPage.js";
 import { formatResult } from "./resultText.js";
 
-const longestRunSeconds = 86_400;
-const highestRate = 100_000;
-const highestSeed = 2_147_483_647;
+const maxRunSeconds = 86_400;
+const maxRate = 100_000;
+const maxSeed = 2_147_483_647;
 
 /** How the program is called. */
 export const usage = [
@@ -32,17 +32,17 @@
 
 /**
  * Does what the command line asks for.
- * @param words - The arguments.
+ * @param args - The arguments.
  * @param options - How to run and where to print.
  */
 export async function runLoadCommand(
-    words: readonly string[],
+    args: readonly string[],
     options: LoadCommandOptions,
 ): Promise<Result<void, Failure>> {
-    if (words[0] === "compare") {
-        return compareFiles(words.slice(1)).map(text => options.print(text));
+    if (args[0] === "compare") {
+        return compareFiles(args.slice(1)).map(text => options.print(text));
     }
-    const command = readArguments(words);
+    const command = parseLoadArguments(args);
     if (command.isErr()) {
         return err(command.error);
     }
@@ -50,9 +50,9 @@
     const outputs = [json, html].filter(file => file !== undefined);
     // A file that cannot be written is reported now rather than after a long run whose result would be lost.
     for (const file of outputs) {
-        const written = checkWritable(file);
-        if (written.isErr()) {
-            return written;
+        const writable = checkWritable(file);
+        if (writable.isErr()) {
+            return writable;
         }
     }
     const result = await options.run(run);
@@ -72,15 +72,20 @@
     readonly html: string | undefined;
 }
 
-function readArguments(words: readonly string[]): Result<LoadArguments, Failure> {
-    return parseWords(words).andThen((values): Result<LoadArguments, Failure> => {
+function parseLoadArguments(args: readonly string[]): Result<LoadArguments, Failure> {
+    return parseOptions(args).andThen((values): Result<LoadArguments, Failure> => {
         const { address: addresses = [], profile: file, json, html } = values;
-        const wrong = addresses.find(address => !/^.+:\d{1,5}$/.test(address) || !URL.canParse(`http://${address}`));
-        if (wrong !== undefined) {
-            return refuse(`--address ${wrong} is no address.`, "Write an IP number and a port, such as 10.0.1.1:8080.");
+        const invalidAddress = addresses.find(address =>
+            !/^.+:\d{1,5}$/.test(address) || !URL.canParse(`http://${address}`)
+        );
+        if (invalidAddress !== undefined) {
+            return invalidInput(
+                `--address ${invalidAddress} is no address.`,
+                "Write an IP number and a port, such as 10.0.1.1:8080.",
+            );
         }
         if (addresses.length === 0 || file === undefined) {
-            return refuse(
+            return invalidInput(
                 "--address or --profile is missing.",
                 "Give at least one entry's address, and a load profile.",
             );
@@ -99,8 +104,8 @@
 ): Result<LoadRunOptions, Failure> {
     const { rate, seconds, seed } = profile.load;
     return Result.combine([
-        readNumber("rate", values.rate, rate, highestRate),
-        readNumber("seconds", values.seconds, seconds, longestRunSeconds),
+        readNumber("rate", values.rate, rate, maxRate),
+        readNumber("seconds", values.seconds, seconds, maxRunSeconds),
         readSeed(values.seed, seed),
     ]).map(numbers => ({
         title: `Load on ${addresses.join(", ")}`,
@@ -112,11 +117,11 @@
     }));
 }
 
-function parseWords(words: readonly string[]) {
+function parseOptions(args: readonly string[]) {
     const parse = Result.fromThrowable(
         () =>
             parseArgs({
-                args: [...words],
+                args: [...args],
                 options: {
                     address: { type: "string", multiple: true },
                     profile: { type: "string" },
@@ -127,39 +132,39 @@
                     html: { type: "string" },
                 },
             }).values,
-        error => createRefusal(error instanceof Error ? error.message : String(error), "See the usage."),
+        error => createInputFailure(error instanceof Error ? error.message : String(error), "See the usage."),
     );
     return parse();
 }
 
 function readProfile(content: string, file: string) {
-    return parseLoadProfile(content, file).mapErr(mistakes =>
-        createRefusal("The load profile cannot be used.", mistakes.map(formatValidationError).join("\n"))
+    return parseLoadProfile(content, file).mapErr(errors =>
+        createInputFailure("The load profile cannot be used.", errors.map(formatValidationError).join("\n"))
     );
 }
 
 function readNumber(
     name: string,
     text: string | undefined,
-    otherwise: number,
-    maximum: number,
+    defaultValue: number,
+    max: number,
 ): Result<number, Failure> {
-    const value = text === undefined ? otherwise : Number(text);
-    return value > 0 && value <= maximum && text?.trim() !== ""
+    const value = text === undefined ? defaultValue : Number(text);
+    return value > 0 && value <= max && text?.trim() !== ""
         ? ok(value)
-        : refuse(`--${name} ${text} cannot be used.`, `Write a number above 0 and up to ${maximum}.`);
+        : invalidInput(`--${name} ${text} cannot be used.`, `Write a number above 0 and up to ${max}.`);
 }
 
-function readSeed(text: string | undefined, otherwise: number): Result<number, Failure> {
-    const value = text === undefined ? otherwise : Number(text);
-    return Number.isInteger(value) && value >= 0 && value <= highestSeed && text?.trim() !== ""
+function readSeed(text: string | undefined, defaultValue: number): Result<number, Failure> {
+    const value = text === undefined ? defaultValue : Number(text);
+    return Number.isInteger(value) && value >= 0 && value <= maxSeed && text?.trim() !== ""
         ? ok(value)
-        : refuse(`--seed ${text} cannot be used.`, `Write a whole number from 0 to ${highestSeed}.`);
+        : invalidInput(`--seed ${text} cannot be used.`, `Write a whole number from 0 to ${maxSeed}.`);
 }
 
 function compareFiles(files: readonly string[]): Result<string, Failure> {
     if (files.length !== 2) {
-        return refuse("A comparison needs two results.", "Write rattanlock-load compare A.json B.json.");
+        return invalidInput("A comparison needs two results.", "Write rattanlock-load compare A.json B.json.");
     }
     const results = files.map(file => readText(file).andThen(content => parseLoadResult(content, file)));
     return Result.combine(results).map(([before, after]) => formatDifferences(compareResults(before, after)));
@@ -168,7 +173,7 @@
 function readText(file: string): Result<string, Failure> {
     const read = Result.fromThrowable(
         () => readFileSync(file, "utf8"),
-        error => createRefusal(`${file} cannot be read: ${getMessage(error)}.`, "Give a file that exists."),
+        error => createInputFailure(`${file} cannot be read: ${getMessage(error)}.`, "Give a file that exists."),
     );
     return read();
 }
@@ -178,7 +183,10 @@
     const write = Result.fromThrowable(
         () => writeFileSync(file, "", { flag: "a" }),
         error =>
-            createRefusal(`${file} cannot be written: ${getMessage(error)}.`, "Give a file in a folder that exists."),
+            createInputFailure(
+                `${file} cannot be written: ${getMessage(error)}.`,
+                "Give a file in a folder that exists.",
+            ),
     );
     return write();
 }
@@ -187,10 +195,10 @@
     return error instanceof Error ? error.message : String(error);
 }
 
-function createRefusal(message: string, remedy: string): Failure {
+function createInputFailure(message: string, remedy: string): Failure {
     return new Failure({ kind: "invalid-input", message, remedy });
 }
 
-function refuse<Value>(message: string, remedy: string): Result<Value, Failure> {
-    return err(createRefusal(message, remedy));
+function invalidInput<Value>(message: string, remedy: string): Result<Value, Failure> {
+    return err(createInputFailure(message, remedy));
 }
--- a/src/load/loadResult.ts
+++ b/src/load/loadResult.ts
@@ -93,7 +93,7 @@
  * @param file - The file's name, for messages.
  */
 export function parseLoadResult(content: string, file: string): Result<LoadResult, Failure> {
-    const refuse = (message: string): Result<LoadResult, Failure> =>
+    const fail = (message: string): Result<LoadResult, Failure> =>
         err(
             new Failure({
                 kind: "invalid-input",
@@ -106,12 +106,12 @@
         document = JSON.parse(content);
     }
     catch {
-        return refuse("It is not JSON.");
+        return fail("It is not JSON.");
     }
     const parsed = schema.safeParse(document);
     if (!parsed.success) {
         const [issue] = parsed.error.issues;
-        return refuse(`${issue.path.join(".") || "The document"}: ${issue.message}.`);
+        return fail(`${issue.path.join(".") || "The document"}: ${issue.message}.`);
     }
     return ok(parsed.data);
 }
--- a/src/load/loadRun.ts
+++ b/src/load/loadRun.ts
@@ -2,13 +2,13 @@
  * A run of load against a site.
  */
 import { randomUUID } from "node:crypto";
-import { AddressFollower, Caller } from "../caller/index.js";
+import { AddressResolver, Caller } from "../caller/index.js";
 import { systemClock } from "../common/index.js";
 import { LoadClient } from "./loadClient.js";
 import type { LoadResult } from "./loadResult.js";
 import { runOpenLoop } from "./openLoop.js";
 import type { LoadProfile } from "./profile.js";
-import { Recorder } from "./recorder.js";
+import { LoadRecorder } from "./recorder.js";
 import { createSchedule } from "./schedule.js";
 
 /** What a run is made of. */
@@ -29,19 +29,19 @@
 export async function runLoad(options: LoadRunOptions): Promise<LoadResult> {
     const { profile, ratePerSecond, seconds, seed, title } = options;
     const caller = new Caller();
-    const follower = new AddressFollower(options.addresses);
+    const resolver = new AddressResolver(options.addresses);
     const client = new LoadClient({
-        channel: {
+        transport: {
             chat: ask => caller.chat(ask),
             callService: ask => caller.callService(ask),
             resume: (entry, key, broken) => caller.resume(entry, key, broken),
-            getAddress: () => follower.getAddress(),
+            getAddress: () => resolver.getAddress(),
         },
         clock: systemClock,
         settings: profile.load,
-        run: randomUUID(),
+        runId: randomUUID(),
     });
-    const recorder = new Recorder({
+    const recorder = new LoadRecorder({
         title,
         startedAt: new Date(),
         ratePerSecond,
--- a/src/load/main.ts
+++ b/src/load/main.ts
@@ -8,9 +8,9 @@
 const exitCodes = { badInput: 2, failed: 1 } as const;
 
 try {
-    const done = await runLoadCommand(process.argv.slice(2), { run: runLoad, print: line => console.log(line) });
-    if (done.isErr()) {
-        console.error(`${done.error.message}\n${usage}`);
+    const result = await runLoadCommand(process.argv.slice(2), { run: runLoad, print: line => console.log(line) });
+    if (result.isErr()) {
+        console.error(`${result.error.message}\n${usage}`);
         process.exitCode = exitCodes.badInput;
     }
 }
--- a/src/load/openLoop.ts
+++ b/src/load/openLoop.ts
@@ -30,9 +30,9 @@
     const running: Promise<void>[] = [];
     for (const arrival of schedule) {
         const intendedAt = start + arrival.at;
-        const left = intendedAt - clock.monotonic();
-        if (left > 0) {
-            await sleep(left);
+        const remaining = intendedAt - clock.monotonic();
+        if (remaining > 0) {
+            await sleep(remaining);
         }
         running.push(send(arrival, intendedAt));
     }
--- a/src/load/profile.ts
+++ b/src/load/profile.ts
@@ -127,8 +127,8 @@
     path: text({ description: "The path of the service's calls.", example: "/print", defaultText: "/" }),
 };
 
-const workspaceSection = defineNamed("workspace", "A workspace that asks.", workspaceKeys);
-const workSection = defineNamed("work", "One kind of work.", workKeys);
+const workspaceSection = defineNamedSection("workspace", "A workspace that asks.", workspaceKeys);
+const workSection = defineNamedSection("work", "One kind of work.", workKeys);
 
 /** What a load profile may hold. */
 export const profileSchema: SettingSchema = {
@@ -160,21 +160,25 @@
  */
 export function parseLoadProfile(content: string, file: string): Result<LoadProfile, readonly ValidationError[]> {
     return checkSettings(content, file, profileSchema).andThen(document => {
-        const mistakes = checkWorks(document);
-        if (mistakes.length > 0) {
-            return err(mistakes);
+        const errors = checkWorks(document);
+        if (errors.length > 0) {
+            return err(errors);
         }
-        const works = getNames(document, "work").map(section => readWork(document, section));
+        const works = getSectionNames(document, "work").map(section => readWork(document, section));
         return ok({ load: getValues(document, "load", loadSection), works });
     });
 }
 
-function defineNamed<Keys extends SettingKeys>(kind: string, description: string, keys: Keys): SectionSchema<Keys> {
+function defineNamedSection<Keys extends SettingKeys>(
+    kind: string,
+    description: string,
+    keys: Keys,
+): SectionSchema<Keys> {
     const pattern = new RegExp(`^${kind}\\.[A-Za-z0-9][A-Za-z0-9_-]*$`);
     return { title: `${kind}.NAME`, description, pattern, isRequired: false, keys };
 }
 
-function getNames(document: SettingDocument, kind: string): readonly string[] {
+function getSectionNames(document: SettingDocument, kind: string): readonly string[] {
     return [...document.sections.keys()].filter(section => section.startsWith(`${kind}.`));
 }
 
@@ -185,16 +189,16 @@
 }
 
 function checkWorks(document: SettingDocument): readonly ValidationError[] {
-    const mistakes: ValidationError[] = [];
-    let shares = 0;
-    for (const section of getNames(document, "work")) {
+    const errors: ValidationError[] = [];
+    let totalShare = 0;
+    for (const section of getSectionNames(document, "work")) {
         const { workspace, kind, pool, share } = getValues(document, section, workSection);
         const { lines, line } = document.sections.get(section) ?? { lines: new Map(), line: 0 };
-        const place = { file: document.file, section };
-        shares += share;
+        const location = { file: document.file, section };
+        totalShare += share;
         if (!document.sections.has(`workspace.${workspace}`)) {
-            mistakes.push({
-                ...place,
+            errors.push({
+                ...location,
                 key: "workspace",
                 line: lines.get("workspace")?.line ?? line,
                 message: `There is no [workspace.${workspace}].`,
@@ -203,13 +207,13 @@
         }
         if (kind === "service" && pool === undefined) {
             const remedy = "Write, for instance, pool = label-app.";
-            mistakes.push({ ...place, key: "pool", line, message: "A service needs its pool.", remedy });
+            errors.push({ ...location, key: "pool", line, message: "A service needs its pool.", remedy });
         }
     }
-    if (shares === 0) {
+    if (totalShare === 0) {
         const message = "No work has a share above 0.";
         const remedy = "Add a [work.NAME] section with kind, workspace and share.";
-        mistakes.push({ file: document.file, section: "", key: "", line: 0, message, remedy });
+        errors.push({ file: document.file, section: "", key: "", line: 0, message, remedy });
     }
-    return mistakes;
+    return errors;
 }
--- a/src/load/prompt.ts
+++ b/src/load/prompt.ts
@@ -10,8 +10,8 @@
 export function createPrompt(arrival: Arrival): string {
     const { work, history, turn, number } = arrival;
     const lines = [createHistory(`${work.name} history ${history}`, work.promptCharacters)];
-    for (let earlier = 0; earlier < turn; earlier += 1) {
-        lines.push(`Question ${earlier + 1} of ${arrival.session}`);
+    for (let previousTurn = 0; previousTurn < turn; previousTurn += 1) {
+        lines.push(`Question ${previousTurn + 1} of ${arrival.session}`);
     }
     lines.push(`Question ${turn + 1} of ${arrival.session ?? number}: what is to be done next?`);
     return lines.join("\n");
--- a/src/load/recorder.ts
+++ b/src/load/recorder.ts
@@ -23,13 +23,13 @@
 }
 
 /** Takes the records of a run. */
-export class Recorder {
+export class LoadRecorder {
     readonly #description: RunDescription;
     readonly #firstToken = createHistogram();
     readonly #gap = createHistogram();
     readonly #answer = createHistogram();
     readonly #refusal = createHistogram();
-    readonly #late = createHistogram();
+    readonly #sendDelay = createHistogram();
     readonly #firstUse = new Map<string, Histogram>();
     readonly #ends = new Map<string, number>();
     readonly #outcomes = new Map<string, number>();
@@ -39,8 +39,8 @@
     readonly #works = new Map<string, number>();
     readonly #timeLine: { -readonly [Key in keyof LoadSecond]: number; }[] = [];
     #requests = 0;
-    #tries = 0;
-    #good = 0;
+    #attempts = 0;
+    #goodAnswers = 0;
 
     constructor(description: RunDescription) {
         this.#description = description;
@@ -53,8 +53,8 @@
     add(record: LoadRecord): void {
         const { arrival } = record;
         this.#requests += 1;
-        this.#tries += record.tries;
-        recordTime(this.#late, record.lateMilliseconds);
+        this.#attempts += record.attempts;
+        recordTime(this.#sendDelay, record.lateMilliseconds);
         if (record.firstTokenMilliseconds !== undefined) {
             recordTime(this.#firstToken, record.firstTokenMilliseconds);
         }
@@ -68,13 +68,13 @@
             recordTime(this.#answer, record.milliseconds);
         }
         this.#addFirstUse(record);
-        increase(this.#ends, record.end);
-        increase(this.#outcomes, record.outcome ?? "none told");
-        increase(this.#statuses, String(record.status));
-        increase(this.#workspaces, arrival.work.workspace);
-        increase(this.#works, arrival.work.name);
+        incrementCount(this.#ends, record.end);
+        incrementCount(this.#outcomes, record.outcome ?? "none told");
+        incrementCount(this.#statuses, String(record.status));
+        incrementCount(this.#workspaces, arrival.work.workspace);
+        incrementCount(this.#works, arrival.work.name);
         if (record.version !== undefined) {
-            increase(this.#versions, record.version);
+            incrementCount(this.#versions, record.version);
         }
         this.#addToTimeLine(record);
     }
@@ -90,14 +90,14 @@
             seconds,
             seed,
             requests: this.#requests,
-            tries: this.#tries,
-            goodPerSecond: this.#good / seconds,
+            tries: this.#attempts,
+            goodPerSecond: this.#goodAnswers / seconds,
             distributions: {
                 firstToken: summarize(this.#firstToken),
                 gap: summarize(this.#gap),
                 answer: summarize(this.#answer),
                 refusal: summarize(this.#refusal),
-                late: summarize(this.#late),
+                late: summarize(this.#sendDelay),
             },
             firstUse: Object.fromEntries([...this.#firstUse].map(([name, times]) => [name, summarize(times)])),
             ends: toObject(this.#ends),
@@ -117,7 +117,7 @@
         const { name } = record.arrival.work;
         const histogram = this.#firstUse.get(name) ?? createHistogram();
         this.#firstUse.set(name, histogram);
-        recordTime(histogram, getFirstUse(record));
+        recordTime(histogram, getTimeToFirstUse(record));
     }
 
     #addToTimeLine(record: LoadRecord): void {
@@ -129,9 +129,9 @@
         else if (record.end !== "answered") {
             second.failed += 1;
         }
-        else if (getFirstUse(record) <= this.#description.goodFirstTokenMilliseconds) {
+        else if (getTimeToFirstUse(record) <= this.#description.goodFirstTokenMilliseconds) {
             second.good += 1;
-            this.#good += 1;
+            this.#goodAnswers += 1;
         }
     }
 
@@ -145,7 +145,7 @@
 }
 
 /** Returns how long until the caller had something to use. */
-function getFirstUse({ firstTokenMilliseconds, milliseconds }: LoadRecord): number {
+function getTimeToFirstUse({ firstTokenMilliseconds, milliseconds }: LoadRecord): number {
     return firstTokenMilliseconds ?? milliseconds;
 }
 
@@ -158,7 +158,7 @@
 }
 
 function summarize(histogram: Histogram): Distribution {
-    const at = (percentile: number): number => {
+    const getPercentile = (percentile: number): number => {
         return histogram.totalCount === 0
             ? 0
             : histogram.getValueAtPercentile(percentile) / microsecondsPerMillisecond;
@@ -166,16 +166,18 @@
     return {
         count: histogram.totalCount,
         mean: histogram.totalCount === 0 ? 0 : histogram.mean / microsecondsPerMillisecond,
-        p50: at(50),
-        p90: at(90),
-        p95: at(95),
-        p99: at(99),
-        maximum: at(100),
-        curve: histogram.totalCount === 0 ? [] : curvePercentiles.map(percentile => [percentile, at(percentile)]),
+        p50: getPercentile(50),
+        p90: getPercentile(90),
+        p95: getPercentile(95),
+        p99: getPercentile(99),
+        maximum: getPercentile(100),
+        curve: histogram.totalCount === 0
+            ? []
+            : curvePercentiles.map(percentile => [percentile, getPercentile(percentile)]),
     };
 }
 
-function increase(counts: Map<string, number>, name: string): void {
+function incrementCount(counts: Map<string, number>, name: string): void {
     counts.set(name, (counts.get(name) ?? 0) + 1);
 }
 
--- a/src/load/reportPage.ts
+++ b/src/load/reportPage.ts
@@ -7,7 +7,7 @@
 /** Labels of the percentile curve's axis; it is stretched towards 100 so that the slowest requests can be seen. */
 const percentileTicks: readonly number[] = [0, 50, 90, 99, 99.9];
 /** Where 100 % stands on the stretched axis, which has no end. */
-const lastPercentile = 99.99;
+const maxPercentile = 99.99;
 const plottedDistributions = ["firstToken", "answer", "refusal", "gap", "late"] as const;
 const secondTitles: Readonly<Record<keyof LoadSecond, string>> = {
     arrived: "arrived",
@@ -111,16 +111,16 @@
         xTitle: "percentile",
         yTitle: "milliseconds",
         series,
-        xTicks: percentileTicks.map(percentile => [stretch(percentile), `${percentile} %`]),
+        xTicks: percentileTicks.map(percentile => [scalePercentile(percentile), `${percentile} %`]),
     });
 }
 
 function createCurve({ curve }: Distribution): PlotSeries["points"] {
-    return curve.map(([percentile, milliseconds]) => [stretch(percentile), milliseconds]);
+    return curve.map(([percentile, milliseconds]) => [scalePercentile(percentile), milliseconds]);
 }
 
-function stretch(percentile: number): number {
-    return -Math.log10(1 - Math.min(lastPercentile, percentile) / 100);
+function scalePercentile(percentile: number): number {
+    return -Math.log10(1 - Math.min(maxPercentile, percentile) / 100);
 }
 
 function drawTimeLine({ timeLine }: LoadResult): string {
--- a/src/load/resultText.ts
+++ b/src/load/resultText.ts
@@ -24,6 +24,6 @@
 }
 
 function formatDistribution(title: string, { count, p50, p95, p99, maximum }: Distribution): string {
-    const [median, most, nearlyAll, slowest] = [p50, p95, p99, maximum].map(value => value.toFixed(2));
-    return `${title}: median ${median}, p95 ${most}, p99 ${nearlyAll}, maximum ${slowest} ms (${count} times)`;
+    const [median, percentile95, percentile99, max] = [p50, p95, p99, maximum].map(value => value.toFixed(2));
+    return `${title}: median ${median}, p95 ${percentile95}, p99 ${percentile99}, maximum ${max} ms (${count} times)`;
 }
--- a/src/load/schedule.ts
+++ b/src/load/schedule.ts
@@ -34,7 +34,7 @@
  */
 export function createSchedule({ works, ratePerSecond, seconds, seed }: ScheduleOptions): readonly Arrival[] {
     const random = new RandomSource(seed);
-    const conversations = new Map<LoadWork, ConversationBook>();
+    const sessionPools = new Map<LoadWork, SessionPool>();
     const arrivals: Arrival[] = [];
     // All times are drawn first, so that a change of the mix leaves them as they are and two runs can be compared.
     for (const [number, at] of createArrivalTimes({ ratePerSecond, seconds, random }).entries()) {
@@ -44,37 +44,37 @@
             arrivals.push({ at, work, number, history, session: undefined, turn: 0 });
             continue;
         }
-        const book = conversations.get(work) ?? new ConversationBook(work, seed);
-        conversations.set(work, book);
-        arrivals.push({ at, work, number, ...book.takeTurn(random) });
+        const sessionPool = sessionPools.get(work) ?? new SessionPool(work, seed);
+        sessionPools.set(work, sessionPool);
+        arrivals.push({ at, work, number, ...sessionPool.drawTurn(random) });
     }
     return arrivals;
 }
 
 /** Holds the open sessions of one work. */
-class ConversationBook {
+class SessionPool {
     readonly #work: LoadWork;
     readonly #seed: number;
-    readonly #open: { session: string; history: number; turn: number; }[] = [];
-    #count = 0;
+    readonly #openSessions: { session: string; history: number; turn: number; }[] = [];
+    #sessionCount = 0;
 
     constructor(work: LoadWork, seed: number) {
         this.#work = work;
         this.#seed = seed;
     }
 
-    takeTurn(random: RandomSource): Pick<Arrival, "session" | "history" | "turn"> {
-        const place = random.nextInteger(this.#work.openSessions);
-        let entry = this.#open[place];
-        if (entry === undefined || entry.turn >= this.#work.turns) {
-            this.#count += 1;
-            const session = `${this.#work.name}-${this.#seed}-${this.#count}`;
-            entry = { session, history: random.nextInteger(this.#work.histories), turn: 0 };
-            this.#open[place] = entry;
+    drawTurn(random: RandomSource): Pick<Arrival, "session" | "history" | "turn"> {
+        const index = random.nextInteger(this.#work.openSessions);
+        let openSession = this.#openSessions[index];
+        if (openSession === undefined || openSession.turn >= this.#work.turns) {
+            this.#sessionCount += 1;
+            const session = `${this.#work.name}-${this.#seed}-${this.#sessionCount}`;
+            openSession = { session, history: random.nextInteger(this.#work.histories), turn: 0 };
+            this.#openSessions[index] = openSession;
         }
-        const taken = { ...entry };
-        entry.turn += 1;
-        return taken;
+        const current = { ...openSession };
+        openSession.turn += 1;
+        return current;
     }
 }
 
@@ -83,15 +83,15 @@
     for (const work of works) {
         total += work.share;
     }
-    let left = random.next() * total;
+    let remaining = random.next() * total;
     let drawn = works[0];
     for (const work of works) {
         if (work.share === 0) {
             continue;
         }
         drawn = work;
-        left -= work.share;
-        if (left < 0) {
+        remaining -= work.share;
+        if (remaining < 0) {
             break;
         }
     }
--- a/src/measure/admissionPolicies.ts
+++ b/src/measure/admissionPolicies.ts
@@ -20,15 +20,15 @@
 export const admissionNames: readonly AdmissionName[] = ["no limit", "fixed limit", "rattanlock"];
 
 /** What becomes of a request at the door. */
-export interface AdmissionVerdict {
-    readonly enter: (ticket: { readonly priority: number; readonly release: (end: Release) => void; }) => void;
+export interface AdmissionCallbacks {
+    readonly admit: (ticket: { readonly priority: number; readonly release: (end: Release) => void; }) => void;
     /** With when to come back, where the way says so. */
     readonly refuse: (retryAfterMilliseconds: number | undefined) => void;
 }
 
 /** One entry's way to let requests in. */
 export interface Admission {
-    readonly offer: (request: AdmissionRequest, verdict: AdmissionVerdict) => void;
+    readonly offer: (request: AdmissionRequest, verdict: AdmissionCallbacks) => void;
 }
 
 /** What a way is made from. */
@@ -45,7 +45,7 @@
     switch (name) {
         case "no limit":
             return {
-                offer: (request, verdict) => verdict.enter({ priority: request.priority, release: () => {} }),
+                offer: (request, verdict) => verdict.admit({ priority: request.priority, release: () => {} }),
             };
         case "fixed limit":
             return createFixedLimit(options);
@@ -55,28 +55,28 @@
 }
 
 function createFixedLimit(options: AdmissionOptions): Admission {
-    const line: (() => void)[] = [];
-    let free = Math.round(options.capacity);
-    const enter = (request: AdmissionRequest, verdict: AdmissionVerdict): void => {
-        free -= 1;
+    const waiting: (() => void)[] = [];
+    let freeSlots = Math.round(options.capacity);
+    const admit = (request: AdmissionRequest, verdict: AdmissionCallbacks): void => {
+        freeSlots -= 1;
         const release = (): void => {
-            free += 1;
-            line.shift()?.();
+            freeSlots += 1;
+            waiting.shift()?.();
         };
-        verdict.enter({ priority: request.priority, release });
+        verdict.admit({ priority: request.priority, release });
     };
     return {
         offer: (request, verdict) => {
-            if (free > 0) {
-                enter(request, verdict);
+            if (freeSlots > 0) {
+                admit(request, verdict);
                 return;
             }
-            const next = (): void => enter(request, verdict);
-            line.push(next);
+            const next = (): void => admit(request, verdict);
+            waiting.push(next);
             options.queue.schedule(request.deadlineMilliseconds, () => {
-                const place = line.indexOf(next);
-                if (place >= 0) {
-                    line.splice(place, 1);
+                const index = waiting.indexOf(next);
+                if (index >= 0) {
+                    waiting.splice(index, 1);
                     verdict.refuse(undefined);
                 }
             });
@@ -96,7 +96,7 @@
         offer: (request, verdict) =>
             controller.offer(request, result =>
                 result.match(
-                    ticket => verdict.enter(ticket),
+                    ticket => verdict.admit(ticket),
                     failure => verdict.refuse(failure.retryAfterMilliseconds),
                 )),
     };
--- a/src/measure/capacity/billSubjects.ts
+++ b/src/measure/capacity/billSubjects.ts
@@ -30,17 +30,17 @@
  * Builds a keeper of copies.
  * @param count - How many bills.
  */
-export function buildKeptBills(count: number): BillReplicaStore {
-    const keeper = new BillReplicaStore({
+export function buildBillReplicas(count: number): BillReplicaStore {
+    const replica = new BillReplicaStore({
         append: () => new Promise(() => undefined),
         ...createShared(),
         hasDeparted: () => false,
         maxBills: count * 2,
     });
     for (let index = 0; index < count; index += 1) {
-        keeper.retain("entry-1", [JSON.stringify(createBill(index))], []);
+        replica.retain("entry-1", [JSON.stringify(createBill(index))], []);
     }
-    return keeper;
+    return replica;
 }
 
 function createShared(): { readonly clock: ManualClock; readonly journal: Journal; readonly writer: string; } {
--- a/src/measure/capacity/heap.ts
+++ b/src/measure/capacity/heap.ts
@@ -11,7 +11,7 @@
 const collections = 3;
 
 /** What only timers or settled promises still hold is let go first. */
-async function getSettledHeap(): Promise<number> {
+async function getHeapAfterCollection(): Promise<number> {
     for (let count = 0; count < collections; count += 1) {
         await new Promise(resolve => setImmediate(resolve));
         collectGarbage();
@@ -31,9 +31,9 @@
 ): Promise<readonly Point[]> {
     const points: Point[] = [];
     // The first object of a kind pays for compiled code and shapes that the later ones share.
-    touch(await build(sizes[0]));
+    keepAlive(await build(sizes[0]));
     for (const size of sizes) {
-        points.push({ size, value: await measureKept(size, build) });
+        points.push({ size, value: await measureRetained(size, build) });
     }
     return points;
 }
@@ -42,11 +42,11 @@
  * Stands in a function of its own: in a loop, the frame goes on holding the object before until the next one is built.
  * It would then be freed between the two looks at the heap, and each figure be too small by the one before.
  */
-async function measureKept(size: number, build: (size: number) => unknown): Promise<number> {
-    const before = await getSettledHeap();
-    const kept = await build(size);
-    const value = await getSettledHeap() - before;
-    touch(kept);
+async function measureRetained(size: number, build: (size: number) => unknown): Promise<number> {
+    const before = await getHeapAfterCollection();
+    const retained = await build(size);
+    const value = await getHeapAfterCollection() - before;
+    keepAlive(retained);
     return value;
 }
 
@@ -77,8 +77,8 @@
 }
 
 /** Keeps an object alive up to this place. */
-function touch(kept: unknown): void {
-    if (kept === undefined) {
+function keepAlive(retained: unknown): void {
+    if (retained === undefined) {
         throw new Error("A measured object must be kept.");
     }
 }
--- a/src/measure/capacity/measureControl.ts
+++ b/src/measure/capacity/measureControl.ts
@@ -10,12 +10,12 @@
 /**
  * By then the code is compiled, and an entry no longer collects for the partitions that it took on while it was alone.
  */
-const settleMilliseconds = 75_000;
-const watchMilliseconds = 60_000;
+const warmUpMilliseconds = 75_000;
+const measuredMilliseconds = 60_000;
 /** Sites that are watched at a time; more would take processor time from each other. */
 const sitesAtATime = 2;
 /** The period of gossip between 350 nodes. */
-const periodOfTarget = "2100";
+const targetGossipInterval = "2100";
 /** As the settings' defaults have it. */
 const timing = {
     gossip_interval_ms: "500",
@@ -36,11 +36,11 @@
     readonly gossipInterval: string;
 }
 
-const usual: ControlCase = { entries: 3, runners: 2, gossipInterval: timing.gossip_interval_ms };
-const byRunners: readonly ControlCase[] = [2, 8, 20].map(runners => ({ ...usual, runners }));
-const byEntries: readonly ControlCase[] = [5, 8].map(entries => ({ ...usual, entries }));
-const atPeriodOfTarget: ControlCase = { ...usual, runners: 20, gossipInterval: periodOfTarget };
-const cases: readonly ControlCase[] = [...byRunners, ...byEntries, atPeriodOfTarget];
+const baseCase: ControlCase = { entries: 3, runners: 2, gossipInterval: timing.gossip_interval_ms };
+const byRunners: readonly ControlCase[] = [2, 8, 20].map(runners => ({ ...baseCase, runners }));
+const byEntries: readonly ControlCase[] = [5, 8].map(entries => ({ ...baseCase, entries }));
+const targetIntervalCase: ControlCase = { ...baseCase, runners: 20, gossipInterval: targetGossipInterval };
+const cases: readonly ControlCase[] = [...byRunners, ...byEntries, targetIntervalCase];
 
 interface ControlUsage {
     readonly processor: { readonly user: number; readonly system: number; };
@@ -50,8 +50,8 @@
 interface ControlCost {
     /** The mean of the site's entries, one of which holds the lease. */
     readonly processorPermille: number;
-    readonly leastPermille: number;
-    readonly greatestPermille: number;
+    readonly minPermille: number;
+    readonly maxPermille: number;
     readonly heapMegabytes: number;
     readonly residentMegabytes: number;
 }
@@ -66,7 +66,7 @@
         await Promise.all(
             cases.slice(start, start + sitesAtATime).map(async (controlCase, index) => {
                 log(`${describe(controlCase)} ...`);
-                costs.set(controlCase, await watch(controlCase, `127.100.${firstBlock + index}`));
+                costs.set(controlCase, await measureCase(controlCase, `127.100.${firstBlock + index}`));
             }),
         );
     }
@@ -82,11 +82,11 @@
 }
 
 function describe({ entries, runners, gossipInterval }: ControlCase): string {
-    const gossip = gossipInterval === usual.gossipInterval ? "" : `, gossip every ${gossipInterval} ms`;
+    const gossip = gossipInterval === baseCase.gossipInterval ? "" : `, gossip every ${gossipInterval} ms`;
     return `${entries} entries, ${runners} runners${gossip}`;
 }
 
-async function watch({ entries, runners, gossipInterval }: ControlCase, prefix: string): Promise<ControlCost> {
+async function measureCase({ entries, runners, gossipInterval }: ControlCase, prefix: string): Promise<ControlCost> {
     const group = new ProcessGroup();
     try {
         const site = await Site.start(group, {
@@ -98,17 +98,17 @@
             runners: { name: "lm-pool", count: runners },
             services: { name: "label-app", count: 1 },
         });
-        await sleep(settleMilliseconds);
+        await sleep(warmUpMilliseconds);
         const before = await readUsages(site);
         const startedAt = performance.now();
-        await sleep(watchMilliseconds);
+        await sleep(measuredMilliseconds);
         const after = await readUsages(site);
         const elapsed = performance.now() - startedAt;
         const permilles = after.map((usage, index) => (getProcessor(usage) - getProcessor(before[index])) / elapsed);
         return {
             processorPermille: permilles.reduce((sum, value) => sum + value, 0) / permilles.length,
-            leastPermille: Math.min(...permilles),
-            greatestPermille: Math.max(...permilles),
+            minPermille: Math.min(...permilles),
+            maxPermille: Math.max(...permilles),
             heapMegabytes: Math.max(...after.map(({ memory }) => memory.heapUsed)) / bytesInMegabyte,
             residentMegabytes: Math.max(...after.map(({ memory }) => memory.rss)) / bytesInMegabyte,
         };
@@ -120,7 +120,7 @@
 
 function readUsages(site: Site): Promise<readonly ControlUsage[]> {
     return Promise.all(
-        site.getEntries().map(entry => callJson<ControlUsage>({ address: entry.operators, path: "/status" })),
+        site.getEntries().map(entry => callJson<ControlUsage>({ address: entry.operatorAddress, path: "/status" })),
     );
 }
 
@@ -133,7 +133,7 @@
         name,
         figures: {
             "processor, % of a core": formatPercent(cost.processorPermille),
-            "least to greatest": `${formatPercent(cost.leastPermille)} to ${formatPercent(cost.greatestPermille)}`,
+            "least to greatest": `${formatPercent(cost.minPermille)} to ${formatPercent(cost.maxPermille)}`,
             "heap MB": cost.heapMegabytes.toFixed(0),
             "resident MB": cost.residentMegabytes.toFixed(0),
         },
--- a/src/measure/capacity/memberSubjects.ts
+++ b/src/measure/capacity/memberSubjects.ts
@@ -10,7 +10,7 @@
 const domainCount = 17;
 const regionCount = 8;
 /** Longer than the list of members is kept. */
-const pauseMilliseconds = 500;
+const cacheExpiryMilliseconds = 500;
 
 /** A node that has heard of others. */
 export interface Node {
@@ -33,7 +33,7 @@
         random: new RandomSource(1),
         journal,
         transport: { exchange: () => Promise.resolve(undefined), push: () => Promise.resolve(true) },
-        periodMilliseconds: pauseMilliseconds,
+        periodMilliseconds: cacheExpiryMilliseconds,
         maxValueBytesPerMessage: 1,
     });
     const membership = new Membership({ self, gossip, clock, journal });
@@ -63,7 +63,7 @@
 export function prepareMembers(count: number): () => void {
     const { clock, membership } = buildNode(count);
     return () => {
-        clock.advance(pauseMilliseconds);
+        clock.advance(cacheExpiryMilliseconds);
         membership.getMembers();
     };
 }
--- a/src/measure/capacity/subjects.ts
+++ b/src/measure/capacity/subjects.ts
@@ -8,7 +8,7 @@
 import { EventBuffer } from "../../events/index.js";
 import type { LogEntry, LogRecord } from "../../log/index.js";
 import type { LoadReport, Vm } from "../../world/index.js";
-import { buildKeptBills, buildWaitingBills } from "./billSubjects.js";
+import { buildBillReplicas, buildWaitingBills } from "./billSubjects.js";
 import { measureHeap, measureTime } from "./heap.js";
 import { buildNode, prepareMembers } from "./memberSubjects.js";
 import type { Point } from "./slope.js";
@@ -96,7 +96,7 @@
         name: "evidence of another entry kept",
         per: "entry (11 versions, 8 classes)",
         unit: "bytes",
-        measure: () => measureHeap([10, 50, 100, 200], size => buildMerged(size)),
+        measure: () => measureHeap([10, 50, 100, 200], size => buildMergedEvidence(size)),
     },
     {
         name: "evidence of another entry taken in",
@@ -135,7 +135,7 @@
         name: "copy of another entry's bill",
         per: "bill",
         unit: "bytes",
-        measure: () => measureHeap([2000, 5000, 10000, 20000], buildKeptBills),
+        measure: () => measureHeap([2000, 5000, 10000, 20000], buildBillReplicas),
     },
     {
         name: "event kept for time lines",
@@ -262,7 +262,7 @@
     return evidence;
 }
 
-function buildMerged(entries: number): Evidence {
+function buildMergedEvidence(entries: number): Evidence {
     const counts = JSON.stringify(buildEvidence(11).exportOwn());
     const evidence = createEvidence();
     for (let index = 0; index < entries; index += 1) {
--- a/src/measure/cost/costWorld.ts
+++ b/src/measure/cost/costEnvironment.ts
@@ -11,9 +11,9 @@
 export const requestInterval = 50;
 
 /** When one version turns bad in the class `deceivingClass`. */
-export const deceivedAt = 0.15 * runMilliseconds;
+export const degradedAt = 0.15 * runMilliseconds;
 /** The class in which a version looks good early and then turns bad. */
-export const deceivingClass = "deceiving";
+export const degradingClass = "deceiving";
 /** When two prices change. */
 export const priceChangeAt = 0.5 * runMilliseconds;
 const newClassAt = 0.6 * runMilliseconds;
@@ -22,12 +22,12 @@
 
 const inputPrices = [0.05, 0.1, 0.15, 0.3, 0.5, 0.8, 1.2, 2, 3, 5, 8];
 const outputFactor = 4;
-const deceivingVersion = 1;
-const dearerVersion = 4;
-const cheaperVersion = 7;
+const degradingVersion = 1;
+const priceIncreaseVersion = 4;
+const priceDecreaseVersion = 7;
 const answerDeviation = 0.15;
 /** Part of an answer's variance that comes from the request being hard for every version. */
-const sharedPart = 0.5;
+const sharedVariance = 0.5;
 const ratingNoise = 0.05;
 
 /** One class of request. */
@@ -38,20 +38,20 @@
     readonly outputTokens: number;
     readonly weight: number;
     /** Added to every version's quality. */
-    readonly ease: number;
+    readonly qualityOffset: number;
     readonly firstSeenAt: number;
 }
 
 /** The classes of all runs, modelled on the two users' workloads. */
 export const costClasses: readonly CostClass[] = [
-    createClass("wear-tags", { inputTokens: 400, outputTokens: 20, ease: 0.22, weight: 3 }),
-    createClass("kitchen-queries", { inputTokens: 600, outputTokens: 150, ease: 0.12, weight: 3 }),
-    createClass("bench-answers", { inputTokens: 1500, outputTokens: 300, ease: 0.03, weight: 2 }),
-    createClass("regrinding-plans", { inputTokens: 40_000, outputTokens: 800, ease: -0.04 }),
-    createClass("label-drafts", { inputTokens: 1200, outputTokens: 400, ease: 0 }),
-    createClass("allergens", { inputTokens: 2000, outputTokens: 120, ease: 0, targetQuality: 0.87 }),
-    createClass(deceivingClass, { inputTokens: 1000, outputTokens: 200, ease: 0.05 }),
-    createClass("new-class", { inputTokens: 1000, outputTokens: 200, ease: 0.05, firstSeenAt: newClassAt }),
+    createClass("wear-tags", { inputTokens: 400, outputTokens: 20, qualityOffset: 0.22, weight: 3 }),
+    createClass("kitchen-queries", { inputTokens: 600, outputTokens: 150, qualityOffset: 0.12, weight: 3 }),
+    createClass("bench-answers", { inputTokens: 1500, outputTokens: 300, qualityOffset: 0.03, weight: 2 }),
+    createClass("regrinding-plans", { inputTokens: 40_000, outputTokens: 800, qualityOffset: -0.04 }),
+    createClass("label-drafts", { inputTokens: 1200, outputTokens: 400, qualityOffset: 0 }),
+    createClass("allergens", { inputTokens: 2000, outputTokens: 120, qualityOffset: 0, targetQuality: 0.87 }),
+    createClass(degradingClass, { inputTokens: 1000, outputTokens: 200, qualityOffset: 0.05 }),
+    createClass("new-class", { inputTokens: 1000, outputTokens: 200, qualityOffset: 0.05, firstSeenAt: newClassAt }),
 ];
 
 function createClass(name: string, options: Partial<CostClass>): CostClass {
@@ -61,39 +61,39 @@
         inputTokens: 1000,
         outputTokens: 200,
         weight: 1,
-        ease: 0,
+        qualityOffset: 0,
         firstSeenAt: 0,
         ...options,
     };
 }
 
 /** The versions of one seed and their true qualities over time. */
-export class CostWorld {
-    readonly #before: readonly ModelVersion[];
-    readonly #after: readonly ModelVersion[];
+export class CostEnvironment {
+    readonly #initialVersions: readonly ModelVersion[];
+    readonly #repricedVersions: readonly ModelVersion[];
     readonly #qualities: readonly (readonly number[])[];
 
     constructor(seed: number) {
         const random = new RandomSource(seed);
         const base = inputPrices.map((...[, index]) => 0.56 + 0.036 * index + 0.02 * random.nextNormal());
-        this.#before = inputPrices.map((price, index) => createVersion(index, price, base[index], random));
-        this.#after = this.#before.map((version, index) => changePrice(version, index));
-        this.#qualities = costClasses.map(({ ease }) =>
+        this.#initialVersions = inputPrices.map((price, index) => createVersion(index, price, base[index], random));
+        this.#repricedVersions = this.#initialVersions.map((version, index) => changePrice(version, index));
+        this.#qualities = costClasses.map(({ qualityOffset }) =>
             base.map((quality, index) => {
-                const quirk = index === inputPrices.length - 1 ? 0.02 : 0.05 * random.nextNormal();
-                return Math.min(0.97, quality + ease + quirk);
+                const deviation = index === inputPrices.length - 1 ? 0.02 : 0.05 * random.nextNormal();
+                return Math.min(0.97, quality + qualityOffset + deviation);
             })
         );
     }
 
     /** Gets the versions at their prices of a time. */
     getVersions(time: number): readonly ModelVersion[] {
-        return time < priceChangeAt ? this.#before : this.#after;
+        return time < priceChangeAt ? this.#initialVersions : this.#repricedVersions;
     }
 
     /** Gets the part of the run in which qualities, prices and ratings stay as they are; a key for the oracle. */
     getPhase(time: number): number {
-        const limits = [deceivedAt, outage.from, outage.until, priceChangeAt];
+        const limits = [degradedAt, outage.from, outage.until, priceChangeAt];
         return limits.filter(limit => time >= limit).length;
     }
 
@@ -102,16 +102,17 @@
      * @param classIndex - The class.
      */
     drawAnswers(classIndex: number, time: number, random: RandomSource): readonly number[] {
-        const hardness = random.nextNormal();
+        const difficulty = random.nextNormal();
         return this.#qualities[classIndex].map((quality, index) => {
-            const mean = this.#isDeceiving(classIndex, index) ? (time < deceivedAt ? 0.9 : 0.6) : quality;
-            const luck = Math.sqrt(sharedPart) * hardness + Math.sqrt(1 - sharedPart) * random.nextNormal();
-            return clamp(mean + answerDeviation * luck);
+            const mean = this.#isDegrading(classIndex, index) ? (time < degradedAt ? 0.9 : 0.6) : quality;
+            const deviation = Math.sqrt(sharedVariance) * difficulty
+                + Math.sqrt(1 - sharedVariance) * random.nextNormal();
+            return clamp(mean + answerDeviation * deviation);
         });
     }
 
-    #isDeceiving(classIndex: number, versionIndex: number): boolean {
-        return costClasses[classIndex].name === deceivingClass && versionIndex === deceivingVersion;
+    #isDegrading(classIndex: number, versionIndex: number): boolean {
+        return costClasses[classIndex].name === degradingClass && versionIndex === degradingVersion;
     }
 }
 
@@ -121,7 +122,7 @@
 }
 
 /** Tells whether the rating service answers. */
-export function isRatingAway(time: number): boolean {
+export function isRatingUnavailable(time: number): boolean {
     return time >= outage.from && time < outage.until;
 }
 
@@ -137,7 +138,7 @@
 }
 
 function changePrice(version: ModelVersion, index: number): ModelVersion {
-    const factor = index === dearerVersion ? 3 : index === cheaperVersion ? 0.3 : 1;
+    const factor = index === priceIncreaseVersion ? 3 : index === priceDecreaseVersion ? 0.3 : 1;
     return { ...version, inputPrice: factor * version.inputPrice, outputPrice: factor * version.outputPrice };
 }
 
--- a/src/measure/cost/costExcess.ts
+++ b/src/measure/cost/costExcess.ts
@@ -3,7 +3,7 @@
  * cause that applies to it.
  */
 import type { Plan } from "../../decisions/model/index.js";
-import { costClasses, deceivedAt, deceivingClass, outage, priceChangeAt } from "./costWorld.js";
+import { costClasses, degradedAt, degradingClass, outage, priceChangeAt } from "./costEnvironment.js";
 
 /** How long after an event what is spent too much is put down to it. */
 const reactionMilliseconds = 180_000;
@@ -47,17 +47,17 @@
 
 /** Sums of excess cost by cause. */
 export class CostExcess {
-    readonly #sums = new Map<ExcessCause, number>();
+    readonly #excessByCause = new Map<ExcessCause, number>();
 
     /** Books a request. */
     add(input: ExcessInput): void {
         const cause = getCause(input);
-        this.#sums.set(cause, this.get(cause) + input.excess);
+        this.#excessByCause.set(cause, this.get(cause) + input.excess);
     }
 
     /** Gets the cost beyond the oracle's that a cause accounts for. */
     get(cause: ExcessCause): number {
-        return this.#sums.get(cause) ?? 0;
+        return this.#excessByCause.get(cause) ?? 0;
     }
 }
 
@@ -79,7 +79,7 @@
     if (time >= priceChangeAt && time < priceChangeAt + reactionMilliseconds) {
         return "price change (three minutes)";
     }
-    if (name === deceivingClass && time >= deceivedAt && time < deceivedAt + reactionMilliseconds) {
+    if (name === degradingClass && time >= degradedAt && time < degradedAt + reactionMilliseconds) {
         return "version turned bad (three minutes)";
     }
     return undefined;
--- a/src/measure/cost/costRun.ts
+++ b/src/measure/cost/costRun.ts
@@ -5,16 +5,16 @@
 import { ManualClock, RandomSource } from "../../common/index.js";
 import { Evidence, ModelChooser, type Plan } from "../../decisions/model/index.js";
 import { getPrice } from "../../world/index.js";
-import { type ChosenStep as Step, CostExcess } from "./costExcess.js";
 import {
     type CostClass,
     costClasses,
-    CostWorld,
+    CostEnvironment,
     drawRating,
-    isRatingAway,
+    isRatingUnavailable,
     requestInterval,
     runMilliseconds,
-} from "./costWorld.js";
+} from "./costEnvironment.js";
+import { type ChosenStep as Step, CostExcess } from "./costExcess.js";
 import { Oracle } from "./oracle.js";
 
 const entryCount = 4;
@@ -28,13 +28,13 @@
 /** Parts of a run that are reported one by one, to tell learning from what follows. */
 export const periodCount = 6;
 /** Until an entry has noticed that the rating service is away or back. */
-const noticeMilliseconds = 2000;
+const detectionMilliseconds = 2000;
 
 /** Ways of choosing that are compared. */
-export const costWays = ["rattanlock", "oracle", "always-best", "always-cheapest", "fixed cascade"] as const;
+export const costStrategies = ["rattanlock", "oracle", "always-best", "always-cheapest", "fixed cascade"] as const;
 
 /** One of the ways. */
-export type CostWay = typeof costWays[number];
+export type CostStrategy = typeof costStrategies[number];
 
 /** What one way did in one class. */
 export interface ClassResult {
@@ -49,7 +49,7 @@
     readonly chooser: ModelChooser;
 }
 
-interface LateRating {
+interface DelayedRating {
     readonly entry: Entry;
     readonly version: string;
     readonly requestClass: string;
@@ -60,16 +60,16 @@
 
 /** Runs all ways over the same draws. */
 export class CostRun {
-    readonly #world: CostWorld;
+    readonly #environment: CostEnvironment;
     readonly #oracle: Oracle;
     readonly #random: RandomSource;
     readonly #clock = new ManualClock(1_800_000_000_000);
     readonly #entries: readonly Entry[];
-    readonly #published: number[] = new Array<number>(entryCount).fill(0);
-    readonly #late = new Map<number, LateRating[]>();
-    readonly results = new Map<CostWay, ClassResult[]>();
+    readonly #publishedSequences: number[] = new Array<number>(entryCount).fill(0);
+    readonly #delayedRatings = new Map<number, DelayedRating[]>();
+    readonly results = new Map<CostStrategy, ClassResult[]>();
     /** The same by period, all classes together. */
-    readonly periods = new Map<CostWay, ClassResult[]>();
+    readonly periods = new Map<CostStrategy, ClassResult[]>();
     /** Rattanlock's results by period, then by class: the target has to be met early and late. */
     readonly periodClasses: readonly ClassResult[][] = Array.from(
         { length: periodCount },
@@ -77,19 +77,19 @@
     );
     /** What rattanlock spends beyond the oracle, by cause. */
     readonly excess = new CostExcess();
-    exploring = 0;
-    cascades = 0;
+    exploringCount = 0;
+    cascadeCount = 0;
 
     constructor(seed: number) {
-        this.#world = new CostWorld(seed);
-        this.#oracle = new Oracle(this.#world, ratedShare);
+        this.#environment = new CostEnvironment(seed);
+        this.#oracle = new Oracle(this.#environment, ratedShare);
         this.#random = new RandomSource(seed * 7919 + 13);
         this.#entries = Array.from({ length: entryCount }, (...[, index]) => {
             const evidence = new Evidence({ clock: this.#clock });
             const random = new RandomSource(seed * 101 + index);
             return { evidence, chooser: new ModelChooser({ evidence, random, clock: this.#clock, ratedShare }) };
         });
-        for (const way of costWays) {
+        for (const way of costStrategies) {
             this.periods.set(way, Array.from({ length: periodCount }, createResult));
             this.results.set(way, costClasses.map(createResult));
         }
@@ -111,9 +111,9 @@
 
     #handleRequest(time: number): void {
         const classIndex = this.#drawClass(time);
-        const answers = this.#world.drawAnswers(classIndex, time, this.#random);
+        const answers = this.#environment.drawAnswers(classIndex, time, this.#random);
         const ratings = answers.map(quality => drawRating(quality, this.#random));
-        const inTime = !isRatingAway(time) && this.#random.next() < ratedShare;
+        const isRatedInTime = !isRatingUnavailable(time) && this.#random.next() < ratedShare;
         const size = 0.5 + this.#random.next();
         const last = answers.length - 1;
         const oracle = this.#oracle.getPlan(classIndex, time);
@@ -123,8 +123,8 @@
             { version: second, acceptScore: undefined },
         ];
         const plan = this.#choose(classIndex, time, size);
-        const steps: Readonly<Record<CostWay, readonly Step[]>> = {
-            "rattanlock": toSteps(plan, this.#world.getVersions(time).map(({ id }) => id)),
+        const steps: Readonly<Record<CostStrategy, readonly Step[]>> = {
+            "rattanlock": toSteps(plan, this.#environment.getVersions(time).map(({ id }) => id)),
             "oracle": oracle.acceptScore === 0
                 ? single(oracle.first)
                 : pair(oracle.first, oracle.second, oracle.acceptScore),
@@ -132,9 +132,21 @@
             "always-cheapest": single(0),
             "fixed cascade": pair(0, last, 0.7),
         };
-        const costs = new Map<CostWay, number>();
-        for (const way of costWays) {
-            costs.set(way, this.#answer({ way, classIndex, time, size, steps: steps[way], answers, ratings, inTime }));
+        const costs = new Map<CostStrategy, number>();
+        for (const way of costStrategies) {
+            costs.set(
+                way,
+                this.#answer({
+                    strategy: way,
+                    classIndex,
+                    time,
+                    size,
+                    steps: steps[way],
+                    answers,
+                    ratings,
+                    isRatedInTime,
+                }),
+            );
         }
         const excess = costs.get("rattanlock")! - costs.get("oracle")!;
         this.excess.add({ classIndex, time, plan, steps: steps.rattanlock, oracleSteps: steps.oracle, excess });
@@ -142,56 +154,56 @@
 
     #choose(classIndex: number, time: number, size: number): Plan {
         const entry = this.#entries[this.#random.nextInteger(entryCount)];
-        this.#chosenBy = entry;
+        this.#chosenEntry = entry;
         const plan = entry.chooser.choose(this.#createRequest(costClasses[classIndex], time, size));
-        this.#tried = plan.exploring;
-        this.exploring += plan.exploring ? 1 : 0;
-        this.cascades += plan.steps.length > 1 ? 1 : 0;
+        this.#isExploring = plan.exploring;
+        this.exploringCount += plan.exploring ? 1 : 0;
+        this.cascadeCount += plan.steps.length > 1 ? 1 : 0;
         return plan;
     }
 
-    #chosenBy: Entry | undefined;
+    #chosenEntry: Entry | undefined;
     /** Whether the plan was chosen to learn; its answers are then all sent to be rated. */
-    #tried = false;
+    #isExploring = false;
 
     #createRequest(requestClass: CostClass, time: number, size: number) {
         return {
             requestClass: requestClass.name,
-            candidates: this.#world.getVersions(time),
+            candidates: this.#environment.getVersions(time),
             targetQuality: requestClass.targetQuality,
             confidence,
             inputTokens: size * requestClass.inputTokens,
             outputTokens: size * requestClass.outputTokens,
-            ratingsAvailable: !isRatingAway(time - noticeMilliseconds),
+            ratingsAvailable: !isRatingUnavailable(time - detectionMilliseconds),
         };
     }
 
     #answer(input: {
-        way: CostWay;
+        strategy: CostStrategy;
         classIndex: number;
         time: number;
         size: number;
         steps: readonly Step[];
         answers: readonly number[];
         ratings: readonly number[];
-        inTime: boolean;
+        isRatedInTime: boolean;
     }): number {
-        const { way, classIndex, time, size, answers, ratings } = input;
+        const { strategy, classIndex, time, size, answers, ratings } = input;
         const { inputTokens, outputTokens } = costClasses[classIndex];
-        const versions = this.#world.getVersions(time);
+        const versions = this.#environment.getVersions(time);
         let cost = 0;
         let first: { version: string; score: number; } | undefined;
         for (const { version, acceptScore } of input.steps) {
             cost += getPrice(versions[version], size * inputTokens, size * outputTokens);
-            const rated = acceptScore !== undefined && input.inTime;
-            if (way === "rattanlock") {
-                this.#countAnswer(classIndex, time, versions[version].id, ratings[version], rated, first);
+            const rated = acceptScore !== undefined && input.isRatedInTime;
+            if (strategy === "rattanlock") {
+                this.#recordAnswer(classIndex, time, versions[version].id, ratings[version], rated, first);
             }
             if (acceptScore === undefined || rated && ratings[version] >= acceptScore) {
-                addResult(this.results.get(way)![classIndex], cost, answers[version]);
+                addResult(this.results.get(strategy)![classIndex], cost, answers[version]);
                 const period = Math.floor(time / runMilliseconds * periodCount);
-                addResult(this.periods.get(way)![period], cost, answers[version]);
-                if (way === "rattanlock") {
+                addResult(this.periods.get(strategy)![period], cost, answers[version]);
+                if (strategy === "rattanlock") {
                     addResult(this.periodClasses[period][classIndex], cost, answers[version]);
                 }
                 return cost;
@@ -201,34 +213,34 @@
         return cost;
     }
 
-    #countAnswer(
+    #recordAnswer(
         classIndex: number,
         time: number,
         version: string,
         score: number,
         rated: boolean,
-        first: LateRating["first"],
+        first: DelayedRating["first"],
     ): void {
-        const entry = this.#chosenBy!;
+        const entry = this.#chosenEntry!;
         const requestClass = costClasses[classIndex].name;
         const answeredAt = this.#clock.wall();
         entry.evidence.addAnswer({ version, requestClass, failed: false, slow: false });
         if (rated) {
             entry.evidence.addRating({ version, requestClass, score });
         }
-        else if (this.#random.next() < (this.#tried ? ratedShare : sampledShare)) {
+        else if (this.#random.next() < (this.#isExploring ? ratedShare : sampledShare)) {
             const second = Math.floor((time + this.#random.nextExponential(meanRatingDelay)) / 1000);
-            const queue = this.#late.get(second) ?? [];
+            const queue = this.#delayedRatings.get(second) ?? [];
             queue.push({ entry, version, requestClass, score, answeredAt, ...first === undefined ? {} : { first } });
-            this.#late.set(second, queue);
+            this.#delayedRatings.set(second, queue);
         }
     }
 
     #deliverRatings(time: number): void {
         const second = Math.floor(time / 1000) - 1;
-        const queue = this.#late.get(second);
-        this.#late.delete(second);
-        if (queue === undefined || isRatingAway(time)) {
+        const queue = this.#delayedRatings.get(second);
+        this.#delayedRatings.delete(second);
+        if (queue === undefined || isRatingUnavailable(time)) {
             return;
         }
         for (const { entry, version, requestClass, score, answeredAt, first } of queue) {
@@ -250,8 +262,8 @@
 
     #gossip(): void {
         for (const [origin, { evidence }] of this.#entries.entries()) {
-            const counts = evidence.exportOwn(this.#published[origin]);
-            this.#published[origin] = counts.sequence;
+            const counts = evidence.exportOwn(this.#publishedSequences[origin]);
+            this.#publishedSequences[origin] = counts.sequence;
             for (const [other, { evidence: target }] of this.#entries.entries()) {
                 if (other !== origin) {
                     target.merge(`entry-${origin}`, counts);
--- a/src/measure/cost/measureCost.ts
+++ b/src/measure/cost/measureCost.ts
@@ -1,15 +1,15 @@
 /** Measures the cost at the quality target against simple ways and an oracle. */
 import type { SeededRequest } from "../measurement.js";
 import { formatSummary, type Report } from "../report.js";
+import { costClasses } from "./costEnvironment.js";
 import { type ExcessCause, excessCauses } from "./costExcess.js";
-import { type ClassResult, CostRun, type CostWay, costWays, periodCount } from "./costRun.js";
-import { costClasses } from "./costWorld.js";
+import { type ClassResult, CostRun, costStrategies, type CostStrategy, periodCount } from "./costRun.js";
 import { measureDecision } from "./measureDecision.js";
-import { measureForming } from "./measureForming.js";
+import { measurePlanning } from "./measurePlanning.js";
 
 const defaultSeedCount = 12;
 /** A class counts as met if its mean true quality is at least the target less so many standard errors. */
-const errorsAllowed = 2;
+const allowedStandardErrors = 2;
 
 /** Runs the cost measurement over several seeds. */
 export function measureCost(request: SeededRequest): Report {
@@ -25,7 +25,10 @@
         measurement: "Cost at the quality target",
         seeds,
         tables: [
-            { title: "Over all classes", rows: costWays.map(way => ({ name: way, figures: describeWay(runs, way) })) },
+            {
+                title: "Over all classes",
+                rows: costStrategies.map(way => ({ name: way, figures: describeStrategy(runs, way) })),
+            },
             {
                 title: "By class, rattanlock",
                 rows: costClasses.map(({ name }, index) => ({ name, figures: describeClass(runs, index) })),
@@ -39,23 +42,23 @@
                 rows: excessCauses.map(cause => describeExcess(runs, cause)),
             },
             { title: "Cost of a decision", rows: [measureDecision(request.seed)] },
-            { title: "Forming of plans", rows: measureForming(request.seed) },
+            { title: "Forming of plans", rows: measurePlanning(request.seed) },
         ],
     };
 }
 
-function describeWay(runs: readonly CostRun[], way: CostWay) {
-    const met = runs.filter(run => run.results.get(way)!.every(isMet)).length;
-    const shortfalls = runs.map(run => Math.max(...run.results.get(way)!.map(getShortfall)));
+function describeStrategy(runs: readonly CostRun[], strategy: CostStrategy) {
+    const met = runs.filter(run => run.results.get(strategy)!.every(isMet)).length;
+    const shortfalls = runs.map(run => Math.max(...run.results.get(strategy)!.map(getShortfall)));
     const share = (count: number) => `${(100 * count).toFixed(1)} %`;
-    const requests = runs.map(run => sum(run.results.get(way)!.map(result => result.requests)));
+    const requests = runs.map(run => sum(run.results.get(strategy)!.map(result => result.requests)));
     return {
-        "cost / oracle": formatSummary(runs.map(run => getCost(run, way) / getCost(run, "oracle"))),
-        "cost / always-best": formatSummary(runs.map(run => getCost(run, way) / getCost(run, "always-best"))),
+        "cost / oracle": formatSummary(runs.map(run => getCost(run, strategy) / getCost(run, "oracle"))),
+        "cost / always-best": formatSummary(runs.map(run => getCost(run, strategy) / getCost(run, "always-best"))),
         "runs with the target met in every class": `${met} of ${runs.length}`,
         "greatest shortfall of a class": formatSummary(shortfalls, 4),
-        "exploring": way === "rattanlock" ? share(sum(runs.map(run => run.exploring)) / sum(requests)) : "",
-        "cascades": way === "rattanlock" ? share(sum(runs.map(run => run.cascades)) / sum(requests)) : "",
+        "exploring": strategy === "rattanlock" ? share(sum(runs.map(run => run.exploringCount)) / sum(requests)) : "",
+        "cascades": strategy === "rattanlock" ? share(sum(runs.map(run => run.cascadeCount)) / sum(requests)) : "",
     };
 }
 
@@ -78,7 +81,7 @@
         run.periods.get("rattanlock")![period].cost / run.periods.get("oracle")![period].cost
     );
     const classes = runs.map(run => run.periodClasses[period]);
-    const seen = classes.flatMap(results => results.filter(({ requests }) => requests > 0));
+    const observed = classes.flatMap(results => results.filter(({ requests }) => requests > 0));
     const met = classes.flatMap(results =>
         results.filter((result, index) => result.requests > 0 && isMet(result, index))
     );
@@ -89,7 +92,7 @@
         name: `from minute ${10 * period}`,
         figures: {
             "cost / oracle": formatSummary(ratios),
-            "classes with the target met": `${met.length} of ${seen.length}`,
+            "classes with the target met": `${met.length} of ${observed.length}`,
             "greatest shortfall of a class": formatSummary(shortfalls, 4),
         },
     };
@@ -100,8 +103,8 @@
     return { name: cause, figures: { "percent": formatSummary(shares, 1) } };
 }
 
-function getCost(run: CostRun, way: CostWay): number {
-    return sum(run.results.get(way)!.map(result => result.cost));
+function getCost(run: CostRun, strategy: CostStrategy): number {
+    return sum(run.results.get(strategy)!.map(result => result.cost));
 }
 
 function getShortfall(result: ClassResult, index: number): number {
@@ -111,7 +114,7 @@
 function isMet(result: ClassResult, index: number): boolean {
     const mean = result.qualitySum / result.requests;
     const variance = result.squareSum / result.requests - mean ** 2;
-    return getShortfall(result, index) <= errorsAllowed * Math.sqrt(variance / result.requests);
+    return getShortfall(result, index) <= allowedStandardErrors * Math.sqrt(variance / result.requests);
 }
 
 function sum(values: readonly number[]): number {
--- a/src/measure/cost/measureDecision.ts
+++ b/src/measure/cost/measureDecision.ts
@@ -3,18 +3,18 @@
 import { RandomSource, systemClock } from "../../common/index.js";
 import { Evidence, ModelChooser } from "../../decisions/model/index.js";
 import type { ReportRow } from "../report.js";
-import { CostWorld } from "./costWorld.js";
+import { CostEnvironment } from "./costEnvironment.js";
 
 const classCount = 20;
 const entryCount = 8;
-const ratingsOfEach = 400;
+const ratingsPerClass = 400;
 const decisionCount = 400_000;
 const changesPerDecision = 0.3;
 
 /** Times decisions while new ratings keep changing the evidence, so that the forming of plans is counted too. */
 export function measureDecision(seed: number): ReportRow {
     const random = new RandomSource(seed);
-    const versions = new CostWorld(seed).getVersions(0);
+    const versions = new CostEnvironment(seed).getVersions(0);
     const evidence = new Evidence({ clock: systemClock });
     const addRating = (target: Evidence) =>
         target.addRating({
@@ -25,14 +25,14 @@
         });
     for (let entry = 0; entry < entryCount; entry += 1) {
         const other = new Evidence({ clock: systemClock });
-        for (let rating = 0; rating < ratingsOfEach * classCount; rating += 1) {
+        for (let rating = 0; rating < ratingsPerClass * classCount; rating += 1) {
             addRating(other);
         }
         evidence.merge(`entry-${entry}`, other.exportOwn());
     }
     const chooser = new ModelChooser({ evidence, random, clock: systemClock });
     let slowest = 0;
-    const begin = performance.now();
+    const startedAt = performance.now();
     for (let decision = 0; decision < decisionCount; decision += 1) {
         if (random.next() < changesPerDecision) {
             addRating(evidence);
@@ -48,7 +48,7 @@
         });
         slowest = Math.max(slowest, performance.now() - before);
     }
-    const microseconds = (performance.now() - begin) / decisionCount * 1000;
+    const microseconds = (performance.now() - startedAt) / decisionCount * 1000;
     return {
         name: "choose, with ratings coming in",
         figures: {
--- a/src/measure/cost/measureForming.ts
+++ b/src/measure/cost/measurePlanning.ts
@@ -3,23 +3,23 @@
 import { RandomSource, systemClock } from "../../common/index.js";
 import { Evidence, ModelChooser } from "../../decisions/model/index.js";
 import type { ReportRow } from "../report.js";
-import { CostWorld } from "./costWorld.js";
+import { CostEnvironment } from "./costEnvironment.js";
 
 const classCount = 20;
 const entryCount = 8;
-const ratingsOfEach = 400;
+const ratingsPerClass = 400;
 const roundCount = 40;
 /** The first rounds run while the code is still being compiled. */
 const warmUpRounds = 5;
 /** Long enough for plans to be formed anew. */
 const roundMilliseconds = 10_000;
 /** Some of them form tries, too. */
-const decisionsOfRound = 30;
+const decisionsPerRound = 30;
 
 /** Times the slowest step or decision of each class in rounds before which the counts of all versions and entries changed. */
-export function measureForming(seed: number): readonly ReportRow[] {
+export function measurePlanning(seed: number): readonly ReportRow[] {
     const random = new RandomSource(seed);
-    const versions = new CostWorld(seed).getVersions(0);
+    const versions = new CostEnvironment(seed).getVersions(0);
     let time = 0;
     const clock = { wall: () => systemClock.wall(), monotonic: () => time };
     const evidence = new Evidence({ clock });
@@ -39,7 +39,7 @@
     };
     const classes = Array.from({ length: classCount }, (...[, index]) => `class-${index}`);
     for (const requestClass of classes) {
-        for (let rating = 0; rating < ratingsOfEach / versions.length; rating += 1) {
+        for (let rating = 0; rating < ratingsPerClass / versions.length; rating += 1) {
             rate(requestClass, 600_000);
         }
     }
@@ -51,8 +51,8 @@
         const request = { requestClass, candidates: versions, inputTokens: 1000, outputTokens: 200 };
         return measure(() => chooser.choose({ ...request, targetQuality: 0.8, confidence: 0.95 }));
     };
-    const again: number[] = [];
-    const first: number[] = [];
+    const replanned: number[] = [];
+    const initial: number[] = [];
     for (let round = 0; round < roundCount; round += 1) {
         time += roundMilliseconds;
         for (const requestClass of classes) {
@@ -64,25 +64,28 @@
             for (let step = steps.shift(); step !== undefined; step = steps.shift()) {
                 slowest = Math.max(slowest, measure(step));
             }
-            for (let decision = 0; decision < decisionsOfRound; decision += 1) {
+            for (let decision = 0; decision < decisionsPerRound; decision += 1) {
                 slowest = Math.max(slowest, decide(requestClass));
             }
             if (round >= warmUpRounds) {
-                again.push(slowest);
+                replanned.push(slowest);
             }
         }
     }
     for (let round = 0; round < roundCount; round += 1) {
         chooser = new ModelChooser({ evidence, random, clock, schedule });
-        first.push(...classes.map(decide));
+        initial.push(...classes.map(decide));
     }
-    return [describe("plans formed anew, slowest step or decision", again), describe("first plans of a class", first)];
+    return [
+        describe("plans formed anew, slowest step or decision", replanned),
+        describe("first plans of a class", initial),
+    ];
 }
 
 function measure(run: () => void): number {
-    const begin = performance.now();
+    const startedAt = performance.now();
     run();
-    return performance.now() - begin;
+    return performance.now() - startedAt;
 }
 
 function describe(name: string, milliseconds: readonly number[]): ReportRow {
--- a/src/measure/cost/oracle.ts
+++ b/src/measure/cost/oracle.ts
@@ -4,7 +4,7 @@
  */
 import { RandomSource } from "../../common/index.js";
 import { getPrice, type ModelVersion } from "../../world/index.js";
-import { costClasses, type CostWorld, drawRating, isRatingAway } from "./costWorld.js";
+import { costClasses, type CostEnvironment, drawRating, isRatingUnavailable } from "./costEnvironment.js";
 
 const drawCount = 6000;
 const thresholds = Array.from({ length: 23 }, (...[, index]) => 0.4 + 0.025 * index);
@@ -18,19 +18,19 @@
 
 /** Finds the cheapest plan with the true quality at or above the target. */
 export class Oracle {
-    readonly #world: CostWorld;
+    readonly #environment: CostEnvironment;
     readonly #ratedShare: number;
     readonly #plans = new Map<string, OraclePlan>();
 
     /** @param ratedShare - Share of answers that are rated in time for a cascade. */
-    constructor(world: CostWorld, ratedShare: number) {
-        this.#world = world;
+    constructor(environment: CostEnvironment, ratedShare: number) {
+        this.#environment = environment;
         this.#ratedShare = ratedShare;
     }
 
     /** Gets the best plan for a class at a time. */
     getPlan(classIndex: number, time: number): OraclePlan {
-        const key = `${classIndex}/${this.#world.getPhase(time)}`;
+        const key = `${classIndex}/${this.#environment.getPhase(time)}`;
         let plan = this.#plans.get(key);
         if (plan === undefined) {
             plan = this.#findPlan(classIndex, time);
@@ -41,23 +41,23 @@
 
     #findPlan(classIndex: number, time: number): OraclePlan {
         const { inputTokens, outputTokens, targetQuality } = costClasses[classIndex];
-        const versions = this.#world.getVersions(time);
+        const versions = this.#environment.getVersions(time);
         const prices = versions.map((version: ModelVersion) => getPrice(version, inputTokens, outputTokens));
         const random = new RandomSource(977 + classIndex);
         const answers: (readonly number[])[] = [];
         for (let draw = 0; draw < drawCount; draw += 1) {
-            answers.push(this.#world.drawAnswers(classIndex, time, random));
+            answers.push(this.#environment.drawAnswers(classIndex, time, random));
         }
         const means = versions.map((...[, index]) => getMean(answers, index));
         let best: OraclePlan = { first: means.indexOf(Math.max(...means)), second: 0, acceptScore: 0 };
-        let lowest = Infinity;
+        let minCost = Infinity;
         for (const [index, mean] of means.entries()) {
-            if (mean >= targetQuality && prices[index] < lowest) {
-                lowest = prices[index];
+            if (mean >= targetQuality && prices[index] < minCost) {
+                minCost = prices[index];
                 best = { first: index, second: index, acceptScore: 0 };
             }
         }
-        if (isRatingAway(time)) {
+        if (isRatingUnavailable(time)) {
             return best;
         }
         for (const [first] of versions.entries()) {
@@ -67,10 +67,10 @@
                     continue;
                 }
                 for (const acceptScore of thresholds) {
-                    const { quality, escalated } = this.#weigh({ first, second, acceptScore }, answers, ratings);
+                    const { quality, escalated } = this.#evaluatePlan({ first, second, acceptScore }, answers, ratings);
                     const cost = prices[first] + escalated * prices[second];
-                    if (quality >= targetQuality && cost < lowest) {
-                        lowest = cost;
+                    if (quality >= targetQuality && cost < minCost) {
+                        minCost = cost;
                         best = { first, second, acceptScore };
                     }
                 }
@@ -79,7 +79,7 @@
         return best;
     }
 
-    #weigh(plan: OraclePlan, answers: readonly (readonly number[])[], ratings: readonly number[]) {
+    #evaluatePlan(plan: OraclePlan, answers: readonly (readonly number[])[], ratings: readonly number[]) {
         let sum = 0;
         let escalated = 0;
         for (const [index, draw] of answers.entries()) {
--- a/src/measure/decisionCost.ts
+++ b/src/measure/decisionCost.ts
@@ -31,24 +31,24 @@
 
 /** Measures the cost of a choice, from `choose` to `finish`. */
 export function measureDecisionCost(runners: number, seed: number): DecisionCost {
-    const collect = getCollector();
+    const collectGarbage = getGarbageCollector();
     const vms = createVms(runners);
-    collect();
+    collectGarbage();
     const before = process.memoryUsage().heapUsed;
     const chooser = createChooser(vms, seed);
-    collect();
+    collectGarbage();
     const keptBytes = process.memoryUsage().heapUsed - before;
     const requests = createRequests(seed);
     for (const index of getRange(warmUpChoices)) {
         choose(chooser, requests[index % requests.length]);
     }
     const times = getRange(timedChoices).map(index => {
-        const since = performance.now();
+        const startedAt = performance.now();
         choose(chooser, requests[index % requests.length]);
-        return (performance.now() - since) * 1_000;
+        return (performance.now() - startedAt) * 1_000;
     });
     const heap = getRange(heapSamples).map(() => {
-        collect();
+        collectGarbage();
         const used = process.memoryUsage().heapUsed;
         for (let index = 0; index < choicesPerHeapSample; index += 1) {
             choose(chooser, requests[index % requests.length]);
@@ -122,7 +122,7 @@
 }
 
 /** Node gives out its garbage collector only under this flag. */
-function getCollector(): () => void {
+function getGarbageCollector(): () => void {
     setFlagsFromString("--expose-gc");
     return runInNewContext("gc") as () => void;
 }
--- a/src/measure/entry/measureEntry.ts
+++ b/src/measure/entry/measureEntry.ts
@@ -20,7 +20,7 @@
 const costRequests = 1200;
 const concurrency = 24;
 const answerTokens = [8, 64, 256];
-const changesForGap = 40;
+const changesDuringGaps = 40;
 
 interface EntryUsage {
     readonly processor: { readonly user: number; readonly system: number; };
@@ -81,8 +81,8 @@
 
     async warmUp(): Promise<void> {
         for (let count = 0; count < warmupRequests; count += 1) {
-            await this.#ask(answerTokens[0]);
-            await this.#askDirectly();
+            await this.#request(answerTokens[0]);
+            await this.#requestDirectly();
         }
     }
 
@@ -91,8 +91,8 @@
         const through: number[] = [];
         const direct: number[] = [];
         for (let count = 0; count < comparedRequests; count += 1) {
-            direct.push((await this.#askDirectly()).firstTokenMilliseconds);
-            through.push((await this.#ask(answerTokens[0])).firstTokenMilliseconds);
+            direct.push((await this.#requestDirectly()).firstTokenMilliseconds);
+            through.push((await this.#request(answerTokens[0])).firstTokenMilliseconds);
         }
         const added = through.map((value, index) => value - direct[index]);
         return [
@@ -108,7 +108,7 @@
         for (const tokens of answerTokens) {
             const before = await this.#readUsage();
             const startedAt = performance.now();
-            const records = await this.#askTogether(tokens);
+            const records = await this.#requestConcurrently(tokens);
             const seconds = (performance.now() - startedAt) / 1000;
             const after = await this.#readUsage();
             const processor = getProcessorMicroseconds(after) - getProcessorMicroseconds(before);
@@ -143,37 +143,37 @@
     }
 
     async measureGaps(): Promise<readonly ReportRow[]> {
-        const quiet = await this.#readGaps(async () => undefined);
-        const busy = await this.#readGaps(() => this.#publishChanges());
-        return [createRow("configuration at rest", quiet), createRow("40 changes meanwhile", busy)];
+        const atRest = await this.#readGaps(async () => undefined);
+        const duringChanges = await this.#readGaps(() => this.#publishChanges());
+        return [createRow("configuration at rest", atRest), createRow("40 changes meanwhile", duringChanges)];
     }
 
     async #publishChanges(): Promise<void> {
-        for (let count = 0; count < changesForGap; count += 1) {
+        for (let count = 0; count < changesDuringGaps; count += 1) {
             await this.#site.publish([{ section: "root", key: "share", value: String(1 + count % 5) }]);
         }
     }
 
-    async #readGaps(meanwhile: () => Promise<void>): Promise<readonly number[]> {
-        const other = meanwhile();
+    async #readGaps(concurrentWork: () => Promise<void>): Promise<readonly number[]> {
+        const pendingWork = concurrentWork();
         const gaps: number[] = [];
         for (let count = 0; count < 8; count += 1) {
-            const record = await this.#ask(answerTokens[2]);
+            const record = await this.#request(answerTokens[2]);
             const rest = record.milliseconds - record.firstTokenMilliseconds;
             gaps.push(rest / Math.max(1, record.completionTokens - 1));
         }
-        await other;
+        await pendingWork;
         return gaps;
     }
 
-    async #askTogether(tokens: number): Promise<readonly ChatRecord[]> {
+    async #requestConcurrently(tokens: number): Promise<readonly ChatRecord[]> {
         const records: ChatRecord[] = [];
-        let left = costRequests;
+        let remaining = costRequests;
         const loop = async (): Promise<void> => {
-            while (left > 0) {
-                left -= 1;
-                const record = await this.#ask(tokens);
-                if (record.isWhole) {
+            while (remaining > 0) {
+                remaining -= 1;
+                const record = await this.#request(tokens);
+                if (record.isComplete) {
                     records.push(record);
                 }
             }
@@ -182,30 +182,33 @@
         return records;
     }
 
-    #ask(tokens: number): Promise<ChatRecord> {
+    #request(tokens: number): Promise<ChatRecord> {
         return this.#caller.chat({
-            entry: this.#site.getEntryOrThrow("entry-1").callers,
+            entry: this.#site.getEntryOrThrow("entry-1").callerAddress,
             key: getApiKey(workspace),
             model: version,
             text: "Draft the wording of the buffet's labels.",
             streamed: true,
-            maximumTokens: tokens,
+            maxTokens: tokens,
         });
     }
 
-    #askDirectly(): Promise<ChatRecord> {
+    #requestDirectly(): Promise<ChatRecord> {
         return this.#caller.chat({
             entry: this.#site.getUpstreamOrThrow("runner-1").getAddress(),
             key: "none",
             model: version,
             text: "Draft the wording of the buffet's labels.",
             streamed: true,
-            maximumTokens: answerTokens[0],
+            maxTokens: answerTokens[0],
         });
     }
 
     #readUsage(): Promise<EntryUsage> {
-        return callJson<EntryUsage>({ address: this.#site.getEntryOrThrow("entry-1").operators, path: "/status" });
+        return callJson<EntryUsage>({
+            address: this.#site.getEntryOrThrow("entry-1").operatorAddress,
+            path: "/status",
+        });
     }
 }
 
@@ -215,13 +218,13 @@
 
 function createRow(name: string, values: readonly number[]): ReportRow {
     const sorted = [...values].sort((left, right) => left - right);
-    const at = (part: number) => sorted[Math.min(sorted.length - 1, Math.floor(part * sorted.length))];
+    const getPercentile = (part: number) => sorted[Math.min(sorted.length - 1, Math.floor(part * sorted.length))];
     return {
         name,
         figures: {
-            median: at(0.5).toFixed(3),
-            p95: at(0.95).toFixed(3),
-            p99: at(0.99).toFixed(3),
+            median: getPercentile(0.5).toFixed(3),
+            p95: getPercentile(0.95).toFixed(3),
+            p99: getPercentile(0.99).toFixed(3),
             count: values.length,
         },
     };
--- a/src/measure/exposure/exposureCase.ts
+++ b/src/measure/exposure/exposureCase.ts
@@ -13,18 +13,18 @@
 export const goodChances: AnswerChances = { bad: 0.03, failed: 0.005, slow: 0.05 };
 
 /** Where a roll-out stands when the candidate turns bad. */
-export type Moment = "first stage" | "mid roll-out" | "after full roll-out";
+export type RolloutMoment = "first stage" | "mid roll-out" | "after full roll-out";
 
 /** One case. */
 export interface ExposureCase {
     readonly name: string;
-    readonly moment: Moment;
+    readonly moment: RolloutMoment;
     /** Answers of the candidate once it is bad. */
     readonly chances: AnswerChances;
     /** The only class in which it turns bad; `undefined`: in all. */
     readonly onlyClass?: string;
     /** How long after the start of the run it turns bad, in milliseconds. */
-    readonly turnsBadAt: number;
+    readonly degradesAt: number;
     readonly meanRatingDelay: number;
     /** Share of good and of bad answers that are rated. */
     readonly ratedShare: number;
@@ -36,13 +36,13 @@
 const badRatings: AnswerChances = { ...goodChances, bad: 0.3 };
 
 /** As if the hour after the roll-out in which a version is watched more closely were over. */
-const unguarded: Partial<RolloutPolicy> = { guardMilliseconds: 0 };
+const withoutGuard: Partial<RolloutPolicy> = { guardMilliseconds: 0 };
 
 /** All cases with a bad candidate. */
 export const exposureCases: readonly ExposureCase[] = [
     createCase("first stage", { moment: "first stage" }),
-    createCase("mid roll-out", { moment: "mid roll-out", turnsBadAt: 30_000 }),
-    createCase("after full roll-out", { moment: "after full roll-out", turnsBadAt: 30_000 }),
+    createCase("mid roll-out", { moment: "mid roll-out", degradesAt: 30_000 }),
+    createCase("after full roll-out", { moment: "after full roll-out", degradesAt: 30_000 }),
     createCase("first stage, bad in one class only", {
         onlyClass: "allergens",
         chances: { ...goodChances, bad: 0.5 },
@@ -53,19 +53,19 @@
     createCase("first stage, bad answers rated less often", { ratedShareOfBad: 0.1 }),
     createCase("after full roll-out, ratings a minute late", {
         moment: "after full roll-out",
-        turnsBadAt: 30_000,
+        degradesAt: 30_000,
         meanRatingDelay: 60_000,
     }),
     createCase("long after full roll-out", {
         moment: "after full roll-out",
-        turnsBadAt: 30_000,
-        policy: unguarded,
+        degradesAt: 30_000,
+        policy: withoutGuard,
     }),
     createCase("long after full roll-out, ratings a minute late", {
         moment: "after full roll-out",
-        turnsBadAt: 30_000,
+        degradesAt: 30_000,
         meanRatingDelay: 60_000,
-        policy: unguarded,
+        policy: withoutGuard,
     }),
 ];
 
@@ -77,7 +77,7 @@
         name,
         moment: "first stage",
         chances: badRatings,
-        turnsBadAt: 0,
+        degradesAt: 0,
         meanRatingDelay: 5000,
         ratedShare: 0.5,
         ratedShareOfBad: 0.5,
--- a/src/measure/exposure/exposureRun.ts
+++ b/src/measure/exposure/exposureRun.ts
@@ -14,7 +14,7 @@
 
 /** Mean time between two requests of the whole site. */
 export const requestInterval = 50;
-const judgeInterval = 1000;
+const evaluationInterval = 1000;
 /** Answers of the baseline and, where it has been exposed before, of the candidate, before the run begins. */
 const historyMilliseconds = 1_800_000;
 const historyAnswers = 18_000;
@@ -24,7 +24,7 @@
 const scoreDeviation = 0.08;
 
 /** Ways of rolling out that are compared. */
-export type ExposureWay = "shared" | "each entry alone";
+export type ExposureStrategy = "shared" | "each entry alone";
 
 /** What a run did. */
 export interface ExposureResult {
@@ -43,7 +43,7 @@
     readonly seed: number;
     readonly hash: CallerHash;
     readonly exposureCase: ExposureCase;
-    readonly way: ExposureWay;
+    readonly strategy: ExposureStrategy;
     readonly durationMilliseconds: number;
     readonly policy?: Partial<RolloutPolicy>;
     /** Time between two exchanges of counts, in milliseconds; a second by default. */
@@ -52,7 +52,7 @@
     readonly endsAtHalt: boolean;
 }
 
-interface LateRating {
+interface DelayedRating {
     readonly at: number;
     readonly entry: ExposureEntry;
     readonly version: string;
@@ -65,22 +65,22 @@
 export class ExposureRun {
     readonly #options: ExposureRunOptions;
     readonly #site: ExposureSite;
-    readonly #late = new Map<number, LateRating[]>();
-    #harmed = 0;
-    #exposed = 0;
-    #lastExposure = 0;
+    readonly #delayedRatings = new Map<number, DelayedRating[]>();
+    #harmedCount = 0;
+    #exposedCount = 0;
+    #lastExposedAt = 0;
 
     constructor(options: ExposureRunOptions) {
         this.#options = options;
         const { seed, hash, exposureCase } = options;
         const policy = { ...exposureCase.policy, ...options.policy };
-        this.#site = new ExposureSite({ seed, hash, sharing: options.way === "shared", policy });
+        this.#site = new ExposureSite({ seed, hash, sharesState: options.strategy === "shared", policy });
     }
 
     /** Runs to the end. */
     run(): ExposureResult {
         const site = this.#site;
-        const { moment, turnsBadAt } = this.#options.exposureCase;
+        const { moment, degradesAt } = this.#options.exposureCase;
         this.#prepare();
         site.startRollout(moment === "first stage" ? 0 : moment === "mid roll-out" ? 2 : "finished");
         this.#addHistory(baseline, historyAnswers);
@@ -93,21 +93,21 @@
             site.clock.advance(requestInterval);
             site.deliver();
             this.#deliverRatings();
-            if (time % (this.#options.gossipInterval ?? judgeInterval) === 0) {
+            if (time % (this.#options.gossipInterval ?? evaluationInterval) === 0) {
                 site.gossip();
             }
-            if (time % judgeInterval === 0) {
-                site.judge();
+            if (time % evaluationInterval === 0) {
+                site.evaluate();
                 halted = site.entries.every(({ fold }) => fold.isHalted(candidate));
                 if (halted && this.#options.endsAtHalt) {
                     break;
                 }
             }
-            this.#handleRequest(time, time >= turnsBadAt);
+            this.#handleRequest(time, time >= degradesAt);
         }
         const finished = site.entries[0].fold.getRollout(rolloutId)?.state === "finished";
-        const detectedAfter = halted ? this.#lastExposure - turnsBadAt : undefined;
-        return { harmed: this.#harmed, exposed: this.#exposed, detectedAfter, halted, finished };
+        const detectedAfter = halted ? this.#lastExposedAt - degradesAt : undefined;
+        return { harmed: this.#harmedCount, exposed: this.#exposedCount, detectedAfter, halted, finished };
     }
 
     /** Moves the clock ahead of the history, so that its times aren't negative. */
@@ -117,34 +117,34 @@
 
     #addHistory(version: string, answers: number): void {
         const { clock, random, entries } = this.#site;
-        const begin = clock.wall() - (answers < historyAnswers ? 120_000 : historyMilliseconds);
-        const length = clock.wall() - begin - 10_000;
+        const startedAt = clock.wall() - (answers < historyAnswers ? 120_000 : historyMilliseconds);
+        const length = clock.wall() - startedAt - 10_000;
         for (let answer = 0; answer < answers; answer += 1) {
-            const answeredAt = begin + length * answer / answers;
+            const answeredAt = startedAt + length * answer / answers;
             const entry = entries[random.nextInteger(entryCount)];
-            this.#answer({ entry, version, chances: goodChances, answeredAt, late: false });
+            this.#answer({ entry, version, chances: goodChances, answeredAt, isRatingDelayed: false });
         }
         this.#site.gossip();
     }
 
-    #handleRequest(time: number, bad: boolean): void {
+    #handleRequest(time: number, isDegraded: boolean): void {
         const { random, entries, clock } = this.#site;
         const entry = entries[random.nextInteger(entryCount)];
         const caller = `caller-${time}`;
         const version = this.#pick(entry, caller);
         const { exposureCase } = this.#options;
         const isCandidate = version === candidate;
-        const chances = isCandidate && bad ? exposureCase.chances : goodChances;
-        const harmed = this.#answer({ entry, version, chances, answeredAt: clock.wall(), late: true });
-        if (isCandidate && bad) {
-            this.#exposed += 1;
-            this.#harmed += harmed ? 1 : 0;
-            this.#lastExposure = time;
+        const chances = isCandidate && isDegraded ? exposureCase.chances : goodChances;
+        const harmed = this.#answer({ entry, version, chances, answeredAt: clock.wall(), isRatingDelayed: true });
+        if (isCandidate && isDegraded) {
+            this.#exposedCount += 1;
+            this.#harmedCount += harmed ? 1 : 0;
+            this.#lastExposedAt = time;
         }
     }
 
     #pick(entry: ExposureEntry, caller: string): string {
-        if (this.#options.way === "shared") {
+        if (this.#options.strategy === "shared") {
             return entry.router.pick({ rollout: rolloutId, caller }) ?? baseline;
         }
         const share = entry.fold.getShare(rolloutId);
@@ -157,14 +157,14 @@
         version: string;
         chances: AnswerChances;
         answeredAt: number;
-        late: boolean;
+        isRatingDelayed: boolean;
     }): boolean {
         const { entry, version, answeredAt } = input;
         const { random } = this.#site;
         const { exposureCase } = this.#options;
         const requestClass = classes[random.nextInteger(classes.length)];
-        const spared = exposureCase.onlyClass !== undefined && exposureCase.onlyClass !== requestClass;
-        const chances = spared ? goodChances : input.chances;
+        const isUnaffected = exposureCase.onlyClass !== undefined && exposureCase.onlyClass !== requestClass;
+        const chances = isUnaffected ? goodChances : input.chances;
         const bad = random.next() < chances.bad;
         const failed = random.next() < chances.failed;
         const slow = random.next() < chances.slow;
@@ -172,28 +172,28 @@
         const ratedShare = bad ? exposureCase.ratedShareOfBad : exposureCase.ratedShare;
         if (!failed && random.next() < ratedShare) {
             const score = (bad ? badScore : goodScore) + scoreDeviation * random.nextNormal();
-            const delay = input.late ? random.nextExponential(exposureCase.meanRatingDelay) : 0;
+            const delay = input.isRatingDelayed ? random.nextExponential(exposureCase.meanRatingDelay) : 0;
             this.#schedule({ at: this.#site.clock.wall() + delay, entry, version, requestClass, score, answeredAt });
         }
         return bad || failed || slow && exposureCase.chances.slow > goodChances.slow;
     }
 
-    #schedule(rating: LateRating): void {
+    #schedule(rating: DelayedRating): void {
         if (rating.at <= this.#site.clock.wall()) {
             rating.entry.evidence.addRating(rating);
             return;
         }
         const tick = Math.ceil(rating.at / requestInterval);
-        const queue = this.#late.get(tick) ?? [];
+        const queue = this.#delayedRatings.get(tick) ?? [];
         queue.push(rating);
-        this.#late.set(tick, queue);
+        this.#delayedRatings.set(tick, queue);
     }
 
     #deliverRatings(): void {
         const tick = Math.floor(this.#site.clock.wall() / requestInterval);
-        for (const rating of this.#late.get(tick) ?? []) {
+        for (const rating of this.#delayedRatings.get(tick) ?? []) {
             rating.entry.evidence.addRating(rating);
         }
-        this.#late.delete(tick);
+        this.#delayedRatings.delete(tick);
     }
 }
--- a/src/measure/exposure/exposureSite.ts
+++ b/src/measure/exposure/exposureSite.ts
@@ -26,7 +26,7 @@
 const gossipDelay = 1000;
 const haltDelay = 500;
 const logDelay = 500;
-const fence = 1;
+const fencingToken = 1;
 
 /** One entry. */
 export interface ExposureEntry {
@@ -35,9 +35,9 @@
     readonly exposures: Exposures;
     readonly fold: RolloutFold;
     readonly router: RolloutRouter;
-    readonly judge: RolloutEvaluator;
+    readonly evaluator: RolloutEvaluator;
     /** Sequence of its counts that the others have been sent. */
-    published: number;
+    publishedSequence: number;
 }
 
 /** Options of `ExposureSite`. */
@@ -45,7 +45,7 @@
     readonly seed: number;
     readonly hash: CallerHash;
     /** Whether entries share what they see and decide. */
-    readonly sharing: boolean;
+    readonly sharesState: boolean;
     readonly policy?: Partial<RolloutPolicy>;
 }
 
@@ -54,12 +54,12 @@
     readonly clock = new ManualClock(1_800_000_000_000);
     readonly random: RandomSource;
     readonly entries: readonly ExposureEntry[];
-    readonly #sharing: boolean;
-    readonly #mail: { readonly at: number; readonly deliver: () => void; }[] = [];
+    readonly #sharesState: boolean;
+    readonly #pendingDeliveries: { readonly at: number; readonly deliver: () => void; }[] = [];
     #offset = 0;
 
     constructor(options: ExposureSiteOptions) {
-        this.#sharing = options.sharing;
+        this.#sharesState = options.sharesState;
         this.random = new RandomSource(options.seed);
         this.entries = Array.from(
             { length: entryCount },
@@ -83,7 +83,7 @@
             deliver();
         }
         else {
-            this.#mail.push({ at: time + delay, deliver });
+            this.#pendingDeliveries.push({ at: time + delay, deliver });
         }
     }
 
@@ -101,23 +101,23 @@
         this.append(rolloutRecordKinds.start, body, 0);
         const last = stage === "finished" ? stages.length - 1 : stage;
         for (let next = 1; next <= last; next += 1) {
-            this.append(rolloutRecordKinds.advance, { rollout: rolloutId, stage: next, fence }, 0);
+            this.append(rolloutRecordKinds.advance, { rollout: rolloutId, stage: next, fence: fencingToken }, 0);
         }
         if (stage === "finished") {
-            this.append(rolloutRecordKinds.finish, { rollout: rolloutId, fence }, 0);
+            this.append(rolloutRecordKinds.finish, { rollout: rolloutId, fence: fencingToken }, 0);
         }
     }
 
     /** Delivers what has arrived. */
     deliver(): void {
         const now = this.clock.wall();
-        const due = this.#mail.filter(({ at }) => at <= now);
+        const due = this.#pendingDeliveries.filter(({ at }) => at <= now);
         if (due.length === 0) {
             return;
         }
-        const later = this.#mail.filter(({ at }) => at > now);
-        this.#mail.length = 0;
-        this.#mail.push(...later);
+        const later = this.#pendingDeliveries.filter(({ at }) => at > now);
+        this.#pendingDeliveries.length = 0;
+        this.#pendingDeliveries.push(...later);
         for (const { deliver } of due) {
             deliver();
         }
@@ -125,14 +125,14 @@
 
     /** Sends every entry's counts to the others. */
     gossip(): void {
-        if (!this.#sharing) {
+        if (!this.#sharesState) {
             return;
         }
         const at = this.clock.wall() + gossipDelay;
         for (const entry of this.entries) {
-            const counts: EvidenceCounts = entry.evidence.exportOwn(entry.published);
+            const counts: EvidenceCounts = entry.evidence.exportOwn(entry.publishedSequence);
             const callers = entry.exposures.exportOwn();
-            entry.published = counts.sequence;
+            entry.publishedSequence = counts.sequence;
             const deliver = () => {
                 for (const other of this.entries) {
                     if (other !== entry) {
@@ -141,26 +141,26 @@
                     }
                 }
             };
-            this.#mail.push({ at, deliver });
+            this.#pendingDeliveries.push({ at, deliver });
         }
     }
 
     /** Lets every entry judge; the first one holds the lease. */
-    judge(): void {
+    evaluate(): void {
         const names = this.entries.map(({ name }) => name);
         for (const [index, entry] of this.entries.entries()) {
             const rollout = entry.fold.getRollout(rolloutId);
             if (rollout === undefined || entry.fold.isHalted(candidate)) {
                 continue;
             }
-            const verdict = rollout.state === "active"
-                ? entry.judge.evaluate(rolloutId, names, entry.name)
-                : entry.judge.evaluateStable(candidate);
-            if (verdict.action === "halt") {
-                this.#halt(entry, verdict.reason);
+            const decision = rollout.state === "active"
+                ? entry.evaluator.evaluate(rolloutId, names, entry.name)
+                : entry.evaluator.evaluateStable(candidate);
+            if (decision.action === "halt") {
+                this.#halt(entry, decision.reason);
             }
-            const record = index === 0 ? entry.judge.getRecord(rolloutId, verdict, fence) : undefined;
-            if (record !== undefined && this.#sharing) {
+            const record = index === 0 ? entry.evaluator.getRecord(rolloutId, decision, fencingToken) : undefined;
+            if (record !== undefined && this.#sharesState) {
                 this.append(record.kind, record.body);
             }
         }
@@ -169,13 +169,13 @@
     #halt(entry: ExposureEntry, reason: string): void {
         const halt = { id: `${entry.name}/halt`, version: candidate, reason, at: this.clock.wall() };
         entry.fold.addHalt(halt);
-        if (this.#sharing) {
+        if (this.#sharesState) {
             const deliver = () => {
                 for (const { fold } of this.entries) {
                     fold.addHalt(halt);
                 }
             };
-            this.#mail.push({ at: this.clock.wall() + haltDelay, deliver });
+            this.#pendingDeliveries.push({ at: this.clock.wall() + haltDelay, deliver });
         }
     }
 
@@ -183,11 +183,11 @@
         const clock = this.clock;
         const evidence = new Evidence({ clock });
         const exposures = new Exposures();
-        const fold = new RolloutFold({ isCurrentFencingToken: given => given === fence });
+        const fold = new RolloutFold({ isCurrentFencingToken: given => given === fencingToken });
         const policy = { ...defaultRolloutPolicy, ...options.policy };
-        const judge = new RolloutEvaluator({ fold, evidence, exposures, clock, getPolicy: () => policy });
-        const isHeld = (): boolean => judge.isHeld(candidate);
+        const evaluator = new RolloutEvaluator({ fold, evidence, exposures, clock, getPolicy: () => policy });
+        const isHeld = (): boolean => evaluator.isHeld(candidate);
         const router = new RolloutRouter({ entry: name, fold, exposures, hash: options.hash, isHeld });
-        return { name, evidence, exposures, fold, router, judge, published: 0 };
+        return { name, evidence, exposures, fold, router, evaluator, publishedSequence: 0 };
     }
 }
--- a/src/measure/exposure/knownRatesTest.ts
+++ b/src/measure/exposure/knownRatesTest.ts
@@ -7,13 +7,13 @@
  * @param bad - Rate of bad answers of the bad version, which is the one that is drawn.
  * @param falseAlarmProbability - The test's error for good versions.
  */
-export function drawSampleNumber(
+export function drawSampleCount(
     good: number,
     bad: number,
     falseAlarmProbability: number,
     random: RandomSource,
 ): number {
-    return drawAnswerNumber([good, 1 - good], [bad, 1 - bad], falseAlarmProbability, random);
+    return drawAnswerCount([good, 1 - good], [bad, 1 - bad], falseAlarmProbability, random);
 }
 
 /**
@@ -22,7 +22,7 @@
  * @param bad - Chance of each outcome with the bad version, which is the one that is drawn.
  * @param falseAlarmProbability - The test's error for good versions.
  */
-export function drawAnswerNumber(
+export function drawAnswerCount(
     good: readonly number[],
     bad: readonly number[],
     falseAlarmProbability: number,
--- a/src/measure/exposure/measureExposure.ts
+++ b/src/measure/exposure/measureExposure.ts
@@ -4,9 +4,9 @@
 import type { SeededRequest } from "../measurement.js";
 import { formatSummary, type Report, type ReportRow, summarize } from "../report.js";
 import { type ExposureCase, exposureCases, goodCase, goodChances } from "./exposureCase.js";
-import { type ExposureResult, ExposureRun, type ExposureWay, requestInterval } from "./exposureRun.js";
+import { type ExposureResult, ExposureRun, type ExposureStrategy, requestInterval } from "./exposureRun.js";
 import { stages } from "./exposureSite.js";
-import { drawAnswerNumber, drawSampleNumber } from "./knownRatesTest.js";
+import { drawAnswerCount, drawSampleCount } from "./knownRatesTest.js";
 
 const defaultSeedCount = 12;
 const goodRollouts = 300;
@@ -18,7 +18,7 @@
 const delayedDraws = 1000;
 const falseHaltProbability = 0.01;
 /** When an operator notices by himself and stops a roll-out that goes by percentages alone. */
-const operatorNotices = 600_000;
+const operatorReactionMilliseconds = 600_000;
 
 /** Runs the exposure measurement. */
 export async function measureExposure(request: SeededRequest): Promise<Report> {
@@ -58,8 +58,13 @@
     };
 }
 
-function runCase(exposureCase: ExposureCase, way: ExposureWay, seed: number, hash: CallerHash): ExposureResult {
-    const options = { exposureCase, way, seed, hash, durationMilliseconds: badDuration, endsAtHalt: true };
+function runCase(
+    exposureCase: ExposureCase,
+    strategy: ExposureStrategy,
+    seed: number,
+    hash: CallerHash,
+): ExposureResult {
+    const options = { exposureCase, strategy, seed, hash, durationMilliseconds: badDuration, endsAtHalt: true };
     return new ExposureRun(options).run();
 }
 
@@ -71,7 +76,7 @@
     const share = kind === "bad" ? ratedShare : 1;
     let samples = 0;
     for (let draw = 0; draw < knownRatesDraws; draw += 1) {
-        samples += drawSampleNumber(goodChances[kind], chances[kind], falseHaltProbability, random);
+        samples += drawSampleCount(goodChances[kind], chances[kind], falseHaltProbability, random);
     }
     const inClass = samples / knownRatesDraws / share * chances[kind];
     // The test also knows which class is bad; callers of other classes get what the baseline would have given them.
@@ -95,7 +100,7 @@
     let answers = 0;
     for (let draw = 0; draw < knownRatesDraws; draw += 1) {
         const [good, bad] = [getOutcomes(goodChances.bad), getOutcomes(chances.bad)];
-        answers += drawAnswerNumber(good, bad, falseHaltProbability, random);
+        answers += drawAnswerCount(good, bad, falseHaltProbability, random);
     }
     return answers / knownRatesDraws * chances.bad;
 }
@@ -111,12 +116,12 @@
     const interval = requestInterval / getShare(exposureCase);
     let harmed = 0;
     for (let draw = 0; draw < delayedDraws; draw += 1) {
-        const samples = Math.round(drawSampleNumber(goodChances[kind], chances[kind], falseHaltProbability, random));
+        const samples = Math.round(drawSampleCount(goodChances[kind], chances[kind], falseHaltProbability, random));
         const arrivals: number[] = [];
-        const rated = kind === "bad" ? ratedShare : 1;
+        const ratedShareOfKind = kind === "bad" ? ratedShare : 1;
         // Twice as many arrivals as needed, so that late ones of early answers take their turn.
         for (let time = 0; arrivals.length < 2 * samples + 2000; time += interval) {
-            if (random.next() < rated) {
+            if (random.next() < ratedShareOfKind) {
                 arrivals.push(time + (kind === "bad" ? random.nextExponential(meanRatingDelay) : 0));
             }
         }
@@ -139,7 +144,7 @@
     const { chances, onlyClass } = exposureCase;
     const share = getShare(exposureCase);
     const harm = Math.max(chances.bad, chances.failed, chances.slow) * (onlyClass === undefined ? 1 : 1 / 3);
-    return share * operatorNotices / requestInterval * harm;
+    return share * operatorReactionMilliseconds / requestInterval * harm;
 }
 
 /** Counts the halts of good versions; apart from the cases, since it takes long. */
@@ -150,7 +155,7 @@
     let halted = 0;
     let finished = 0;
     for (const [index, seed] of seeds.entries()) {
-        const options = { exposureCase: goodCase, way: "shared", seed, hash, endsAtHalt: true } as const;
+        const options = { exposureCase: goodCase, strategy: "shared", seed, hash, endsAtHalt: true } as const;
         const result = new ExposureRun({
             ...options,
             durationMilliseconds: goodDuration,
--- a/src/measure/gossipTraffic.ts
+++ b/src/measure/gossipTraffic.ts
@@ -15,7 +15,7 @@
 const basePeriodMilliseconds = 500;
 const bytesPerExchange = 64 * 1024;
 const measuredPeriods = 12;
-const settleBound = 60;
+const maxPeriods = 60;
 const changedValueBytes = 100;
 
 /** What a number of nodes costs each of them. */
@@ -45,10 +45,15 @@
 
     constructor(index: number, random: RandomSource, network: MeasuredNode[]) {
         const id = `vm-region-${index % 8}-entry-${index}`;
-        const place = { address: String(index), peerPort: 1, failureDomain: `d${index % 17}`, region: `r${index % 8}` };
-        this.vm = { ...place, id, port: 1, role: "entry", pool: "", state: "live" };
+        const location = {
+            address: String(index),
+            peerPort: 1,
+            failureDomain: `d${index % 17}`,
+            region: `r${index % 8}`,
+        };
+        this.vm = { ...location, id, port: 1, role: "entry", pool: "", state: "live" };
         const journal = new Journal({ process: id, clock: this.clock, write: () => {} });
-        const self = { id, ...place };
+        const self = { id, ...location };
         this.gossip = new Gossip({
             self,
             clock: this.clock,
@@ -73,7 +78,7 @@
             },
             push: async (peer, request) => {
                 const sent = this.#count(find(peer), PushRequest.encode(request).finish());
-                await settle(1);
+                await waitTurns(1);
                 find(peer).gossip.handlePush(PushRequest.decode(sent));
                 return true;
             },
@@ -128,9 +133,9 @@
     const processor = process.cpuUsage(processorBefore);
     const first = nodes[0];
     first.gossip.set("news", Buffer.from("n"));
-    const spread = await runUntil(nodes, () => countKnowing(nodes, first.vm.id, "news") === size);
+    const spread = await runUntil(nodes, () => countNodesWithKey(nodes, first.vm.id, "news") === size);
     first.gossip.set("halt", Buffer.from("h"), { urgent: true });
-    await settle(10);
+    await waitTurns(10);
     const busy = await countBytes(nodes, round => {
         for (const node of nodes) {
             node.gossip.set("load", Buffer.alloc(changedValueBytes, round));
@@ -140,12 +145,12 @@
         nodes: size,
         periodMilliseconds: period,
         idleBytesPerSecond: idle.mean,
-        idleGreatestBytesPerSecond: idle.greatest,
+        idleGreatestBytesPerSecond: idle.max,
         busyBytesPerSecond: busy.mean,
-        busyGreatestBytesPerSecond: busy.greatest,
+        busyGreatestBytesPerSecond: busy.max,
         idleProcessorMilliseconds: (processor.user + processor.system) / size / (measuredPeriods * period),
         spreadMilliseconds: spread * period,
-        pushedShare: countKnowing(nodes, first.vm.id, "halt") / size,
+        pushedShare: countNodesWithKey(nodes, first.vm.id, "halt") / size,
     };
 }
 
@@ -166,23 +171,23 @@
         node.clock.advance(node.gossip.getPeriodMilliseconds());
         await node.gossip.exchangeOnce();
     }
-    await settle(2);
+    await waitTurns(2);
 }
 
-async function runUntil(nodes: readonly MeasuredNode[], isDone: () => boolean): Promise<number> {
-    for (let period = 0; period < settleBound; period += 1) {
-        if (isDone()) {
+async function runUntil(nodes: readonly MeasuredNode[], condition: () => boolean): Promise<number> {
+    for (let period = 0; period < maxPeriods; period += 1) {
+        if (condition()) {
             return period;
         }
         await runPeriod(nodes);
     }
-    throw new Error(`${nodes.length} nodes did not settle in ${settleBound} periods.`);
+    throw new Error(`${nodes.length} nodes did not settle in ${maxPeriods} periods.`);
 }
 
 async function countBytes(
     nodes: readonly MeasuredNode[],
     beforeRound: (round: number) => void,
-): Promise<{ readonly mean: number; readonly greatest: number; }> {
+): Promise<{ readonly mean: number; readonly max: number; }> {
     for (const node of nodes) {
         node.bytes = 0;
     }
@@ -192,19 +197,19 @@
     }
     const seconds = measuredPeriods * nodes[0].gossip.getPeriodMilliseconds() / 1_000;
     let total = 0;
-    let greatest = 0;
+    let max = 0;
     for (const node of nodes) {
         total += node.bytes;
-        greatest = Math.max(greatest, node.bytes);
+        max = Math.max(max, node.bytes);
     }
-    return { mean: Math.round(total / nodes.length / seconds), greatest: Math.round(greatest / seconds) };
+    return { mean: Math.round(total / nodes.length / seconds), max: Math.round(max / seconds) };
 }
 
-function countKnowing(nodes: readonly MeasuredNode[], origin: string, key: string): number {
+function countNodesWithKey(nodes: readonly MeasuredNode[], origin: string, key: string): number {
     return nodes.filter(node => node.gossip.get(origin, key) !== undefined).length;
 }
 
-async function settle(turns: number): Promise<void> {
+async function waitTurns(turns: number): Promise<void> {
     for (let turn = 0; turn < turns; turn += 1) {
         await new Promise(resolve => setImmediate(resolve));
     }
--- a/src/measure/limits.ts
+++ b/src/measure/limits.ts
@@ -3,27 +3,27 @@
  */
 import { type AdmissionName, admissionNames } from "./admissionPolicies.js";
 import type { LimitsRecord } from "./limitsRecord.js";
-import { type LimitsScenario, limitsTimes, LimitsTrial, type WorkspaceShape } from "./limitsTrial.js";
+import { type LimitsScenario, limitsTimes, LimitsTrial, type WorkspaceLoad } from "./limitsTrial.js";
 import { formatSpread, formatTable, getRange, getSpread, type Spread } from "./statistics.js";
 
 const seedsPerRun = 10;
-const quiet = "quiet-";
+const quietPrefix = "quiet-";
 
 /** Two loud workspaces, the first with twice the share of the second, beside eight quiet ones. */
-function createWorkspaces(load: number): readonly WorkspaceShape[] {
+function createWorkspaces(load: number): readonly WorkspaceLoad[] {
     const quietLoad = 0.02;
     const quietCount = 8;
     const loudLoad = (load - quietLoad * quietCount) / 2;
-    const loud = { load: loudLoad, lowPriorityShare: 0.2, impatientShare: 0.4 };
+    const loudWorkspace = { load: loudLoad, lowPriorityShare: 0.2, earlyRetryShare: 0.4 };
     return [
-        { ...loud, name: "loud-0", share: 4 },
-        { ...loud, name: "loud-1", share: 2 },
+        { ...loudWorkspace, name: "loud-0", share: 4 },
+        { ...loudWorkspace, name: "loud-1", share: 2 },
         ...getRange(quietCount).map(index => ({
             name: `quiet-${index}`,
             share: 1,
             load: quietLoad,
             lowPriorityShare: 0,
-            impatientShare: 0,
+            earlyRetryShare: 0,
         })),
     ];
 }
@@ -57,13 +57,13 @@
     { name: "recovery s", digits: 0, get: run => run.getRecoverySeconds() },
     { name: "refusal 99% ms", digits: 0, get: run => run.getRefusalTime(0.99) },
     { name: "refusals over 50 ms", digits: 3, get: run => run.getLateRefusals() },
-    { name: "quiet first token 95% ms", digits: 0, get: run => run.getFirstToken(quiet, 0.95) },
+    { name: "quiet first token 95% ms", digits: 0, get: run => run.getFirstToken(quietPrefix, 0.95) },
     { name: "loud first token 95% ms", digits: 0, get: run => run.getFirstToken("loud-0", 0.95) },
-    { name: "quiet served", digits: 2, get: run => run.getServedShare(quiet) },
+    { name: "quiet served", digits: 2, get: run => run.getServedShare(quietPrefix) },
     { name: "loud-0 : loud-1", digits: 2, get: run => run.getRatio("loud-0", "loud-1") },
     { name: "refused, usual priority", digits: 2, get: run => run.getRefusedShare("loud-0", 1) },
     { name: "refused, lowest priority", digits: 2, get: run => run.getRefusedShare("loud-0", 3) },
-    { name: "asks for each request", digits: 2, get: run => run.getAttemptsPerAsk() },
+    { name: "asks for each request", digits: 2, get: run => run.getAttemptsPerRequest() },
     { name: "peak asks / capacity", digits: 2, get: run => run.getPeakAttempts() },
 ];
 
--- a/src/measure/limitsRecord.ts
+++ b/src/measure/limitsRecord.ts
@@ -8,10 +8,10 @@
 export interface RecordedAnswer {
     readonly workspace: string;
     readonly priority: number;
-    readonly askedAt: number;
+    readonly attemptedAt: number;
     readonly firstTokenAt: number;
     /** From the caller's first ask, refused returns included. */
-    readonly sinceFirstAsk: number;
+    readonly sinceFirstAttempt: number;
     readonly isInTime: boolean;
 }
 
@@ -21,7 +21,7 @@
     readonly priority: number;
     readonly at: number;
     /** How long the caller waited for it. */
-    readonly took: number;
+    readonly waitMilliseconds: number;
 }
 
 /** Part of the usual goodput that counts as recovered. */
@@ -37,18 +37,18 @@
     readonly #answers: RecordedAnswer[] = [];
     readonly #refusals: RecordedRefusal[] = [];
     readonly #attempts: number[] = getRange(limitsTimes.end + 200).map(() => 0);
-    readonly #asks: number[] = getRange(limitsTimes.end + 200).map(() => 0);
-    readonly #asksByWorkspace = new Map<string, number>();
+    readonly #requests: number[] = getRange(limitsTimes.end + 200).map(() => 0);
+    readonly #requestsByWorkspace = new Map<string, number>();
 
     constructor(capacityPerSecond: number) {
         this.#capacityPerSecond = capacityPerSecond;
     }
 
     /** Notes a caller's first ask. */
-    addAsk(workspace: string, now: number): void {
-        this.#asks[Math.floor(now / 1_000)] += 1;
+    addRequest(workspace: string, now: number): void {
+        this.#requests[Math.floor(now / 1_000)] += 1;
         if (isMeasured(now)) {
-            this.#asksByWorkspace.set(workspace, (this.#asksByWorkspace.get(workspace) ?? 0) + 1);
+            this.#requestsByWorkspace.set(workspace, (this.#requestsByWorkspace.get(workspace) ?? 0) + 1);
         }
     }
 
@@ -75,22 +75,22 @@
 
     /** Returns a quantile of the time to the first token of workspaces' answers, from each ask that was let in. */
     getFirstToken(workspaces: WorkspacePrefix, share: number): number {
-        const own = this.#answers.filter(answer =>
-            answer.workspace.startsWith(workspaces) && isMeasured(answer.askedAt)
+        const workspaceAnswers = this.#answers.filter(answer =>
+            answer.workspace.startsWith(workspaces) && isMeasured(answer.attemptedAt)
         );
-        return getQuantile(own.map(answer => answer.firstTokenAt - answer.askedAt), share);
+        return getQuantile(workspaceAnswers.map(answer => answer.firstTokenAt - answer.attemptedAt), share);
     }
 
     /** Returns the part of workspaces' requests that were answered in time in the end. */
     getServedShare(workspaces: WorkspacePrefix): number {
-        const own = this.#answers.filter(answer =>
-            answer.workspace.startsWith(workspaces) && answer.isInTime && isMeasured(answer.askedAt)
+        const workspaceAnswers = this.#answers.filter(answer =>
+            answer.workspace.startsWith(workspaces) && answer.isInTime && isMeasured(answer.attemptedAt)
         );
-        let asked = 0;
-        for (const [workspace, count] of this.#asksByWorkspace) {
-            asked += workspace.startsWith(workspaces) ? count : 0;
+        let requested = 0;
+        for (const [workspace, count] of this.#requestsByWorkspace) {
+            requested += workspace.startsWith(workspaces) ? count : 0;
         }
-        return own.length / Math.max(1, asked);
+        return workspaceAnswers.length / Math.max(1, requested);
     }
 
     /** Returns the part of a workspace's asks of a priority that were refused. */
@@ -98,33 +98,33 @@
         const isOwn = (item: { readonly workspace: string; readonly priority: number; }): boolean =>
             item.workspace === workspace && item.priority === priority;
         const refused = this.#refusals.filter(refusal => isOwn(refusal) && isMeasured(refusal.at)).length;
-        const answered = this.#answers.filter(answer => isOwn(answer) && isMeasured(answer.askedAt)).length;
+        const answered = this.#answers.filter(answer => isOwn(answer) && isMeasured(answer.attemptedAt)).length;
         return refused / Math.max(1, refused + answered);
     }
 
     /** Returns how many answers two workspaces got, as a ratio. */
     getRatio(workspace: string, other: string): number {
         const count = (name: string): number =>
-            this.#answers.filter(answer => answer.workspace === name && isMeasured(answer.askedAt)).length;
+            this.#answers.filter(answer => answer.workspace === name && isMeasured(answer.attemptedAt)).length;
         return count(workspace) / Math.max(1, count(other));
     }
 
     /** Returns a quantile of the time that a refusal took. */
     getRefusalTime(share: number): number {
         const measured = this.#refusals.filter(refusal => isMeasured(refusal.at));
-        return getQuantile(measured.map(refusal => refusal.took), share);
+        return getQuantile(measured.map(refusal => refusal.waitMilliseconds), share);
     }
 
     /** Returns the part of refusals that took more than 50 ms. */
     getLateRefusals(): number {
         const measured = this.#refusals.filter(refusal => isMeasured(refusal.at));
-        return measured.filter(refusal => refusal.took > 50).length / Math.max(1, measured.length);
+        return measured.filter(refusal => refusal.waitMilliseconds > 50).length / Math.max(1, measured.length);
     }
 
     /** Returns how many asks there were for each first ask. */
-    getAttemptsPerAsk(): number {
+    getAttemptsPerRequest(): number {
         return sum(this.#attempts, limitsTimes.measureFrom, limitsTimes.end)
-            / sum(this.#asks, limitsTimes.measureFrom, limitsTimes.end);
+            / sum(this.#requests, limitsTimes.measureFrom, limitsTimes.end);
     }
 
     /** Returns the greatest number of asks in a second, as a part of the capacity. */
--- a/src/measure/limitsTrial.ts
+++ b/src/measure/limitsTrial.ts
@@ -8,7 +8,7 @@
 import { EventQueue } from "./eventQueue.js";
 import { LimitsRecord } from "./limitsRecord.js";
 import { createPolicy, type Policy } from "./placementPolicies.js";
-import { getFullHold, SimulatedRunner } from "./simulatedRunner.js";
+import { getFullLoadServiceTime, SimulatedRunner } from "./simulatedRunner.js";
 import { getRange } from "./statistics.js";
 
 const entries = 8;
@@ -17,14 +17,14 @@
 const meanOutputTokens = 60;
 const deadlineMilliseconds = 3_000;
 const reportEveryMilliseconds = 500;
-const mostReturns = 4;
-const mostUpstreams = 3;
+const maxRetries = 4;
+const maxUpstreams = 3;
 
 /** Seconds of a run, from its start. */
 export const limitsTimes = { measureFrom: 20, brownOutFrom: 50, brownOutTo: 80, end: 140 };
 
 /** A workspace's callers. */
-export interface WorkspaceShape {
+export interface WorkspaceLoad {
     readonly name: string;
     readonly share: number;
     /** First asks, as a part of the capacity. */
@@ -32,25 +32,25 @@
     /** Part of its requests of the lowest priority; the others have the usual one. */
     readonly lowPriorityShare: number;
     /** Part of its callers that come back when it suits them, whatever they were told. */
-    readonly impatientShare: number;
+    readonly earlyRetryShare: number;
 }
 
 /** What happens in a scenario. */
 export interface LimitsScenario {
     readonly name: string;
-    readonly workspaces: readonly WorkspaceShape[];
+    readonly workspaces: readonly WorkspaceLoad[];
     /** How many times slower all runners are between `brownOutFrom` and `brownOutTo`; 1 for none. */
     readonly brownOut: number;
 }
 
-interface Ask {
-    readonly workspace: WorkspaceShape;
+interface TrialRequest {
+    readonly workspace: WorkspaceLoad;
     readonly caller: string;
     readonly priority: number;
-    readonly isImpatient: boolean;
+    readonly retriesEarly: boolean;
     readonly outputTokens: number;
-    readonly firstAskedAt: number;
-    returns: number;
+    readonly firstAttemptAt: number;
+    retries: number;
 }
 
 /** Runs one scenario with one way to let requests in. */
@@ -64,7 +64,7 @@
     readonly #budgets = getRange(entries).map(() => new RetryBudget());
     readonly #record: LimitsRecord;
     readonly #capacityPerSecond: number;
-    #asks = 0;
+    #requestCount = 0;
 
     constructor(options: {
         readonly scenario: LimitsScenario;
@@ -93,7 +93,7 @@
                 limits: options.limits,
             })
         );
-        const hold = getFullHold(this.#runners[0].options, 0, meanOutputTokens);
+        const hold = getFullLoadServiceTime(this.#runners[0].options, 0, meanOutputTokens);
         this.#capacityPerSecond = 1_000 * runners * runnerCapacity / hold;
         this.#record = new LimitsRecord(this.#capacityPerSecond);
     }
@@ -133,10 +133,10 @@
             version: "model@1",
             capacity: runnerCapacity,
             slowness: 1,
-            isLying: false,
+            reportsNoLoad: false,
             cacheBlocks: 0,
-            tokenReadMilliseconds: 0.1,
-            tokenWriteMilliseconds: 20,
+            prefillMillisecondsPerToken: 0.1,
+            decodeMillisecondsPerToken: 20,
         });
     }
 
@@ -155,114 +155,119 @@
         }
     }
 
-    #scheduleArrivals(workspace: WorkspaceShape): void {
+    #scheduleArrivals(workspace: WorkspaceLoad): void {
         const mean = 1_000 / (workspace.load * this.#capacityPerSecond);
         const arrive = (): void => {
             if (this.#queue.now() >= limitsTimes.end * 1_000) {
                 return;
             }
-            this.#asks += 1;
-            const ask: Ask = {
+            this.#requestCount += 1;
+            const request: TrialRequest = {
                 workspace,
-                caller: `caller-${this.#asks}`,
+                caller: `caller-${this.#requestCount}`,
                 priority: this.#random.next() < workspace.lowPriorityShare ? 3 : 1,
-                isImpatient: this.#random.next() < workspace.impatientShare,
+                retriesEarly: this.#random.next() < workspace.earlyRetryShare,
                 outputTokens: 1 + Math.floor(this.#random.nextExponential(meanOutputTokens)),
-                firstAskedAt: this.#queue.now(),
-                returns: 0,
+                firstAttemptAt: this.#queue.now(),
+                retries: 0,
             };
-            this.#record.addAsk(ask.workspace.name, this.#queue.now());
-            this.#attempt(ask);
+            this.#record.addRequest(request.workspace.name, this.#queue.now());
+            this.#attempt(request);
             this.#queue.schedule(this.#random.nextExponential(mean), arrive);
         };
         this.#queue.schedule(this.#random.nextExponential(mean), arrive);
     }
 
     /** The caller picks an entry; a caller that comes back may pick another one, which knows nothing of it. */
-    #attempt(ask: Ask): void {
-        const since = this.#queue.now();
+    #attempt(request: TrialRequest): void {
+        const attemptedAt = this.#queue.now();
         const entry = this.#random.nextInteger(entries);
-        this.#record.addAttempt(since);
+        this.#record.addAttempt(attemptedAt);
         this.#admissions[entry].offer({
-            workspace: ask.workspace.name,
-            share: ask.workspace.share,
-            priority: ask.priority,
+            workspace: request.workspace.name,
+            share: request.workspace.share,
+            priority: request.priority,
             deadlineMilliseconds,
             estimatedTokens: meanOutputTokens + 64,
-            caller: ask.caller,
-            isRetry: ask.returns > 0,
+            caller: request.caller,
+            isRetry: request.retries > 0,
         }, {
-            enter: ticket => this.#serve({ ask, entry, since, ticket, tried: new Set() }),
-            refuse: retryAfterMilliseconds => this.#refuse(ask, since, retryAfterMilliseconds),
+            admit: ticket => this.#serve({ request, entry, attemptedAt, ticket, excluded: new Set() }),
+            refuse: retryAfterMilliseconds => this.#refuse(request, attemptedAt, retryAfterMilliseconds),
         });
     }
 
     #serve(work: {
-        readonly ask: Ask;
+        readonly request: TrialRequest;
         readonly entry: number;
-        readonly since: number;
+        readonly attemptedAt: number;
         readonly ticket: { readonly priority: number; readonly release: (end: Release) => void; };
-        readonly tried: Set<string>;
+        readonly excluded: Set<string>;
     }): void {
-        const { ask, entry, since, ticket, tried } = work;
+        const { request, entry, attemptedAt, ticket, excluded } = work;
         const sent = this.#queue.now();
         const choice = this.#policies[entry].choose({
             blocks: [],
-            exclude: tried,
-            deadlineMilliseconds: deadlineMilliseconds - (sent - since),
+            exclude: excluded,
+            deadlineMilliseconds: deadlineMilliseconds - (sent - attemptedAt),
         });
         if (choice === undefined) {
             ticket.release({ outcome: "refused", tokens: 0 });
-            this.#refuse(ask, since, undefined);
+            this.#refuse(request, attemptedAt, undefined);
             return;
         }
         this.#budgets[entry].addRequest();
         const runner = this.#runners[choice.runner];
-        let firstAt: number | undefined;
-        runner.start({ blocks: [], outputTokens: ask.outputTokens, priority: ticket.priority }, {
-            firstToken: header => {
-                firstAt = this.#queue.now();
-                choice.firstToken(firstAt - sent, header);
+        let firstTokenAt: number | undefined;
+        runner.start({ blocks: [], outputTokens: request.outputTokens, priority: ticket.priority }, {
+            onFirstToken: header => {
+                firstTokenAt = this.#queue.now();
+                choice.reportFirstToken(firstTokenAt - sent, header);
             },
-            end: outcome => {
-                choice.end({ outcome, milliseconds: this.#queue.now() - sent });
+            onEnd: outcome => {
+                choice.reportEnd({ outcome, milliseconds: this.#queue.now() - sent });
                 if (outcome === "ok") {
-                    const wait = firstAt === undefined ? undefined : firstAt - since;
-                    ticket.release({ outcome, firstTokenMilliseconds: wait, tokens: ask.outputTokens + 64 });
-                    this.#addAnswer(ask, since, wait ?? Number.POSITIVE_INFINITY);
+                    const wait = firstTokenAt === undefined ? undefined : firstTokenAt - attemptedAt;
+                    ticket.release({ outcome, firstTokenMilliseconds: wait, tokens: request.outputTokens + 64 });
+                    this.#addAnswer(request, attemptedAt, wait ?? Number.POSITIVE_INFINITY);
                     return;
                 }
-                tried.add(runner.options.vm.id);
-                if (tried.size < mostUpstreams && this.#budgets[entry].take()) {
+                excluded.add(runner.options.vm.id);
+                if (excluded.size < maxUpstreams && this.#budgets[entry].take()) {
                     this.#serve(work);
                     return;
                 }
                 ticket.release({ outcome, tokens: 0 });
-                this.#refuse(ask, since, undefined);
+                this.#refuse(request, attemptedAt, undefined);
             },
         });
     }
 
-    #addAnswer(ask: Ask, since: number, wait: number): void {
+    #addAnswer(request: TrialRequest, attemptedAt: number, wait: number): void {
         this.#record.addAnswer({
-            workspace: ask.workspace.name,
-            priority: ask.priority,
-            askedAt: since,
-            firstTokenAt: since + wait,
-            sinceFirstAsk: since - ask.firstAskedAt + wait,
+            workspace: request.workspace.name,
+            priority: request.priority,
+            attemptedAt,
+            firstTokenAt: attemptedAt + wait,
+            sinceFirstAttempt: attemptedAt - request.firstAttemptAt + wait,
             isInTime: wait <= deadlineMilliseconds,
         });
     }
 
-    #refuse(ask: Ask, since: number, retryAfterMilliseconds: number | undefined): void {
+    #refuse(request: TrialRequest, attemptedAt: number, retryAfterMilliseconds: number | undefined): void {
         const now = this.#queue.now();
-        this.#record.addRefusal({ workspace: ask.workspace.name, priority: ask.priority, at: now, took: now - since });
-        if (ask.returns >= mostReturns || now >= limitsTimes.end * 1_000) {
+        this.#record.addRefusal({
+            workspace: request.workspace.name,
+            priority: request.priority,
+            at: now,
+            waitMilliseconds: now - attemptedAt,
+        });
+        if (request.retries >= maxRetries || now >= limitsTimes.end * 1_000) {
             return;
         }
-        ask.returns += 1;
-        const backOff = 500 * 2 ** (ask.returns - 1) * (0.75 + this.#random.next() / 2);
-        const wait = ask.isImpatient ? 200 + this.#random.next() * 800 : retryAfterMilliseconds ?? backOff;
-        this.#queue.schedule(wait, () => this.#attempt(ask));
+        request.retries += 1;
+        const backOff = 500 * 2 ** (request.retries - 1) * (0.75 + this.#random.next() / 2);
+        const wait = request.retriesEarly ? 200 + this.#random.next() * 800 : retryAfterMilliseconds ?? backOff;
+        this.#queue.schedule(wait, () => this.#attempt(request));
     }
 }
--- a/src/measure/load.ts
+++ b/src/measure/load.ts
@@ -12,7 +12,7 @@
 export const firstReportingSeed = 1_000;
 
 /** More questions a second than any subset asks for: each runner is asked in each round. */
-const unbounded = 1_000;
+const unlimitedPollsPerSecond = 1_000;
 const unequalShapes = [
     { capacity: 4, slowness: 1.5 },
     { capacity: 8, slowness: 1 },
@@ -24,8 +24,8 @@
     { name: "0.5 of capacity", load: 0.5 },
     { name: "0.9 of capacity", load: 0.9 },
     { name: "2 times capacity", load: 2 },
-    { name: "unequal runners, 0.9", load: 0.9, getShape: index => unequalShapes[index % unequalShapes.length] },
-    { name: "0.9, asked without a bound", load: 0.9, pollsPerSecond: unbounded },
+    { name: "unequal runners, 0.9", load: 0.9, getRunnerShape: index => unequalShapes[index % unequalShapes.length] },
+    { name: "0.9, asked without a bound", load: 0.9, pollsPerSecond: unlimitedPollsPerSecond },
     { name: "0.9, 4 questions a second", load: 0.9, pollsPerSecond: 4 },
     { name: "52 runners, 0.9", load: 0.9, runners: 52, sessions: 240 },
     {
@@ -33,17 +33,17 @@
         load: 0.9,
         runners: 52,
         sessions: 240,
-        pollsPerSecond: unbounded,
+        pollsPerSecond: unlimitedPollsPerSecond,
     },
     { name: "small prefix caches, 0.9", load: 0.9, cacheBlocks: 250 },
     {
         name: "slow runner that reports no load, 0.8",
         load: 0.8,
-        liar: 3,
-        getShape: index => ({ capacity: 8, slowness: index === 3 ? 4 : 1 }),
+        misreportingRunner: 3,
+        getRunnerShape: index => ({ capacity: 8, slowness: index === 3 ? 4 : 1 }),
     },
-    { name: "half a failure domain crashes, 0.7", load: 0.7, lost: { runners: [0, 4], fault: "crashed" } },
-    { name: "half a failure domain falls silent, 0.7", load: 0.7, lost: { runners: [0, 4], fault: "silent" } },
+    { name: "half a failure domain crashes, 0.7", load: 0.7, runnerFailure: { runners: [0, 4], fault: "crashed" } },
+    { name: "half a failure domain falls silent, 0.7", load: 0.7, runnerFailure: { runners: [0, 4], fault: "silent" } },
 ];
 
 /** One line of the result. */
