--- a/src/measure/loadTrial.ts
+++ b/src/measure/loadTrial.ts
@@ -6,7 +6,7 @@
 import type { Vm } from "../world/index.js";
 import { EventQueue } from "./eventQueue.js";
 import { createPolicy, type Policy, type PolicyName, pollRoundMilliseconds } from "./placementPolicies.js";
-import { getFullHold, type RunnerFault, SimulatedRunner } from "./simulatedRunner.js";
+import { getFullLoadServiceTime, type RunnerFault, SimulatedRunner } from "./simulatedRunner.js";
 import { getQuantile, getRange } from "./statistics.js";
 import { type DrawnRequest, Workload } from "./workload.js";
 
@@ -17,14 +17,14 @@
 const cacheEventsEveryMilliseconds = 400;
 const cacheEventLossShare = 0.1;
 const listLagMilliseconds = 5_000;
-const attempts = 3;
+const maxAttempts = 3;
 const deadlineMilliseconds = 8_000;
 const meanOutputTokens = 60;
 /** Blocks of the mean request of the workload, for the capacity. */
 const meanBlocks = 32;
 const sessionShare = 0.6;
-const usualSessions = 60;
-const usualCacheBlocks = 1_500;
+const defaultSessions = 60;
+const defaultCacheBlocks = 1_500;
 
 type CacheEvents = ReturnType<SimulatedRunner["takeCacheEvents"]>;
 
@@ -37,14 +37,14 @@
     /** Sessions at a time. */
     readonly sessions?: number;
     /** Capacity and slowness of each runner. */
-    readonly getShape?: (index: number) => { readonly capacity: number; readonly slowness: number; };
-    readonly liar?: number;
+    readonly getRunnerShape?: (index: number) => { readonly capacity: number; readonly slowness: number; };
+    readonly misreportingRunner?: number;
     /** Bound on an entry's questions a second, over all runners. */
     readonly pollsPerSecond?: number;
     /** Blocks that each runner's prefix cache holds. */
     readonly cacheBlocks?: number;
     /** Runners that fail in the middle of the measured time. */
-    readonly lost?: { readonly runners: readonly number[]; readonly fault: RunnerFault; };
+    readonly runnerFailure?: { readonly runners: readonly number[]; readonly fault: RunnerFault; };
 }
 
 /** What one run gave. */
@@ -73,8 +73,8 @@
     readonly #cacheEvents: CacheEvents[][];
     readonly #firstTokens: number[] = [];
     readonly #betweenTokens: number[] = [];
-    #asked = 0;
-    #good = 0;
+    #requestCount = 0;
+    #goodCount = 0;
     #blocks = 0;
     #cachedBlocks = 0;
 
@@ -105,7 +105,7 @@
     /** Runs it and returns the figures. */
     run(): LoadFigures {
         this.#schedulePolls();
-        this.#scheduleLoss();
+        this.#scheduleRunnerFailure();
         const end = warmUpMilliseconds + measuredMilliseconds;
         this.#scheduleArrivals(end);
         this.#queue.runUntil(end + 2 * deadlineMilliseconds);
@@ -115,14 +115,14 @@
             firstToken95: getQuantile(this.#firstTokens, 0.95),
             firstToken99: getQuantile(this.#firstTokens, 0.99),
             betweenTokens95: getQuantile(this.#betweenTokens, 0.95),
-            goodput: this.#good / capacity,
-            lost: 1 - this.#good / this.#asked,
+            goodput: this.#goodCount / capacity,
+            lost: 1 - this.#goodCount / this.#requestCount,
             cachedShare: this.#cachedBlocks / Math.max(1, this.#blocks),
         };
     }
 
     #createRunners(): readonly SimulatedRunner[] {
-        const getShape = this.#scenario.getShape ?? (() => ({ capacity: 8, slowness: 1 }));
+        const getRunnerShape = this.#scenario.getRunnerShape ?? (() => ({ capacity: 8, slowness: 1 }));
         return getRange(this.#scenario.runners ?? 13).map(index => {
             const vm: Vm = {
                 id: `runner-${index}`,
@@ -138,11 +138,11 @@
                 vm,
                 queue: this.#queue,
                 version: "model@1",
-                ...getShape(index),
-                isLying: index === this.#scenario.liar,
-                cacheBlocks: this.#scenario.cacheBlocks ?? usualCacheBlocks,
-                tokenReadMilliseconds: 0.1,
-                tokenWriteMilliseconds: 20,
+                ...getRunnerShape(index),
+                reportsNoLoad: index === this.#scenario.misreportingRunner,
+                cacheBlocks: this.#scenario.cacheBlocks ?? defaultCacheBlocks,
+                prefillMillisecondsPerToken: 0.1,
+                decodeMillisecondsPerToken: 20,
             });
         });
     }
@@ -150,7 +150,7 @@
     #getCapacityPerMillisecond(): number {
         let sum = 0;
         for (const runner of this.#runners) {
-            sum += runner.options.capacity / getFullHold(runner.options, meanBlocks, meanOutputTokens);
+            sum += runner.options.capacity / getFullLoadServiceTime(runner.options, meanBlocks, meanOutputTokens);
         }
         return sum;
     }
@@ -158,7 +158,7 @@
     #scheduleArrivals(end: number): void {
         const workload = new Workload(this.#random, {
             entries,
-            sessions: this.#scenario.sessions ?? usualSessions,
+            sessions: this.#scenario.sessions ?? defaultSessions,
             sessionShare,
             meanOutputTokens,
         });
@@ -167,32 +167,32 @@
             if (this.#queue.now() >= end) {
                 return;
             }
-            this.#ask(workload.draw());
+            this.#startRequest(workload.draw());
             this.#queue.schedule(this.#random.nextExponential(mean), arrive);
         };
         arrive();
     }
 
-    #ask(request: DrawnRequest): void {
+    #startRequest(request: DrawnRequest): void {
         const isMeasured = this.#queue.now() >= warmUpMilliseconds;
-        this.#asked += isMeasured ? 1 : 0;
-        this.#attempt({ request, since: this.#queue.now(), exclude: new Set(), isMeasured });
+        this.#requestCount += isMeasured ? 1 : 0;
+        this.#attempt({ request, arrivedAt: this.#queue.now(), exclude: new Set(), isMeasured });
     }
 
     #attempt(
-        ask: {
+        attempt: {
             readonly request: DrawnRequest;
-            readonly since: number;
+            readonly arrivedAt: number;
             readonly exclude: Set<string>;
             readonly isMeasured: boolean;
         },
     ): void {
-        const { request, since, exclude, isMeasured } = ask;
-        const sent = this.#queue.now();
+        const { request, arrivedAt, exclude, isMeasured } = attempt;
+        const sentAt = this.#queue.now();
         const choice = this.#policies[request.entry].choose({
             blocks: request.blocks,
             exclude,
-            deadlineMilliseconds: deadlineMilliseconds - (sent - since),
+            deadlineMilliseconds: deadlineMilliseconds - (sentAt - arrivedAt),
         });
         if (choice === undefined) {
             return;
@@ -202,44 +202,44 @@
             this.#blocks += request.blocks.length;
             this.#cachedBlocks += runner.getCachedBlocks(request.blocks);
         }
-        let firstAt: number | undefined;
-        let isOver = false;
+        let firstTokenAt: number | undefined;
+        let isDone = false;
         const end = (outcome: "ok" | "failed" | "refused"): void => {
-            if (isOver) {
+            if (isDone) {
                 return;
             }
-            isOver = true;
+            isDone = true;
             cancelTimeout();
             const now = this.#queue.now();
-            choice.end({ outcome, milliseconds: now - sent });
-            if (outcome === "ok" && firstAt !== undefined) {
-                this.#addAnswer({ since, firstAt, now, request, isMeasured });
+            choice.reportEnd({ outcome, milliseconds: now - sentAt });
+            if (outcome === "ok" && firstTokenAt !== undefined) {
+                this.#addAnswer({ arrivedAt, firstTokenAt, now, request, isMeasured });
                 return;
             }
             exclude.add(runner.options.vm.id);
-            if (exclude.size < attempts && firstAt === undefined) {
-                this.#attempt(ask);
+            if (exclude.size < maxAttempts && firstTokenAt === undefined) {
+                this.#attempt(attempt);
             }
         };
         const cancelTimeout = this.#queue.schedule(deadlineMilliseconds, () => {
-            if (firstAt === undefined) {
+            if (firstTokenAt === undefined) {
                 exclude.add("").add(" ").add("  ");
                 end("failed");
             }
         });
         runner.start({ ...request, priority: 1 }, {
-            firstToken: header => {
-                firstAt = this.#queue.now();
-                choice.firstToken(firstAt - sent, header);
+            onFirstToken: header => {
+                firstTokenAt = this.#queue.now();
+                choice.reportFirstToken(firstTokenAt - sentAt, header);
             },
-            end,
+            onEnd: end,
         });
     }
 
     #addAnswer(
         answer: {
-            readonly since: number;
-            readonly firstAt: number;
+            readonly arrivedAt: number;
+            readonly firstTokenAt: number;
             readonly now: number;
             readonly request: DrawnRequest;
             readonly isMeasured: boolean;
@@ -248,10 +248,10 @@
         if (!answer.isMeasured) {
             return;
         }
-        const wait = answer.firstAt - answer.since;
+        const wait = answer.firstTokenAt - answer.arrivedAt;
         this.#firstTokens.push(wait);
-        this.#betweenTokens.push((answer.now - answer.firstAt) / answer.request.outputTokens);
-        this.#good += wait <= deadlineMilliseconds ? 1 : 0;
+        this.#betweenTokens.push((answer.now - answer.firstTokenAt) / answer.request.outputTokens);
+        this.#goodCount += wait <= deadlineMilliseconds ? 1 : 0;
     }
 
     #schedulePolls(): void {
@@ -263,9 +263,9 @@
             const nextBatches = this.#runners.map(() => 0);
             this.#repeat(pollRoundMilliseconds, () => {
                 for (const { id, hasCacheEvents } of policy.takePolls()) {
-                    this.#askForLoad(policy, indexes.get(id) ?? 0);
+                    this.#requestLoadReport(policy, indexes.get(id) ?? 0);
                     if (hasCacheEvents) {
-                        this.#askForCacheEvents(policy, indexes.get(id) ?? 0, nextBatches);
+                        this.#requestCacheEvents(policy, indexes.get(id) ?? 0, nextBatches);
                     }
                 }
             });
@@ -273,14 +273,14 @@
     }
 
     /** Each report takes 50 to 450 ms, so entries see different and out-of-order pictures. */
-    #askForLoad(policy: Policy, index: number): void {
+    #requestLoadReport(policy: Policy, index: number): void {
         const report = this.#runners[index].getReport();
         if (report !== undefined) {
             this.#queue.schedule(50 + this.#pollRandom.next() * 400, () => policy.addReport(report));
         }
     }
 
-    #askForCacheEvents(policy: Policy, index: number, nextBatches: number[]): void {
+    #requestCacheEvents(policy: Policy, index: number, nextBatches: number[]): void {
         const { id } = this.#runners[index].options.vm;
         const batches = this.#cacheEvents[index].slice(nextBatches[index]);
         nextBatches[index] += batches.length;
@@ -292,34 +292,34 @@
         }
     }
 
-    #repeat(every: number, run: () => void): void {
-        const again = (): void => {
+    #repeat(intervalMilliseconds: number, run: () => void): void {
+        const runAndReschedule = (): void => {
             run();
             if (this.#queue.now() < warmUpMilliseconds + measuredMilliseconds) {
-                this.#queue.schedule(every, again);
+                this.#queue.schedule(intervalMilliseconds, runAndReschedule);
             }
         };
-        this.#queue.schedule(this.#pollRandom.next() * every, again);
+        this.#queue.schedule(this.#pollRandom.next() * intervalMilliseconds, runAndReschedule);
     }
 
-    #scheduleLoss(): void {
-        const { lost } = this.#scenario;
-        if (lost === undefined) {
+    #scheduleRunnerFailure(): void {
+        const { runnerFailure } = this.#scenario;
+        if (runnerFailure === undefined) {
             return;
         }
         const at = warmUpMilliseconds + measuredMilliseconds / 3;
         this.#queue.schedule(at, () => {
-            for (const index of lost.runners) {
-                this.#runners[index].setFault(lost.fault);
+            for (const index of runnerFailure.runners) {
+                this.#runners[index].setFault(runnerFailure.fault);
             }
         });
         this.#queue.schedule(at + listLagMilliseconds, () => {
             const vms = this.#runners.map(runner => runner.options.vm);
-            for (const index of lost.runners) {
+            for (const index of runnerFailure.runners) {
                 vms[index] = { ...vms[index], state: "leaving" };
             }
             for (const policy of this.#policies) {
-                policy.setListed(vms.filter(vm => vm.state === "live"));
+                policy.setListedVms(vms.filter(vm => vm.state === "live"));
             }
         });
     }
--- a/src/measure/main.ts
+++ b/src/measure/main.ts
@@ -10,19 +10,19 @@
 import { formatGossip, measureGossip } from "./gossipTraffic.js";
 import { formatLimits, measureLimits } from "./limits.js";
 import { firstReportingSeed, formatCosts, formatLoad, measureCosts, measureLoad } from "./load.js";
-import type { Finding, Measurement, MeasurementRequest, SeededRequest } from "./measurement.js";
+import type { Measurement, MeasurementRequest, MeasurementResult, SeededRequest } from "./measurement.js";
 import { measureOrders } from "./orders.js";
 import { formatReport, type Report } from "./report.js";
 import { measureSite } from "./site/measureSite.js";
 
 /** Measurements by name; add a line here for each new one. */
 const measurements: Readonly<Record<string, Measurement>> = {
-    capacity: async ({ log }) => toFinding(await measureCapacity(log)),
-    control: async ({ log }) => toFinding(await measureControl(log)),
-    cost: async request => toFinding(await measureCost(withSeed(request))),
-    entry: async ({ log }) => toFinding(await measureEntry(log)),
-    exposure: async request => toFinding(await measureExposure(withSeed(request))),
-    "false-halts": async request => toFinding(await measureFalseHalts(withSeed(request))),
+    capacity: async ({ log }) => toMeasurementResult(await measureCapacity(log)),
+    control: async ({ log }) => toMeasurementResult(await measureControl(log)),
+    cost: async request => toMeasurementResult(await measureCost(withSeed(request))),
+    entry: async ({ log }) => toMeasurementResult(await measureEntry(log)),
+    exposure: async request => toMeasurementResult(await measureExposure(withSeed(request))),
+    "false-halts": async request => toMeasurementResult(await measureFalseHalts(withSeed(request))),
     load: ({ seed = firstReportingSeed }) => {
         const costs = measureCosts(seed);
         const results = measureLoad(seed);
@@ -36,15 +36,15 @@
         const results = measureLimits(seed);
         return { results, text: formatLimits(results) };
     },
-    orders: request => toFinding(measureOrders(withSeed(request))),
-    site: async request => toFinding(await measureSite(withSeed(request))),
+    orders: request => toMeasurementResult(measureOrders(withSeed(request))),
+    site: async request => toMeasurementResult(await measureSite(withSeed(request))),
 };
 
 function withSeed(request: MeasurementRequest): SeededRequest {
     return { ...request, seed: request.seed ?? 1 };
 }
 
-function toFinding(report: Report): Finding {
+function toMeasurementResult(report: Report): MeasurementResult {
     return { results: report, text: formatReport(report) };
 }
 
--- a/src/measure/measurement.ts
+++ b/src/measure/measurement.ts
@@ -18,7 +18,7 @@
 }
 
 /** What a measurement found. */
-export interface Finding {
+export interface MeasurementResult {
     /** For programs. */
     readonly results: unknown;
     /** For people. */
@@ -26,4 +26,4 @@
 }
 
 /** Runs a measurement. */
-export type Measurement = (request: MeasurementRequest) => Finding | Promise<Finding>;
+export type Measurement = (request: MeasurementRequest) => MeasurementResult | Promise<MeasurementResult>;
--- a/src/measure/orders.ts
+++ b/src/measure/orders.ts
@@ -19,11 +19,11 @@
 const versionsPerRunner = 4;
 const subsetSize = 32;
 const copiesInSubset = 8;
-const leastLoadSeconds = 20;
+const minLoadSeconds = 20;
 const loadSpreadSeconds = 20;
-const leastRoundSeconds = 2;
+const minRoundSeconds = 2;
 const roundSecondsByRunner = 0.015;
-const roundBound = 5_000;
+const maxRounds = 5_000;
 const decisions = 30;
 const newVersion = "new@1";
 
@@ -34,7 +34,7 @@
     readonly loadsAtATime: number;
 }
 
-interface Progress {
+interface ConvergenceTotals {
     readonly loads: number;
     readonly unloads: number;
     readonly seconds: number;
@@ -51,7 +51,7 @@
     constructor(shape: Shape, random: RandomSource) {
         this.#random = random;
         this.#shape = shape;
-        const least = Math.ceil(shape.runners * copiesInSubset / subsetSize);
+        const minCopies = Math.ceil(shape.runners * copiesInSubset / subsetSize);
         this.request = {
             runners: createRunners(shape),
             placed: Array.from({ length: shape.versions - 1 }, (...[, index]) => ({
@@ -62,16 +62,16 @@
             retiring: new Set(),
             versionsPerRunner,
             loadsAtATime: shape.loadsAtATime,
-            minCopies: shape.runners <= subsetSize ? 2 : least,
+            minCopies: shape.runners <= subsetSize ? 2 : minCopies,
         };
     }
 
     /** Goes on round by round until nothing is left to order. */
-    settle(): Progress {
+    runUntilStable(): ConvergenceTotals {
         const start = this.#now;
         let loads = 0;
         let unloads = 0;
-        for (let round = 0; round < roundBound; round += 1) {
+        for (let round = 0; round < maxRounds; round += 1) {
             const { orders } = decideLoading(this.request);
             if (orders.length === 0) {
                 return { loads, unloads, seconds: this.#now - start };
@@ -79,7 +79,7 @@
             const byRunner = new Map(orders.map(order => [order.runner, order]));
             const runners = this.request.runners.map(runner => {
                 const order = byRunner.get(runner.id);
-                return order === undefined ? runner : this.#obey(runner, order.versions, order.loadingVersion);
+                return order === undefined ? runner : this.#applyOrder(runner, order.versions, order.loadingVersion);
             });
             for (const [index, { versions }] of runners.entries()) {
                 const before = this.request.runners[index].versions;
@@ -87,24 +87,24 @@
                 unloads += before.filter(version => !versions.includes(version)).length;
             }
             this.request = { ...this.request, runners };
-            this.#now += Math.max(leastRoundSeconds, this.#shape.runners * roundSecondsByRunner);
+            this.#now += Math.max(minRoundSeconds, this.#shape.runners * roundSecondsByRunner);
         }
-        throw new Error(`${this.#shape.runners} runners did not settle in ${roundBound} rounds.`);
+        throw new Error(`${this.#shape.runners} runners did not settle in ${maxRounds} rounds.`);
     }
 
-    #obey(runner: LoadingRunner, versions: readonly string[], loads: string | undefined): LoadingRunner {
-        const stayed = runner.versions.filter(version => versions.includes(version));
+    #applyOrder(runner: LoadingRunner, versions: readonly string[], loads: string | undefined): LoadingRunner {
+        const remainingVersions = runner.versions.filter(version => versions.includes(version));
         if (loads === undefined) {
-            return { ...runner, versions: stayed, loading: [] };
+            return { ...runner, versions: remainingVersions, loading: [] };
         }
         const dueAt = this.#dueAt.get(runner.id)
-            ?? this.#now + leastLoadSeconds + this.#random.nextInteger(loadSpreadSeconds);
+            ?? this.#now + minLoadSeconds + this.#random.nextInteger(loadSpreadSeconds);
         this.#dueAt.set(runner.id, dueAt);
         if (this.#now < dueAt) {
-            return { ...runner, versions: stayed, loading: [loads] };
+            return { ...runner, versions: remainingVersions, loading: [loads] };
         }
         this.#dueAt.delete(runner.id);
-        return { ...runner, versions: [...stayed, loads], loading: [] };
+        return { ...runner, versions: [...remainingVersions, loads], loading: [] };
     }
 }
 
@@ -123,43 +123,43 @@
 
 function measureShape(shape: Shape, seed: number): ReportRow {
     const pool = new SimulatedPool(shape, new RandomSource(seed));
-    const first = pool.settle();
+    const first = pool.runUntilStable();
     pool.request = { ...pool.request, placed: [...pool.request.placed, { id: newVersion, demand: 50 }] };
     const cost = measureDecisions(pool.request);
-    const added = pool.settle();
-    const holders = pool.request.runners.filter(runner => runner.versions.includes(newVersion)).length;
-    const settledCost = measureDecisions(pool.request);
-    const left = pool.request.runners.filter(runner => runner.failureDomain !== "domain-0");
-    const lostRunners = pool.request.runners.length - left.length;
-    pool.request = { ...pool.request, runners: left };
-    const lost = pool.settle();
+    const afterAddition = pool.runUntilStable();
+    const runnersWithVersion = pool.request.runners.filter(runner => runner.versions.includes(newVersion)).length;
+    const stableCost = measureDecisions(pool.request);
+    const remainingRunners = pool.request.runners.filter(runner => runner.failureDomain !== "domain-0");
+    const lostRunners = pool.request.runners.length - remainingRunners.length;
+    pool.request = { ...pool.request, runners: remainingRunners };
+    const afterLoss = pool.runUntilStable();
     return {
         name: `${shape.runners} runners, ${shape.versions} versions, ${shape.loadsAtATime} loads at a time`,
         figures: {
             "loads from empty": first.loads,
             "s": Math.round(first.seconds),
-            "loads for a new version": added.loads,
-            "its runners": holders,
-            "s ": Math.round(added.seconds),
-            "unloads": added.unloads,
+            "loads for a new version": afterAddition.loads,
+            "its runners": runnersWithVersion,
+            "s ": Math.round(afterAddition.seconds),
+            "unloads": afterAddition.unloads,
             "runners lost with a domain": lostRunners,
-            "loads after": lost.loads,
-            "s  ": Math.round(lost.seconds),
+            "loads after": afterLoss.loads,
+            "s  ": Math.round(afterLoss.seconds),
             "decision ms median": cost.median,
-            "greatest": cost.greatest,
-            "decision at rest ms median": settledCost.median,
+            "greatest": cost.max,
+            "decision at rest ms median": stableCost.median,
         },
     };
 }
 
-function measureDecisions(request: LoadingRequest): { readonly median: number; readonly greatest: number; } {
+function measureDecisions(request: LoadingRequest): { readonly median: number; readonly max: number; } {
     const times: number[] = [];
     for (let index = 0; index < decisions; index += 1) {
         const start = performance.now();
         decideLoading(request);
         times.push(performance.now() - start);
     }
-    return { median: getQuantile(times, 0.5), greatest: Math.max(...times) };
+    return { median: getQuantile(times, 0.5), max: Math.max(...times) };
 }
 
 function createRunners({ runners, domains }: Shape): readonly LoadingRunner[] {
--- a/src/measure/placementPolicies.ts
+++ b/src/measure/placementPolicies.ts
@@ -14,7 +14,7 @@
 import { getRange } from "./statistics.js";
 
 /** As the settings' default has it. */
-const usualPollsPerSecond = 16;
+const defaultPollsPerSecond = 16;
 /** Time between two rounds of an entry that asks for load. */
 export const pollRoundMilliseconds = 500;
 
@@ -40,8 +40,8 @@
 /** A chosen runner and where to report how it went. */
 export interface PolicyChoice {
     readonly runner: number;
-    readonly firstToken: (milliseconds: number, loadHeader: string) => void;
-    readonly end: (end: WorkResult) => void;
+    readonly reportFirstToken: (milliseconds: number, loadHeader: string) => void;
+    readonly reportEnd: (reportEnd: WorkResult) => void;
 }
 
 /** One entry's way to choose. */
@@ -50,7 +50,7 @@
     readonly choose: (request: PolicyRequest) => PolicyChoice | undefined;
     /** The runners that it asks for their load and cache events now. */
     readonly takePolls: () => readonly Poll[];
-    readonly setListed: (vms: readonly Vm[]) => void;
+    readonly setListedVms: (vms: readonly Vm[]) => void;
     readonly addReport: (report: LoadReport) => void;
     readonly addCacheEvents: (
         upstream: string,
@@ -82,7 +82,7 @@
         case "least in-flight":
             return createLeastInFlight(options);
         case "perfect":
-            return createPerfect(options);
+            return createOmniscientPolicy(options);
         case "rattanlock":
             return createChooserPolicy(options);
     }
@@ -92,7 +92,7 @@
 function createSimplePolicy(
     options: PolicyOptions,
     pick: (allowed: readonly number[], request: PolicyRequest) => number,
-    count: (runner: number, change: 1 | -1) => void = () => {},
+    adjustCount: (runner: number, change: 1 | -1) => void = () => {},
 ): Policy {
     let listed = new Set(options.runners.map(runner => runner.options.vm.id));
     return {
@@ -107,10 +107,10 @@
                 return undefined;
             }
             const runner = pick(allowed, request);
-            count(runner, 1);
-            return { runner, firstToken: () => {}, end: () => count(runner, -1) };
+            adjustCount(runner, 1);
+            return { runner, reportFirstToken: () => {}, reportEnd: () => adjustCount(runner, -1) };
         },
-        setListed: vms => {
+        setListedVms: vms => {
             listed = new Set(vms.map(vm => vm.id));
         },
         takePolls: () => [],
@@ -132,8 +132,8 @@
     return createSimplePolicy(
         options,
         allowed => {
-            const least = Math.min(...allowed.map(runner => inFlight[runner]));
-            const best = allowed.filter(runner => inFlight[runner] === least);
+            const minInFlight = Math.min(...allowed.map(runner => inFlight[runner]));
+            const best = allowed.filter(runner => inFlight[runner] === minInFlight);
             return best[options.random.nextInteger(best.length)];
         },
         (runner, change) => {
@@ -142,22 +142,23 @@
     );
 }
 
-function createPerfect(options: PolicyOptions): Policy {
-    const expect = (index: number, request: PolicyRequest): number => {
+function createOmniscientPolicy(options: PolicyOptions): Policy {
+    const estimateMilliseconds = (index: number, request: PolicyRequest): number => {
         const runner = options.runners[index];
-        const { capacity, slowness, tokenReadMilliseconds } = runner.options;
+        const { capacity, slowness, prefillMillisecondsPerToken } = runner.options;
         if (runner.getReport() === undefined) {
             return Number.POSITIVE_INFINITY;
         }
         const uncached = request.blocks.length - runner.getCachedBlocks(request.blocks);
         const queue = Math.max(0, runner.getLoad() - capacity + 1) * 2_000 / capacity;
-        const fullness = Math.min(1, runner.getLoad() / capacity);
-        return slowness * (queue + (64 + uncached * 128) * tokenReadMilliseconds * (1 + fullness / 2) + 20 * fullness);
+        const utilization = Math.min(1, runner.getLoad() / capacity);
+        return slowness
+            * (queue + (64 + uncached * 128) * prefillMillisecondsPerToken * (1 + utilization / 2) + 20 * utilization);
     };
     return createSimplePolicy(options, (allowed, request) => {
         let best = allowed[0];
         for (const index of allowed) {
-            if (expect(index, request) < expect(best, request)) {
+            if (estimateMilliseconds(index, request) < estimateMilliseconds(best, request)) {
                 best = index;
             }
         }
@@ -180,7 +181,7 @@
     }
     const { version } = options.runners[0].options;
     const polls = new PollSchedule({
-        pollsPerSecond: options.pollsPerSecond ?? usualPollsPerSecond,
+        pollsPerSecond: options.pollsPerSecond ?? defaultPollsPerSecond,
         intervalMilliseconds: pollRoundMilliseconds,
     });
     return {
@@ -197,11 +198,11 @@
             const work = chooser.start(chosen.value);
             return {
                 runner: indexes.get(chosen.value.upstream.id) ?? 0,
-                firstToken: (milliseconds, header) => {
+                reportFirstToken: (milliseconds, header) => {
                     work.addLoad(header);
                     work.addFirstToken(milliseconds);
                 },
-                end: end => work.finish(end),
+                reportEnd: end => work.finish(end),
             };
         },
         takePolls: () => {
@@ -210,7 +211,7 @@
             });
             return polls.take(candidates, options.clock.monotonic());
         },
-        setListed: vms => chooser.setUpstreams([...vms, ...entries]),
+        setListedVms: vms => chooser.setUpstreams([...vms, ...entries]),
         addReport: report => chooser.addLoadReport(report),
         addCacheEvents: (upstream, events, gap) => chooser.addCacheEvents(upstream, events, gap),
     };
--- a/src/measure/report.ts
+++ b/src/measure/report.ts
@@ -24,8 +24,8 @@
 export interface Summary {
     readonly mean: number;
     readonly deviation: number;
-    readonly minimum: number;
-    readonly maximum: number;
+    readonly min: number;
+    readonly max: number;
 }
 
 /** Sums up a figure over several runs. */
@@ -40,13 +40,13 @@
         squares += (value - mean) ** 2;
     }
     const deviation = Math.sqrt(squares / Math.max(1, values.length - 1));
-    return { mean, deviation, minimum: Math.min(...values), maximum: Math.max(...values) };
+    return { mean, deviation, min: Math.min(...values), max: Math.max(...values) };
 }
 
 /** Writes mean, deviation and range of a figure. */
 export function formatSummary(values: readonly number[], digits = 2): string {
-    const { mean, deviation, minimum, maximum } = summarize(values);
-    const range = `${minimum.toFixed(digits)} to ${maximum.toFixed(digits)}`;
+    const { mean, deviation, min, max } = summarize(values);
+    const range = `${min.toFixed(digits)} to ${max.toFixed(digits)}`;
     return `${mean.toFixed(digits)} ± ${deviation.toFixed(digits)} (${range})`;
 }
 
--- a/src/measure/simulatedRunner.ts
+++ b/src/measure/simulatedRunner.ts
@@ -17,9 +17,9 @@
 }
 
 /** What a runner tells of a request. */
-export interface SimulatedAnswer {
-    readonly firstToken: (loadHeader: string) => void;
-    readonly end: (outcome: "ok" | "failed" | "refused") => void;
+export interface AnswerCallbacks {
+    readonly onFirstToken: (loadHeader: string) => void;
+    readonly onEnd: (outcome: "ok" | "failed" | "refused") => void;
 }
 
 /** Properties of a runner. */
@@ -32,26 +32,26 @@
     /** How much slower than usual it is; 2 takes twice the time. */
     readonly slowness: number;
     /** Whether it always reports that it has nothing to do. */
-    readonly isLying: boolean;
+    readonly reportsNoLoad: boolean;
     /** Blocks that its prefix cache holds. */
     readonly cacheBlocks: number;
-    readonly tokenReadMilliseconds: number;
-    readonly tokenWriteMilliseconds: number;
+    readonly prefillMillisecondsPerToken: number;
+    readonly decodeMillisecondsPerToken: number;
 }
 
 interface Job {
     readonly request: SimulatedRequest;
-    readonly answer: SimulatedAnswer;
-    isOver: boolean;
+    readonly answer: AnswerCallbacks;
+    isDone: boolean;
 }
 
 /** How a runner fails. `crashed` breaks connections at once, `silent` never answers. */
 export type RunnerFault = "none" | "crashed" | "silent";
 
 /** Returns how long a request holds a place of a full runner that has none of its prompt cached. */
-export function getFullHold(options: SimulatedRunnerOptions, blocks: number, outputTokens: number): number {
-    const reading = (fixedTokens + blocks * tokensPerBlock) * options.tokenReadMilliseconds * 1.5;
-    return options.slowness * (reading + outputTokens * options.tokenWriteMilliseconds * 2);
+export function getFullLoadServiceTime(options: SimulatedRunnerOptions, blocks: number, outputTokens: number): number {
+    const prefillMilliseconds = (fixedTokens + blocks * tokensPerBlock) * options.prefillMillisecondsPerToken * 1.5;
+    return options.slowness * (prefillMilliseconds + outputTokens * options.decodeMillisecondsPerToken * 2);
 }
 
 /** A modelled runner. */
@@ -85,31 +85,31 @@
     }
 
     /** Takes a request. */
-    start(request: SimulatedRequest, answer: SimulatedAnswer): void {
+    start(request: SimulatedRequest, answer: AnswerCallbacks): void {
         const { queue, capacity } = this.options;
         if (this.#fault === "crashed") {
-            queue.schedule(connectionFailureMilliseconds, () => answer.end("failed"));
+            queue.schedule(connectionFailureMilliseconds, () => answer.onEnd("failed"));
             return;
         }
         if (this.#waiting.length >= 2 * capacity) {
-            queue.schedule(1, () => answer.end("refused"));
+            queue.schedule(1, () => answer.onEnd("refused"));
             return;
         }
-        this.#waiting.push({ request, answer, isOver: false });
+        this.#waiting.push({ request, answer, isDone: false });
         this.#startNext();
     }
 
     /** Makes it fail, or work again with an empty cache. */
     setFault(fault: RunnerFault): void {
         this.#fault = fault;
-        const lost = [...this.#running, ...this.#waiting];
+        const interruptedJobs = [...this.#running, ...this.#waiting];
         this.#running.clear();
         this.#waiting = [];
         this.#cache.clear();
-        for (const job of lost) {
-            job.isOver = true;
+        for (const job of interruptedJobs) {
+            job.isDone = true;
             if (fault === "crashed") {
-                job.answer.end("failed");
+                job.answer.onEnd("failed");
             }
         }
     }
@@ -119,12 +119,12 @@
         if (this.#fault !== "none") {
             return undefined;
         }
-        const { vm, queue, version, capacity, isLying } = this.options;
+        const { vm, queue, version, capacity, reportsNoLoad } = this.options;
         return {
             upstream: vm.id,
             measuredAt: queue.now(),
-            running: isLying ? 0 : this.#running.size,
-            waiting: isLying ? 0 : this.#waiting.length,
+            running: reportsNoLoad ? 0 : this.#running.size,
+            waiting: reportsNoLoad ? 0 : this.#waiting.length,
             capacity,
             versions: [version],
             leaving: false,
@@ -140,11 +140,11 @@
 
     #startNext(): void {
         while (this.#fault === "none" && this.#running.size < this.options.capacity && this.#waiting.length > 0) {
-            this.#run(this.#takeMostUrgent());
+            this.#run(this.#dequeueMostUrgent());
         }
     }
 
-    #takeMostUrgent(): Job {
+    #dequeueMostUrgent(): Job {
         let index = 0;
         for (const [other, job] of this.#waiting.entries()) {
             if (job.request.priority < this.#waiting[index].request.priority) {
@@ -155,36 +155,36 @@
     }
 
     #run(job: Job): void {
-        const { queue, capacity, slowness, tokenReadMilliseconds, tokenWriteMilliseconds } = this.options;
+        const { queue, capacity, slowness, prefillMillisecondsPerToken, decodeMillisecondsPerToken } = this.options;
         this.#running.add(job);
-        const fullness = this.#running.size / capacity;
+        const utilization = this.#running.size / capacity;
         const { blocks, outputTokens } = job.request;
         const uncached = blocks.length - this.getCachedBlocks(blocks);
         this.#store(blocks);
         const scale = slowness * this.slowdown;
-        const readTokens = fixedTokens + uncached * tokensPerBlock;
-        const reading = scale * readTokens * tokenReadMilliseconds * (1 + fullness / 2);
-        const writing = scale * outputTokens * tokenWriteMilliseconds * (1 + fullness);
-        queue.schedule(reading, () => this.#answerFirst(job));
-        queue.schedule(reading + writing, () => this.#end(job));
+        const prefillTokens = fixedTokens + uncached * tokensPerBlock;
+        const prefillMilliseconds = scale * prefillTokens * prefillMillisecondsPerToken * (1 + utilization / 2);
+        const decodeMilliseconds = scale * outputTokens * decodeMillisecondsPerToken * (1 + utilization);
+        queue.schedule(prefillMilliseconds, () => this.#reportFirstToken(job));
+        queue.schedule(prefillMilliseconds + decodeMilliseconds, () => this.#end(job));
     }
 
-    #answerFirst(job: Job): void {
-        if (job.isOver) {
+    #reportFirstToken(job: Job): void {
+        if (job.isDone) {
             return;
         }
-        const waiting = this.options.isLying ? 0 : this.#waiting.length;
-        const running = this.options.isLying ? 0 : this.#running.size;
-        job.answer.firstToken(`${running}/${waiting}/${this.options.capacity}`);
+        const waiting = this.options.reportsNoLoad ? 0 : this.#waiting.length;
+        const running = this.options.reportsNoLoad ? 0 : this.#running.size;
+        job.answer.onFirstToken(`${running}/${waiting}/${this.options.capacity}`);
     }
 
     #end(job: Job): void {
-        if (job.isOver) {
+        if (job.isDone) {
             return;
         }
-        job.isOver = true;
+        job.isDone = true;
         this.#running.delete(job);
-        job.answer.end("ok");
+        job.answer.onEnd("ok");
         this.#startNext();
     }
 
--- a/src/measure/site/measureSite.ts
+++ b/src/measure/site/measureSite.ts
@@ -44,7 +44,7 @@
         });
         const options = {
             title: "site",
-            addresses: [site.getEntries()[0].callers],
+            addresses: [site.getEntries()[0].callerAddress],
             profile: createSiteProfile(),
             seconds: runSeconds,
             seed,
--- a/src/measure/statistics.ts
+++ b/src/measure/statistics.ts
@@ -33,6 +33,6 @@
 }
 
 /** Returns the numbers from 0 up to a bound, which is left out. */
-export function getRange(bound: number): readonly number[] {
-    return [...Array(bound).keys()];
+export function getRange(end: number): readonly number[] {
+    return [...Array(end).keys()];
 }
--- a/src/measure/workload.ts
+++ b/src/measure/workload.ts
@@ -23,7 +23,7 @@
 
 const turnsPerSession = 8;
 /** Callers keep an entry's address for a while; this part of the turns come to another. */
-const strayShare = 0.2;
+const otherEntryShare = 0.2;
 const workspaces = 10;
 const commonBlocks = 4;
 const firstHistoryBlocks = 24;
@@ -58,15 +58,15 @@
         if (this.#random.next() >= this.#options.sessionShare) {
             return { blocks: this.#drawCommonBlocks(), outputTokens, entry: this.#drawEntry() };
         }
-        const place = this.#random.nextInteger(this.#sessions.length);
-        const session = this.#sessions[place];
+        const index = this.#random.nextInteger(this.#sessions.length);
+        const session = this.#sessions[index];
         const blocks = [...session.blocks];
         this.#addBlocks(session.blocks, turnBlocks);
         session.turns += 1;
         if (session.turns >= turnsPerSession) {
-            this.#sessions[place] = this.#createSession();
+            this.#sessions[index] = this.#createSession();
         }
-        const entry = this.#random.next() < strayShare ? this.#drawEntry() : session.entry;
+        const entry = this.#random.next() < otherEntryShare ? this.#drawEntry() : session.entry;
         return { blocks, outputTokens, entry };
     }
 
--- a/src/scenario/createCall.ts
+++ b/src/scenario/createCall.ts
@@ -4,7 +4,7 @@
 import type { Call } from "../testbench/index.js";
 import type { ScenarioSite } from "./scenarioSite.js";
 
-const defaultBoundMilliseconds = 30_000;
+const defaultTimeoutMilliseconds = 30_000;
 
 /**
  * Makes the call of a `send` step. The name of the request goes along as its identifier, which stand-ins take as it is.
@@ -16,7 +16,7 @@
     const common = {
         address: site.getAddress(options.get("to") ?? ""),
         headers: createHeaders(name, site, options),
-        boundMilliseconds: Number(options.get("within") ?? defaultBoundMilliseconds),
+        timeoutMilliseconds: Number(options.get("within") ?? defaultTimeoutMilliseconds),
     };
     const path = options.get("path");
     if (path !== undefined) {
--- a/src/scenario/entrySite.ts
+++ b/src/scenario/entrySite.ts
@@ -2,24 +2,30 @@
  * A site with entries, as a scenario drives it. The site needs links; the caller reaches each entry through one too.
  */
 import type { Change } from "../configuration/index.js";
-import { callJson, getApiKey, type PlatformPart, type RunningProcess, setFaults, Site } from "../testbench/index.js";
+import { callJson, getApiKey, type PlatformService, type RunningProcess, setFaults, Site } from "../testbench/index.js";
 import type { ProcessGroup, SiteDescription } from "../testbench/index.js";
-import { callerName, type ScenarioSite, type VmChange } from "./scenarioSite.js";
+import { callerName, type ScenarioSite, type VmListState } from "./scenarioSite.js";
 
 /** Stands for every entry at the beginning of a link. */
 const everyEntry = "*";
 const callerLastByte = 190;
-const platformParts: readonly string[] = ["log", "vm-list", "rating", "weight-store", "proxy"] satisfies PlatformPart[];
+const platformServices: readonly string[] = [
+    "log",
+    "vm-list",
+    "rating",
+    "weight-store",
+    "proxy",
+] satisfies PlatformService[];
 
 /** Drives a running site. */
 export class EntrySite implements ScenarioSite {
     readonly #site: Site;
     /** Where the caller reaches each entry. */
-    readonly #routes: ReadonlyMap<string, string>;
+    readonly #routeAddresses: ReadonlyMap<string, string>;
 
     private constructor(site: Site, routes: ReadonlyMap<string, string>) {
         this.#site = site;
-        this.#routes = routes;
+        this.#routeAddresses = routes;
     }
 
     /**
@@ -28,14 +34,14 @@
      * @param description - The site.
      */
     static async start(group: ProcessGroup, description: SiteDescription): Promise<EntrySite> {
-        const site = await Site.start(group, { ...description, hasLinks: true });
+        const site = await Site.start(group, { ...description, hasProxiedLinks: true });
         const routes = new Map<string, string>();
-        for (const { name, callers } of site.getEntries()) {
+        for (const { name, callerAddress } of site.getEntries()) {
             const { listen } = await callJson<{ readonly listen: string; }>({
-                address: site.getPlatform("proxy"),
+                address: site.getPlatformAddress("proxy"),
                 path: `/routes/${encodeURIComponent(`${callerName}>${name}`)}`,
                 method: "PUT",
-                body: { listen: `${description.prefix}.${callerLastByte}:0`, target: callers },
+                body: { listen: `${description.prefix}.${callerLastByte}:0`, target: callerAddress },
             });
             routes.set(name, listen);
         }
@@ -49,7 +55,7 @@
         );
     }
 
-    async startAgain(name: string): Promise<void> {
+    async restart(name: string): Promise<void> {
         if (!this.getProcess(name).hasExited()) {
             throw new Error(`${name} still runs. Stop or kill it first.`);
         }
@@ -57,19 +63,19 @@
     }
 
     getProcess(name: string): RunningProcess {
-        if (platformParts.includes(name)) {
+        if (platformServices.includes(name)) {
             throw new Error(`${name} can't be stopped here. Use outage, fault or cut *>${name}.`);
         }
         return this.#isEntry(name) ? this.#site.getEntryOrThrow(name).process : this.#site.getUpstreamOrThrow(name);
     }
 
     getAddress(name: string): string {
-        return this.#routes.get(name) ?? this.getControl(name);
+        return this.#routeAddresses.get(name) ?? this.getControlAddress(name);
     }
 
-    getControl(name: string): string {
-        return platformParts.includes(name)
-            ? this.#site.getPlatform(name as PlatformPart)
+    getControlAddress(name: string): string {
+        return platformServices.includes(name)
+            ? this.#site.getPlatformAddress(name as PlatformService)
             : this.getProcess(name).getAddress();
     }
 
@@ -81,22 +87,22 @@
         if (this.#isEntry(name)) {
             return { ...await this.#site.getStatus(name) };
         }
-        return callJson({ address: this.getControl(name), path: "/faults" });
+        return callJson({ address: this.getControlAddress(name), path: "/faults" });
     }
 
-    async setLink(from: string, to: string, faults: object): Promise<void> {
+    async setLinkFaults(from: string, to: string, faults: object): Promise<void> {
         if (from === callerName) {
-            await setFaults(this.#site.getPlatform("proxy"), { route: `${from}>${to}`, ...faults });
+            await setFaults(this.#site.getPlatformAddress("proxy"), { route: `${from}>${to}`, ...faults });
             return;
         }
         for (const { name } of this.#site.getEntries()) {
             if (name !== to && (from === everyEntry || from === name)) {
-                await this.#site.setLink(name, to, faults);
+                await this.#site.setLinkFaults(name, to, faults);
             }
         }
     }
 
-    async setVmState(name: string, state: VmChange): Promise<void> {
+    async setVmState(name: string, state: VmListState): Promise<void> {
         await this.#site.setVmState(name, state);
     }
 
@@ -104,8 +110,8 @@
         return this.#site.publish(changes, "scenario");
     }
 
-    async waitInForce(offset: number): Promise<void> {
-        await this.#site.waitInForce(offset);
+    async waitUntilApplied(offset: number): Promise<void> {
+        await this.#site.waitUntilApplied(offset);
     }
 
     #isEntry(name: string): boolean {
--- a/src/scenario/readScenario.ts
+++ b/src/scenario/readScenario.ts
@@ -3,7 +3,7 @@
  */
 import { err, ok, type Result } from "neverthrow";
 import { Failure } from "../common/index.js";
-import type { Step, StepShape } from "./step.js";
+import type { Step, StepSyntax } from "./step.js";
 
 const commentPattern = /(^|\s)#.*$/;
 const optionPattern = /^([A-Za-z][\w.@-]*)=(.*)$/;
@@ -11,12 +11,12 @@
 /**
  * Reads a scenario and checks the form of every line.
  * @param text - The scenario.
- * @param shapes - The verbs and the form of their lines.
+ * @param syntaxes - The verbs and the form of their lines.
  * @returns The steps, or a failure that names the first wrong line.
  */
 export function readScenario(
     text: string,
-    shapes: ReadonlyMap<string, StepShape>,
+    syntaxes: ReadonlyMap<string, StepSyntax>,
 ): Result<readonly Step[], Failure> {
     const steps: Step[] = [];
     for (const [index, line] of text.split("\n").entries()) {
@@ -24,9 +24,9 @@
         if (step === undefined) {
             continue;
         }
-        const mistake = findMistake(step, shapes);
-        if (mistake !== undefined) {
-            return err(mistake);
+        const failure = findSyntaxError(step, syntaxes);
+        if (failure !== undefined) {
+            return err(failure);
         }
         steps.push(step);
     }
@@ -65,23 +65,23 @@
     return { line, text, verb, words, options };
 }
 
-function findMistake(step: Step, shapes: ReadonlyMap<string, StepShape>): Failure | undefined {
-    const shape = shapes.get(step.verb);
-    if (shape === undefined) {
-        const verbs = [...shapes.keys()].join(", ");
+function findSyntaxError(step: Step, syntaxes: ReadonlyMap<string, StepSyntax>): Failure | undefined {
+    const syntax = syntaxes.get(step.verb);
+    if (syntax === undefined) {
+        const verbs = [...syntaxes.keys()].join(", ");
         return createStepFailure(step, `There is no verb "${step.verb}".`, `Begin the line with one of ${verbs}.`);
     }
-    const remedy = `Write: ${shape.usage}`;
+    const remedy = `Write: ${syntax.usage}`;
     const count = step.words.length;
-    if (count < shape.minimumWords || count > shape.maximumWords) {
+    if (count < syntax.minWords || count > syntax.maxWords) {
         return createStepFailure(step, `${count} words after the verb are too few or too many.`, remedy);
     }
     for (const key of step.options.keys()) {
-        if (shape.options !== "any" && !shape.options.includes(key)) {
+        if (syntax.options !== "any" && !syntax.options.includes(key)) {
             return createStepFailure(step, `The option "${key}" is unknown here.`, remedy);
         }
     }
-    for (const key of shape.required ?? []) {
+    for (const key of syntax.required ?? []) {
         if (!step.options.has(key)) {
             return createStepFailure(step, `The option "${key}" is missing.`, remedy);
         }
--- a/src/scenario/reply.ts
+++ b/src/scenario/reply.ts
@@ -15,7 +15,7 @@
     /** What the refusal says of whether it ran. */
     readonly outcome: string | undefined;
     /** Whether the answer came to its end. */
-    readonly whole: boolean;
+    readonly isComplete: boolean;
 }
 
 interface Body {
@@ -30,39 +30,39 @@
 /** Sends a request and waits for its end, whatever that is. */
 export async function sendRequest(options: Call): Promise<SentReply> {
     try {
-        const { status, headers, text, broken } = await call({ ...options, keepsPart: true });
+        const { status, headers, text, isTruncated } = await call({ ...options, allowsPartialBody: true });
         const isStream = String(headers["content-type"]).startsWith("text/event-stream");
         const content = isStream ? readStream(text) : readBody(status, text);
-        return { status, headers, text, ...content, whole: content.whole && !broken };
+        return { status, headers, text, ...content, isComplete: content.isComplete && !isTruncated };
     }
     catch (error) {
-        return { status: 0, headers: {}, text: String(error), answer: "", outcome: undefined, whole: false };
+        return { status: 0, headers: {}, text: String(error), answer: "", outcome: undefined, isComplete: false };
     }
 }
 
-function readStream(text: string): Pick<SentReply, "answer" | "outcome" | "whole"> {
+function readStream(text: string): Pick<SentReply, "answer" | "isComplete" | "outcome"> {
     let answer = "";
-    let whole = false;
+    let isComplete = false;
     const parser = createParser({
         onEvent: ({ data }) => {
             if (data === "[DONE]") {
-                whole = true;
+                isComplete = true;
                 return;
             }
             answer += (JSON.parse(data) as Chunk).choices?.[0]?.delta?.content ?? "";
         },
     });
     parser.feed(text);
-    return { answer, outcome: undefined, whole };
+    return { answer, outcome: undefined, isComplete };
 }
 
-function readBody(status: number, text: string): Pick<SentReply, "answer" | "outcome" | "whole"> {
+function readBody(status: number, text: string): Pick<SentReply, "answer" | "isComplete" | "outcome"> {
     let body: Body;
     try {
         body = JSON.parse(text) as Body;
     }
     catch {
-        return { answer: text, outcome: undefined, whole: status < 400 };
+        return { answer: text, outcome: undefined, isComplete: status < 400 };
     }
-    return { answer: body.choices?.[0]?.message?.content ?? text, outcome: body.outcome, whole: status < 400 };
+    return { answer: body.choices?.[0]?.message?.content ?? text, outcome: body.outcome, isComplete: status < 400 };
 }
--- a/src/scenario/standinSite.ts
+++ b/src/scenario/standinSite.ts
@@ -5,20 +5,20 @@
 import { AddressBlock, callJson, type ProcessGroup, type RunningProcess, setFaults } from "../testbench/index.js";
 import { callerName, type ScenarioSite } from "./scenarioSite.js";
 
-interface Member {
+interface StartedStandin {
     readonly kind: string;
     readonly listen: string;
     readonly settings: Readonly<Record<string, string>>;
     readonly process: RunningProcess;
     /** Where the caller reaches it. */
-    readonly route: string;
+    readonly routeAddress: string;
 }
 
 /** Starts stand-ins as a scenario names them. Configuration is published on the stand-in named `log`. */
 export class StandinSite implements ScenarioSite {
     readonly #group: ProcessGroup;
     readonly #addresses: AddressBlock;
-    readonly #members = new Map<string, Member>();
+    readonly #standins = new Map<string, StartedStandin>();
     #proxy: RunningProcess | undefined;
 
     /**
@@ -33,29 +33,29 @@
     async start(kind: string, name: string, settings: Readonly<Record<string, string>>): Promise<void> {
         const listen = this.#addresses.next();
         const started = await this.#group.startStandin(kind, listen, settings);
-        const route = await this.#addRoute(name, listen);
-        this.#members.set(name, { kind, listen, settings, process: started, route });
+        const routeAddress = await this.#addRoute(name, listen);
+        this.#standins.set(name, { kind, listen, settings, process: started, routeAddress });
     }
 
-    async startAgain(name: string): Promise<void> {
-        const member = this.#getMember(name);
-        if (!member.process.hasExited()) {
+    async restart(name: string): Promise<void> {
+        const standin = this.#getStandin(name);
+        if (!standin.process.hasExited()) {
             throw new Error(`${name} still runs. Stop or kill it first.`);
         }
-        const started = await this.#group.startStandin(member.kind, member.listen, member.settings);
-        this.#members.set(name, { ...member, process: started });
+        const started = await this.#group.startStandin(standin.kind, standin.listen, standin.settings);
+        this.#standins.set(name, { ...standin, process: started });
     }
 
     getProcess(name: string): RunningProcess {
-        return this.#getMember(name).process;
+        return this.#getStandin(name).process;
     }
 
     getAddress(name: string): string {
-        return this.#getMember(name).route;
+        return this.#getStandin(name).routeAddress;
     }
 
-    getControl(name: string): string {
-        return this.#getMember(name).listen;
+    getControlAddress(name: string): string {
+        return this.#getStandin(name).listen;
     }
 
     getApiKey(workspace: string): string {
@@ -63,11 +63,11 @@
     }
 
     getStatus(name: string): Promise<Readonly<Record<string, unknown>>> {
-        return callJson({ address: this.getControl(name), path: "/faults" });
+        return callJson({ address: this.getControlAddress(name), path: "/faults" });
     }
 
-    async setLink(from: string, to: string, faults: object): Promise<void> {
-        this.#getMember(to);
+    async setLinkFaults(from: string, to: string, faults: object): Promise<void> {
+        this.#getStandin(to);
         if (from !== callerName) {
             throw new Error(`Here only the caller has links. Write ${callerName}>${to}.`);
         }
@@ -80,7 +80,7 @@
     }
 
     async publish(changes: readonly Change[]): Promise<number> {
-        const address = this.getControl("log");
+        const address = this.getControlAddress("log");
         const { next } = await callJson<{ readonly next: number; }>({ address, path: "/streams/config?from=latest" });
         const body = createPublishRecord({ author: "scenario", reason: "test", basedOn: next, changes }, "scenario");
         const { offset } = await callJson<{ readonly offset: number; }>({
@@ -93,7 +93,7 @@
     }
 
     /** Returns at once: stand-ins follow no configuration. */
-    async waitInForce(): Promise<void> {}
+    async waitUntilApplied(): Promise<void> {}
 
     async #addRoute(name: string, target: string): Promise<string> {
         this.#proxy ??= await this.#group.startStandin("proxy", this.#addresses.next());
@@ -106,12 +106,12 @@
         return listen;
     }
 
-    #getMember(name: string): Member {
-        const member = this.#members.get(name);
-        if (member === undefined) {
-            const names = [...this.#members.keys()].join(", ");
+    #getStandin(name: string): StartedStandin {
+        const standin = this.#standins.get(name);
+        if (standin === undefined) {
+            const names = [...this.#standins.keys()].join(", ");
             throw new Error(`There is no process "${name}"; started are: ${names}.`);
         }
-        return member;
+        return standin;
     }
 }
--- a/src/scenario/step.ts
+++ b/src/scenario/step.ts
@@ -15,11 +15,11 @@
 }
 
 /** What a line of a verb looks like. */
-export interface StepShape {
+export interface StepSyntax {
     /** The line with its parts in capitals, as an error shows it. */
     readonly usage: string;
-    readonly minimumWords: number;
-    readonly maximumWords: number;
+    readonly minWords: number;
+    readonly maxWords: number;
     /** Keys that may be given; `any` leaves them to the step. */
     readonly options: readonly string[] | "any";
     /** Keys that must be given. */
--- a/src/scenario/subjectSteps.ts
+++ b/src/scenario/subjectSteps.ts
@@ -8,13 +8,13 @@
 import { type Subject, subjects } from "./subjects.js";
 
 const withinKey = "within";
-const defaultBoundMilliseconds = 20_000;
+const defaultTimeoutMilliseconds = 20_000;
 
 /** Looks once and throws when an option does not hold. */
 export async function checkSubject(state: ScenarioState, step: Step): Promise<void> {
-    const wrong = await getSubject(step)(state, step.words[1] ?? "", step.options);
-    if (wrong !== undefined) {
-        throw createStepFailure(step, wrong, "Look at the processes' events, or wait with wait-until first.");
+    const mismatch = await getSubject(step)(state, step.words[1] ?? "", step.options);
+    if (mismatch !== undefined) {
+        throw createStepFailure(step, mismatch, "Look at the processes' events, or wait with wait-until first.");
     }
 }
 
@@ -23,18 +23,18 @@
     const subject = getSubject(step);
     const options = new Map(step.options);
     options.delete(withinKey);
-    let wrong: string | undefined;
-    const look = async (): Promise<boolean> => {
-        wrong = await subject(state, step.words[1] ?? "", options).catch((error: unknown) => String(error));
-        return wrong === undefined;
+    let mismatch: string | undefined;
+    const check = async (): Promise<boolean> => {
+        mismatch = await subject(state, step.words[1] ?? "", options).catch((error: unknown) => String(error));
+        return mismatch === undefined;
     };
-    const boundMilliseconds = Number(step.options.get(withinKey) ?? defaultBoundMilliseconds);
+    const timeoutMilliseconds = Number(step.options.get(withinKey) ?? defaultTimeoutMilliseconds);
     try {
-        await waitUntil(look, { what: step.text, boundMilliseconds });
+        await waitUntil(check, { description: step.text, timeoutMilliseconds });
     }
     catch {
         const remedy = "Look at the processes' events, or allow more with within=MILLISECONDS.";
-        throw createStepFailure(step, `${boundMilliseconds} ms were over. ${wrong ?? ""}`, remedy);
+        throw createStepFailure(step, `${timeoutMilliseconds} ms were over. ${mismatch ?? ""}`, remedy);
     }
 }
 
--- a/src/scenario/subjects.ts
+++ b/src/scenario/subjects.ts
@@ -35,27 +35,27 @@
     if (reply === undefined) {
         return `No request "${name}" was sent.`;
     }
-    const facts = getReplyFacts(name, reply);
-    for (const [key, wanted] of options) {
-        const found = facts[key] ?? "absent";
-        if (!wanted.split("|").includes(found)) {
-            return `${key} is ${found}, not ${wanted}; the reply was ${reply.status} ${reply.text.slice(0, 300)}`;
+    const fields = getReplyFields(name, reply);
+    for (const [key, expected] of options) {
+        const actual = fields[key] ?? "absent";
+        if (!expected.split("|").includes(actual)) {
+            return `${key} is ${actual}, not ${expected}; the reply was ${reply.status} ${reply.text.slice(0, 300)}`;
         }
     }
     return undefined;
 }
 
-function getReplyFacts(name: string, reply: SentReply): Readonly<Record<string, string | undefined>> {
-    const named = readAnswerHead(reply.answer);
-    const isCut = named !== undefined && getAnswerQuality(reply.answer) === undefined;
+function getReplyFields(name: string, reply: SentReply): Readonly<Record<string, string | undefined>> {
+    const answerHead = readAnswerHead(reply.answer);
+    const isTruncated = answerHead !== undefined && getAnswerQuality(reply.answer) === undefined;
     const request = String(reply.headers["x-request-id"] ?? name);
-    const version = reply.headers["x-rattanlock-version"] ?? reply.headers["x-model-version"] ?? named?.version;
+    const version = reply.headers["x-rattanlock-version"] ?? reply.headers["x-model-version"] ?? answerHead?.version;
     return {
         status: String(reply.status),
         outcome: reply.outcome,
         version: version?.toString(),
-        answer: reply.answer === "" ? "none" : reply.whole && !isCut ? "whole" : "part",
-        own: named?.request.startsWith(request) === true && named.version === version ? "yes" : "no",
+        answer: reply.answer === "" ? "none" : reply.isComplete && !isTruncated ? "whole" : "part",
+        own: answerHead?.request.startsWith(request) === true && answerHead.version === version ? "yes" : "no",
     };
 }
 
@@ -72,7 +72,7 @@
 ): Promise<string | undefined> {
     const notes: Readonly<Record<string, unknown>>[] = [];
     for (const member of name.split(",")) {
-        notes.push(...await getJournal<Readonly<Record<string, unknown>>>(state.site.getControl(member)));
+        notes.push(...await getJournal<Readonly<Record<string, unknown>>>(state.site.getControlAddress(member)));
     }
     return checkCount(notes, options);
 }
@@ -90,13 +90,13 @@
     name: string,
     options: ReadonlyMap<string, string>,
 ): Promise<string | undefined> {
-    const ended = state.site.getProcess(name);
-    if (!ended.hasExited()) {
+    const exitedProcess = state.site.getProcess(name);
+    if (!exitedProcess.hasExited()) {
         return `${name} still runs.`;
     }
-    const code = String(ended.getExitCode() ?? "signal");
-    const wanted = options.get("code") ?? code;
-    return code === wanted ? undefined : `${name} ended with ${code}, not ${wanted}.`;
+    const code = String(exitedProcess.getExitCode() ?? "signal");
+    const expected = options.get("code") ?? code;
+    return code === expected ? undefined : `${name} ended with ${code}, not ${expected}.`;
 }
 
 async function checkStatus(
@@ -105,10 +105,10 @@
     options: ReadonlyMap<string, string>,
 ): Promise<string | undefined> {
     const status = await state.site.getStatus(name);
-    for (const [key, wanted] of options) {
-        const found = String(getField(status, key));
-        if (found !== wanted) {
-            return `${key} of ${name} is ${found}, not ${wanted}.`;
+    for (const [key, expected] of options) {
+        const actual = String(getField(status, key));
+        if (actual !== expected) {
+            return `${key} of ${name} is ${actual}, not ${expected}.`;
         }
     }
     return undefined;
@@ -124,7 +124,7 @@
 }
 
 async function checkInForce(state: ScenarioState): Promise<string | undefined> {
-    await state.site.waitInForce(state.lastOffset);
+    await state.site.waitUntilApplied(state.lastOffset);
     return undefined;
 }
 
@@ -133,14 +133,14 @@
     notes: readonly Readonly<Record<string, unknown>>[],
     options: ReadonlyMap<string, string>,
 ): string | undefined {
-    const wanted = [...options].filter(([key]) => !countKeys.includes(key));
-    const matching = notes.filter(note => wanted.every(([key, value]) => String(note[key]) === value));
+    const criteria = [...options].filter(([key]) => !countKeys.includes(key));
+    const matching = notes.filter(note => criteria.every(([key, value]) => String(note[key]) === value));
     const { length: count } = matching;
     const exact = options.get("count");
-    const least = Number(exact ?? options.get("at-least") ?? (options.has("at-most") ? 0 : 1));
-    const most = Number(exact ?? options.get("at-most") ?? Number.MAX_SAFE_INTEGER);
-    if (count >= least && count <= most) {
+    const min = Number(exact ?? options.get("at-least") ?? (options.has("at-most") ? 0 : 1));
+    const max = Number(exact ?? options.get("at-most") ?? Number.MAX_SAFE_INTEGER);
+    if (count >= min && count <= max) {
         return undefined;
     }
-    return `${count} of ${notes.length} notes match, not ${exact ?? `${least} to ${most}`}.`;
+    return `${count} of ${notes.length} notes match, not ${exact ?? `${min} to ${max}`}.`;
 }
--- a/src/scenario/verbs.ts
+++ b/src/scenario/verbs.ts
@@ -5,17 +5,17 @@
 import { createCall } from "./createCall.js";
 import { createStepFailure } from "./readScenario.js";
 import { sendRequest } from "./reply.js";
-import { callerName, type VmChange } from "./scenarioSite.js";
+import { callerName, type VmListState } from "./scenarioSite.js";
 import type { ScenarioState } from "./scenarioState.js";
-import type { Step, StepShape } from "./step.js";
+import type { Step, StepSyntax } from "./step.js";
 import { checkSubject, waitForSubject } from "./subjectSteps.js";
 
 /** A verb: the form of its line, and what it does. Throws when it fails. */
-export interface Verb extends StepShape {
+export interface Verb extends StepSyntax {
     readonly run: (state: ScenarioState, step: Step) => Promise<void>;
 }
 
-const vmChanges: readonly VmChange[] = ["live", "leaving", "gone"];
+const vmListStates: readonly VmListState[] = ["live", "leaving", "gone"];
 const sendOptions = [
     "to",
     "model",
@@ -34,48 +34,48 @@
 
 /** All verbs by name. */
 export const verbs: ReadonlyMap<string, Verb> = new Map<string, Verb>([
-    ["set", { usage: "set NAME VALUE", minimumWords: 2, maximumWords: 2, options: [], run: setVariable }],
+    ["set", { usage: "set NAME VALUE", minWords: 2, maxWords: 2, options: [], run: setVariable }],
     ["start", {
         usage: "start KIND NAME [KEY=VALUE ...], or start NAME for one that ended",
-        minimumWords: 1,
-        maximumWords: 2,
+        minWords: 1,
+        maxWords: 2,
         options: "any",
         run: start,
     }],
     ["send", {
         usage: "send NAME to=PROCESS model=VERSION [content= tokens= stream=yes class= workspace= session=], "
             + "or send NAME to=PROCESS path=/PATH [method= body= key= workspace=]; within=MILLISECONDS bounds it",
-        minimumWords: 1,
-        maximumWords: 1,
+        minWords: 1,
+        maxWords: 1,
         options: sendOptions,
         required: ["to"],
         run: send,
     }],
     ["expect", {
         usage: "expect SUBJECT NAME [KEY=VALUE ...] with SUBJECT reply, journal, event, exit or status",
-        minimumWords: 1,
-        maximumWords: 2,
+        minWords: 1,
+        maxWords: 2,
         options: "any",
         run: checkSubject,
     }],
     ["wait-until", {
         usage: "wait-until SUBJECT NAME [KEY=VALUE ...] [within=MILLISECONDS], or wait-until in-force",
-        minimumWords: 1,
-        maximumWords: 2,
+        minWords: 1,
+        maxWords: 2,
         options: "any",
         run: waitForSubject,
     }],
     ["cut", {
         usage: "cut FROM>TO, or cut NAME for the link from the caller; after=BYTES breaks each answer there instead",
-        minimumWords: 1,
-        maximumWords: 1,
+        minWords: 1,
+        maxWords: 1,
         options: ["after"],
         run: cut,
     }],
     ["delay", {
         usage: "delay FROM>TO milliseconds=N, or delay NAME milliseconds=N for the link from the caller",
-        minimumWords: 1,
-        maximumWords: 1,
+        minWords: 1,
+        maxWords: 1,
         options: ["milliseconds"],
         required: ["milliseconds"],
         run: delay,
@@ -87,29 +87,29 @@
     ["outage", createProcessVerb("outage", (state, name) => setOutage(state, name, "answer"))],
     ["restore", {
         usage: "restore NAME to end an outage, or restore FROM>TO to mend a link",
-        minimumWords: 1,
-        maximumWords: 1,
+        minWords: 1,
+        maxWords: 1,
         options: [],
         run: restore,
     }],
     ["fault", {
         usage: "fault NAME KEY=VALUE ... with the keys of the stand-in's /faults",
-        minimumWords: 1,
-        maximumWords: 1,
+        minWords: 1,
+        maxWords: 1,
         options: "any",
-        run: (state, step) => setFaults(state.site.getControl(step.words[0]), Object.fromEntries(step.options)),
+        run: (state, step) => setFaults(state.site.getControlAddress(step.words[0]), Object.fromEntries(step.options)),
     }],
     ["vm", {
         usage: "vm NAME STATE with STATE live, leaving or gone",
-        minimumWords: 2,
-        maximumWords: 2,
+        minWords: 2,
+        maxWords: 2,
         options: [],
         run: setVmState,
     }],
     ["publish", {
         usage: "publish SECTION KEY=VALUE ..., such as publish version.plan@2 status=withdrawn",
-        minimumWords: 1,
-        maximumWords: 1,
+        minWords: 1,
+        maxWords: 1,
         options: "any",
         run: publish,
     }],
@@ -122,7 +122,7 @@
 async function start(state: ScenarioState, step: Step): Promise<void> {
     const [first, name] = step.words;
     if (name === undefined) {
-        await state.site.startAgain(first);
+        await state.site.restart(first);
         return;
     }
     await state.site.start(first, name, Object.fromEntries(step.options));
@@ -134,12 +134,16 @@
 }
 
 async function setVmState(state: ScenarioState, step: Step): Promise<void> {
-    const [name, wanted] = step.words;
-    const change = vmChanges.find(known => known === wanted);
-    if (change === undefined) {
-        throw createStepFailure(step, `"${wanted}" is no state of a VM.`, `Write one of ${vmChanges.join(", ")}.`);
+    const [name, requested] = step.words;
+    const vmListState = vmListStates.find(known => known === requested);
+    if (vmListState === undefined) {
+        throw createStepFailure(
+            step,
+            `"${requested}" is no state of a VM.`,
+            `Write one of ${vmListStates.join(", ")}.`,
+        );
     }
-    await state.site.setVmState(name, change);
+    await state.site.setVmState(name, vmListState);
 }
 
 async function publish(state: ScenarioState, step: Step): Promise<void> {
@@ -152,39 +156,39 @@
     const [name] = step.words;
     if (name.includes(">")) {
         const faults = { cut: false, delayMilliseconds: 0, freeze: false, halfOpen: false, oneWay: "none" };
-        await setLink(state, name, { ...faults, cutAfterBytes: 0 });
+        await setLinkFaults(state, name, { ...faults, cutAfterBytes: 0 });
         return;
     }
     await setOutage(state, name, "none");
 }
 
 function setOutage(state: ScenarioState, name: string, outage: "answer" | "none"): Promise<void> {
-    return setFaults(state.site.getControl(name), { outage });
+    return setFaults(state.site.getControlAddress(name), { outage });
 }
 
-function setLink(state: ScenarioState, name: string, faults: object): Promise<void> {
+function setLinkFaults(state: ScenarioState, name: string, faults: object): Promise<void> {
     const [from, to] = name.includes(">") ? name.split(">") : [callerName, name];
-    return state.site.setLink(from, to, faults);
+    return state.site.setLinkFaults(from, to, faults);
 }
 
 function cut(state: ScenarioState, step: Step): Promise<void> {
     const after = step.options.get("after");
-    return setLink(state, step.words[0], after === undefined ? { cut: true } : { cutAfterBytes: after });
+    return setLinkFaults(state, step.words[0], after === undefined ? { cut: true } : { cutAfterBytes: after });
 }
 
 function delay(state: ScenarioState, step: Step): Promise<void> {
-    return setLink(state, step.words[0], { delayMilliseconds: step.options.get("milliseconds") });
+    return setLinkFaults(state, step.words[0], { delayMilliseconds: step.options.get("milliseconds") });
 }
 
 function createProcessVerb(
     verb: string,
-    act: (state: ScenarioState, name: string) => void | Promise<void>,
+    action: (state: ScenarioState, name: string) => void | Promise<void>,
 ): Verb {
     return {
         usage: `${verb} NAME`,
-        minimumWords: 1,
-        maximumWords: 1,
+        minWords: 1,
+        maxWords: 1,
         options: [],
-        run: async (state, step) => act(state, step.words[0]),
+        run: async (state, step) => action(state, step.words[0]),
     };
 }
--- a/src/soak/configurationWatch.ts
+++ b/src/soak/configurationWatch.ts
@@ -6,7 +6,7 @@
 
 const pollMilliseconds = 150;
 
-interface Sight {
+interface Observation {
     readonly processId: number;
     readonly offset: number;
 }
@@ -14,10 +14,10 @@
 /** Polls all entries until it is stopped. */
 export class ConfigurationWatch {
     readonly #site: Site;
-    readonly #last = new Map<string, Sight>();
-    readonly #faults: string[] = [];
+    readonly #lastObservations = new Map<string, Observation>();
+    readonly #violations: string[] = [];
     /** What every entry had in force at some time. */
-    #inForce = -1;
+    #commonOffset = -1;
     #isStopped = false;
     #loop: Promise<void> = Promise.resolve();
 
@@ -37,36 +37,36 @@
     }
 
     /** Returns what went back. */
-    getFaults(): readonly string[] {
-        return this.#faults;
+    getViolations(): readonly string[] {
+        return this.#violations;
     }
 
     async #run(): Promise<void> {
         while (!this.#isStopped) {
-            const before = this.#inForce;
-            const offsets = await Promise.all(this.#site.getEntries().map(entry => this.#look(entry.name, before)));
+            const before = this.#commonOffset;
+            const offsets = await Promise.all(this.#site.getEntries().map(entry => this.#check(entry.name, before)));
             if (offsets.every(offset => offset !== undefined)) {
-                this.#inForce = Math.max(this.#inForce, Math.min(...offsets));
+                this.#commonOffset = Math.max(this.#commonOffset, Math.min(...offsets));
             }
             await sleep(pollMilliseconds);
         }
     }
 
-    async #look(name: string, inForce: number): Promise<number | undefined> {
+    async #check(name: string, commonOffset: number): Promise<number | undefined> {
         const processId = this.#site.getEntryOrThrow(name).process.getId();
         const status = await this.#readStatus(name);
         if (status === undefined || processId !== this.#site.getEntryOrThrow(name).process.getId()) {
             return undefined;
         }
         const { configurationOffset: offset, ready } = status;
-        const last = this.#last.get(name);
+        const last = this.#lastObservations.get(name);
         if (last?.processId === processId && offset < last.offset) {
-            this.#faults.push(`The configuration of ${name} went back from ${last.offset} to ${offset}.`);
+            this.#violations.push(`The configuration of ${name} went back from ${last.offset} to ${offset}.`);
         }
-        if (ready && offset < inForce) {
-            this.#faults.push(`${name} serves by ${offset} although ${inForce} was in force everywhere.`);
+        if (ready && offset < commonOffset) {
+            this.#violations.push(`${name} serves by ${offset} although ${commonOffset} was in force everywhere.`);
         }
-        this.#last.set(name, { processId, offset });
+        this.#lastObservations.set(name, { processId, offset });
         return ready ? offset : undefined;
     }
 
--- a/src/soak/faultInjector.ts
+++ b/src/soak/faultInjector.ts
@@ -4,38 +4,38 @@
 import { setTimeout as sleep } from "node:timers/promises";
 import { RandomSource } from "../common/index.js";
 import { setFaults, type Site, waitUntil } from "../testbench/index.js";
-import { drawProcessFault, drawWorldFault, type FaultTargets, type SoakFault } from "./soakFault.js";
+import { drawEnvironmentFault, drawProcessFault, type FaultTargets, type SoakFault } from "./soakFault.js";
 
 const lostAcknowledgements = 5;
 const slowMilliseconds = 300;
-const longestPauseMilliseconds = 1500;
+const maxPauseMilliseconds = 1500;
 const pollMilliseconds = 50;
 
 /** A time during which a version was withdrawn in the configuration of every entry, in wall-clock milliseconds. */
-export interface WithdrawnSpan {
+export interface WithdrawalPeriod {
     readonly version: string;
     readonly from: number;
     readonly to: number;
 }
 
 /** Something that the soak did, for the time line. */
-export interface SoakNote {
+export interface SoakEvent {
     readonly time: number;
     readonly text: string;
 }
 
-type Mend = () => Promise<void>;
+type Repair = () => Promise<void>;
 
 /** Injects faults in two lanes: one for processes, one for everything around them, so that two come together. */
 export class FaultInjector {
     readonly #site: Site;
     readonly #targets: FaultTargets;
     readonly #seed: number;
-    readonly #notes: SoakNote[] = [];
-    readonly #withdrawn: WithdrawnSpan[] = [];
+    readonly #events: SoakEvent[] = [];
+    readonly #withdrawals: WithdrawalPeriod[] = [];
     #isStopped = false;
-    #lanes: Promise<unknown> = Promise.resolve();
-    #changes = 0;
+    #faultLoops: Promise<unknown> = Promise.resolve();
+    #raceCount = 0;
 
     constructor(site: Site, seed: number) {
         this.#site = site;
@@ -48,79 +48,83 @@
 
     /** Begins. */
     start(): void {
-        this.#lanes = Promise.all([
-            this.#runLane(new RandomSource(this.#seed), drawProcessFault),
-            this.#runLane(new RandomSource(this.#seed + 1_000_003), drawWorldFault),
+        this.#faultLoops = Promise.all([
+            this.#runFaultLoop(new RandomSource(this.#seed), drawProcessFault),
+            this.#runFaultLoop(new RandomSource(this.#seed + 1_000_003), drawEnvironmentFault),
         ]);
     }
 
     /** Mends what is broken and ends. */
     async stop(): Promise<void> {
         this.#isStopped = true;
-        await this.#lanes;
+        await this.#faultLoops;
     }
 
     /** Returns what was done. */
-    getNotes(): readonly SoakNote[] {
-        return this.#notes;
+    getEvents(): readonly SoakEvent[] {
+        return this.#events;
     }
 
     /** Returns when versions were withdrawn everywhere. */
-    getWithdrawn(): readonly WithdrawnSpan[] {
-        return this.#withdrawn;
+    getWithdrawals(): readonly WithdrawalPeriod[] {
+        return this.#withdrawals;
     }
 
-    async #runLane(
+    async #runFaultLoop(
         random: RandomSource,
         draw: (random: RandomSource, targets: FaultTargets) => SoakFault,
     ): Promise<void> {
         while (!this.#isStopped) {
             const fault = draw(random, this.#targets);
-            this.#note(`${fault.kind} ${fault.target} for ${fault.holdMilliseconds} ms`);
-            const mend = await this.#apply(fault);
-            await this.#wait(fault.holdMilliseconds);
-            await mend();
-            this.#note(`${fault.kind} ${fault.target} mended`);
-            await this.#wait(random.nextInteger(longestPauseMilliseconds));
+            this.#addEvent(`${fault.kind} ${fault.target} for ${fault.durationMilliseconds} ms`);
+            const repair = await this.#apply(fault);
+            await this.#wait(fault.durationMilliseconds);
+            await repair();
+            this.#addEvent(`${fault.kind} ${fault.target} mended`);
+            await this.#wait(random.nextInteger(maxPauseMilliseconds));
         }
     }
 
-    #apply(fault: SoakFault): Promise<Mend> {
+    #apply(fault: SoakFault): Promise<Repair> {
         switch (fault.kind) {
             case "kill":
-                return this.#replace(fault.target, () => this.#site.getEntryOrThrow(fault.target).process.kill());
+                return this.#restartAfter(fault.target, () => this.#site.getEntryOrThrow(fault.target).process.kill());
             case "stop":
-                return this.#replace(fault.target, () => this.#stopEntry(fault.target));
+                return this.#restartAfter(fault.target, () => this.#stopEntry(fault.target));
             case "freeze":
                 return this.#freeze(this.#site.getEntryOrThrow(fault.target).process);
             case "freeze-upstream":
                 return this.#freeze(this.#site.getUpstreamOrThrow(fault.target));
             case "cut":
-                return this.#link(fault.target, { cut: true }, { cut: false });
+                return this.#setLinkFaults(fault.target, { cut: true }, { cut: false });
             case "cut-to":
-                return this.#link(fault.target, { oneWay: "to-target" }, { oneWay: "none" });
+                return this.#setLinkFaults(fault.target, { oneWay: "to-target" }, { oneWay: "none" });
             case "cut-from":
-                return this.#link(fault.target, { oneWay: "from-target" }, { oneWay: "none" });
+                return this.#setLinkFaults(fault.target, { oneWay: "from-target" }, { oneWay: "none" });
             case "slow-link":
-                return this.#link(fault.target, { delayMilliseconds: slowMilliseconds }, { delayMilliseconds: 0 });
+                return this.#setLinkFaults(fault.target, { delayMilliseconds: slowMilliseconds }, {
+                    delayMilliseconds: 0,
+                });
             case "log-outage":
-                return this.#platform("log", { outage: "drop" }, { outage: "none" });
+                return this.#setPlatformFaults("log", { outage: "drop" }, { outage: "none" });
             case "log-slow":
-                return this.#platform("log", { delayMilliseconds: slowMilliseconds }, { delayMilliseconds: 0 });
+                return this.#setPlatformFaults("log", { delayMilliseconds: slowMilliseconds }, {
+                    delayMilliseconds: 0,
+                });
             case "lost-acknowledgements":
-                return this.#platform("log", { lostAcknowledgements }, { lostAcknowledgements: 0 });
+                return this.#setPlatformFaults("log", { lostAcknowledgements }, { lostAcknowledgements: 0 });
             case "rating-outage":
-                return this.#platform("rating", { outage: "answer" }, { outage: "none" });
+                return this.#setPlatformFaults("rating", { outage: "answer" }, { outage: "none" });
             case "operators-race":
-                return this.#race();
+                return this.#publishConcurrently();
             case "withdraw":
-                return this.#withdraw(fault.target, fault.holdMilliseconds);
+                return this.#withdraw(fault.target, fault.durationMilliseconds);
             case "none":
                 return Promise.resolve(async () => undefined);
         }
     }
 
-    async #replace(name: string, end: () => Promise<unknown>): Promise<Mend> {
+    async #restartAfter(name: string, end: () => Promise<unknown>): Promise<Repair> {
         await end();
         return async () => {
             await this.#site.startEntry(name);
@@ -130,46 +134,50 @@
     async #stopEntry(name: string): Promise<void> {
         const code = await this.#site.getEntryOrThrow(name).process.stop();
         if (code !== 0) {
-            this.#note(`FAULT ${name} ended with code ${code} after a planned stop`);
+            this.#addEvent(`FAULT ${name} ended with code ${code} after a planned stop`);
         }
     }
 
-    async #freeze(process: { freeze(): void; wake(): void; }): Promise<Mend> {
+    async #freeze(process: { freeze(): void; wake(): void; }): Promise<Repair> {
         process.freeze();
         return async () => process.wake();
     }
 
-    async #link(link: string, faults: object, mended: object): Promise<Mend> {
+    async #setLinkFaults(link: string, faults: object, restored: object): Promise<Repair> {
         const [from, to] = link.split(">");
-        await this.#site.setLink(from, to, faults);
-        return () => this.#site.setLink(from, to, mended);
+        await this.#site.setLinkFaults(from, to, faults);
+        return () => this.#site.setLinkFaults(from, to, restored);
     }
 
-    async #platform(part: "log" | "rating", faults: object, mended: object): Promise<Mend> {
-        await setFaults(this.#site.getPlatform(part), faults);
-        return () => setFaults(this.#site.getPlatform(part), mended);
+    async #setPlatformFaults(service: "log" | "rating", faults: object, restored: object): Promise<Repair> {
+        await setFaults(this.#site.getPlatformAddress(service), faults);
+        return () => setFaults(this.#site.getPlatformAddress(service), restored);
     }
 
     /** Two operators publish the same key from the same state; one of them is to be refused, the same everywhere. */
-    async #race(): Promise<Mend> {
-        this.#changes += 1;
-        const end = (await this.#site.readStream("config")).length;
+    async #publishConcurrently(): Promise<Repair> {
+        this.#raceCount += 1;
+        const endOffset = (await this.#site.readStream("config")).length;
         const publish = (author: string, share: number) =>
-            this.#site.publish([{ section: "workspace.banquet", key: "share", value: String(share) }], author, end);
-        await settle([publish("ana", 2 + this.#changes % 5), publish("ben", 8 + this.#changes % 5)]);
+            this.#site.publish(
+                [{ section: "workspace.banquet", key: "share", value: String(share) }],
+                author,
+                endOffset,
+            );
+        await allSettledValues([publish("ana", 2 + this.#raceCount % 5), publish("ben", 8 + this.#raceCount % 5)]);
         return async () => undefined;
     }
 
-    async #withdraw(version: string, holdMilliseconds: number): Promise<Mend> {
+    async #withdraw(version: string, durationMilliseconds: number): Promise<Repair> {
         const offset = await this.#setStatus(version, "withdrawn");
-        const from = offset === undefined ? undefined : await this.#waitInForce(offset, holdMilliseconds);
+        const from = offset === undefined ? undefined : await this.#waitUntilApplied(offset, durationMilliseconds);
         return async () => {
             const to = Date.now();
             if (from !== undefined) {
-                this.#withdrawn.push({ version, from, to });
+                this.#withdrawals.push({ version, from, to });
             }
             await waitUntil(async () => await this.#setStatus(version, "serving") !== undefined, {
-                what: `${version} to serve again`,
+                description: `${version} to serve again`,
             });
         };
     }
@@ -185,10 +193,10 @@
     }
 
     /** Returns when every entry had a change in force, or undefined if some had not in time. */
-    async #waitInForce(offset: number, boundMilliseconds: number): Promise<number | undefined> {
-        const end = performance.now() + boundMilliseconds;
-        while (performance.now() < end && !this.#isStopped) {
-            const [states] = await settle([
+    async #waitUntilApplied(offset: number, timeoutMilliseconds: number): Promise<number | undefined> {
+        const deadline = performance.now() + timeoutMilliseconds;
+        while (performance.now() < deadline && !this.#isStopped) {
+            const [states] = await allSettledValues([
                 Promise.all(this.#targets.entries.map(name => this.#site.getStatus(name))),
             ]);
             if (states?.every(status => status.configurationOffset > offset) === true) {
@@ -206,13 +214,13 @@
         }
     }
 
-    #note(text: string): void {
-        this.#notes.push({ time: Date.now(), text });
+    #addEvent(text: string): void {
+        this.#events.push({ time: Date.now(), text });
     }
 }
 
 /** Waits for all of them, whatever becomes of them. */
-async function settle<Value>(promises: readonly Promise<Value>[]): Promise<readonly (Value | undefined)[]> {
+async function allSettledValues<Value>(promises: readonly Promise<Value>[]): Promise<readonly (Value | undefined)[]> {
     const settled = await Promise.allSettled(promises);
     return settled.map(result => result.status === "fulfilled" ? result.value : undefined);
 }
--- a/src/soak/main.ts
+++ b/src/soak/main.ts
@@ -5,7 +5,7 @@
 import { runSoak } from "./soak.js";
 
 const usage = "Usage: npm run soak -- --seed N --minutes M [--prefix 127.A.B]";
-const exitCodes = { broken: 1, badInput: 2 } as const;
+const exitCodes = { violated: 1, badInput: 2 } as const;
 const millisecondsPerMinute = 60_000;
 
 async function main(): Promise<number> {
@@ -24,14 +24,14 @@
     }
     const result = await runSoak({ seed, milliseconds: minutes * millisecondsPerMinute, prefix: values.prefix });
     console.log(
-        `Seed ${seed}: ${result.injected} faults injected, ${result.wholeAnswers} of ${result.chats} answers whole, `
-            + `${result.prints} prints, ${result.faults.length} promises broken.`,
+        `Seed ${seed}: ${result.injectedFaults} faults injected, ${result.completeAnswers} of ${result.chats} answers whole, `
+            + `${result.prints} prints, ${result.violations.length} promises broken.`,
     );
-    if (result.faults.length === 0) {
+    if (result.violations.length === 0) {
         return 0;
     }
-    console.log([...result.faults, "Time line:", ...result.timeLine, `Seed ${seed}.`].join("\n"));
-    return exitCodes.broken;
+    console.log([...result.violations, "Time line:", ...result.timeLine, `Seed ${seed}.`].join("\n"));
+    return exitCodes.violated;
 }
 
 process.exit(await main());
--- a/src/soak/soak.ts
+++ b/src/soak/soak.ts
@@ -6,11 +6,11 @@
 import { Caller, getApiKey, metroManila, ProcessGroup, Site, Traffic } from "../testbench/index.js";
 import { ConfigurationWatch } from "./configurationWatch.js";
 import { FaultInjector } from "./faultInjector.js";
+import { checkSoak } from "./soakChecks.js";
 import { pick } from "./soakFault.js";
-import { judgeSoak } from "./soakJudge.js";
 import { formatTimeLine } from "./timeLine.js";
 
-const plannedStopFault = "FAULT ";
+const stopViolationPrefix = "FAULT ";
 
 /** What a soak is made from. */
 export interface SoakOptions {
@@ -23,12 +23,12 @@
 /** What came of a soak. */
 export interface SoakResult {
     /** What broke a promise; empty when all held. */
-    readonly faults: readonly string[];
+    readonly violations: readonly string[];
     readonly timeLine: readonly string[];
     /** How many faults were injected. */
-    readonly injected: number;
+    readonly injectedFaults: number;
     readonly chats: number;
-    readonly wholeAnswers: number;
+    readonly completeAnswers: number;
     readonly prints: number;
 }
 
@@ -46,9 +46,9 @@
             entryCount: 4,
             runners: { name: "lm-pool", count: 4, settings: { stepMilliseconds: 5 } },
             services: { name: "label-app", count: 2, settings: { workMilliseconds: 5 } },
-            hasLinks: true,
+            hasProxiedLinks: true,
         });
-        return await soak(site, group, caller, options);
+        return await soakSite(site, group, caller, options);
     }
     finally {
         await caller.close();
@@ -56,17 +56,17 @@
     }
 }
 
-async function soak(site: Site, group: ProcessGroup, caller: Caller, options: SoakOptions): Promise<SoakResult> {
+async function soakSite(site: Site, group: ProcessGroup, caller: Caller, options: SoakOptions): Promise<SoakResult> {
     const random = new RandomSource(options.seed + 7);
-    const entries = site.getEntries().map(entry => entry.callers);
+    const entries = site.getEntries().map(entry => entry.callerAddress);
     const traffic = new Traffic({
         caller,
         key: getApiKey("commissary"),
         pool: "label-app",
-        chatters: 8,
-        printers: 3,
+        chatCallers: 8,
+        printCallers: 3,
         getEntry: async () => pick(random, entries),
-        resumes: true,
+        resumesBrokenAnswers: true,
     });
     const injector = new FaultInjector(site, options.seed);
     const watch = new ConfigurationWatch(site);
@@ -78,24 +78,24 @@
     await site.waitUntilReady();
     await traffic.stop();
     await watch.stop();
-    const notes = injector.getNotes();
+    const soakEvents = injector.getEvents();
     const records = {
         chats: traffic.getChats(),
         prints: traffic.getPrints(),
-        withdrawn: injector.getWithdrawn(),
+        withdrawals: injector.getWithdrawals(),
     };
-    const faults = [
-        ...notes.filter(({ text }) => text.startsWith(plannedStopFault)).map(({ text }) => text),
-        ...watch.getFaults(),
-        ...await judgeSoak(site, records),
+    const violations = [
+        ...soakEvents.filter(({ text }) => text.startsWith(stopViolationPrefix)).map(({ text }) => text),
+        ...watch.getViolations(),
+        ...await checkSoak(site, records),
     ];
     const events = group.getAll().flatMap(member => member.getEvents());
     return {
-        faults,
-        timeLine: formatTimeLine(notes, events, faults),
-        injected: notes.filter(({ text }) => / for \d+ ms$/.test(text)).length,
+        violations,
+        timeLine: formatTimeLine(soakEvents, events, violations),
+        injectedFaults: soakEvents.filter(({ text }) => / for \d+ ms$/.test(text)).length,
         chats: records.chats.length,
-        wholeAnswers: records.chats.filter(({ record }) => record.isWhole).length,
+        completeAnswers: records.chats.filter(({ record }) => record.isComplete).length,
         prints: records.prints.length,
     };
 }
--- a/src/soak/soakJudge.ts
+++ b/src/soak/soakChecks.ts
@@ -5,20 +5,20 @@
 import { type Bill, billsKind } from "../bills/index.js";
 import {
     type EngineRun,
-    findBillingFaults,
-    findRunFaults,
-    findUnlikeBills,
+    findBillingViolations,
+    findConflictingBills,
+    findRunViolations,
     type KeyedCall,
     readEngineRuns,
     readServiceRuns,
     type Site,
     type TrafficChat,
 } from "../testbench/index.js";
-import type { WithdrawnSpan } from "./faultInjector.js";
+import type { WithdrawalPeriod } from "./faultInjector.js";
 
 /** Bills may take so long to come in after everything was mended. */
-const settleBoundMilliseconds = 20_000;
-const settlePauseMilliseconds = 200;
+const checkTimeoutMilliseconds = 20_000;
+const checkIntervalMilliseconds = 200;
 /** What was sent before a withdrawal may reach an engine this much later, through links that were slow or frozen. */
 const inFlightMilliseconds = 4500;
 
@@ -26,7 +26,7 @@
 export interface SoakRecords {
     readonly chats: readonly TrafficChat[];
     readonly prints: readonly KeyedCall[];
-    readonly withdrawn: readonly WithdrawnSpan[];
+    readonly withdrawals: readonly WithdrawalPeriod[];
 }
 
 /**
@@ -35,34 +35,34 @@
  * @param records - What happened.
  * @returns What breaks a promise.
  */
-export async function judgeSoak(site: Site, records: SoakRecords): Promise<readonly string[]> {
+export async function checkSoak(site: Site, records: SoakRecords): Promise<readonly string[]> {
     const runs = await readEngineRuns(site);
     const serviceRuns = await readServiceRuns(site);
     return [
-        ...findRunFaults(serviceRuns, records.prints),
-        ...await judgeBills(site, records),
-        ...findUnlikeBills(await readAllBills(site)),
-        ...findSessionFaults(records.chats),
-        ...findWithdrawnRuns(runs, records.withdrawn),
-        ...await findConfigurationFaults(site),
+        ...findRunViolations(serviceRuns, records.prints),
+        ...await checkBills(site, records),
+        ...findConflictingBills(await readAllBills(site)),
+        ...findSessionViolations(records.chats),
+        ...findWithdrawnRuns(runs, records.withdrawals),
+        ...await findConfigurationViolations(site),
     ];
 }
 
 /** Bills go to the log in batches and are taken over by keepers, so faults count only once they last. */
-async function judgeBills(site: Site, records: SoakRecords): Promise<readonly string[]> {
-    const end = performance.now() + settleBoundMilliseconds;
+async function checkBills(site: Site, records: SoakRecords): Promise<readonly string[]> {
+    const deadline = performance.now() + checkTimeoutMilliseconds;
     for (;;) {
-        const faults = findBillingFaults({
+        const violations = findBillingViolations({
             bills: await site.readBills(),
             engineRuns: await readEngineRuns(site),
             serviceRuns: await readServiceRuns(site),
             chats: records.chats.map(({ record }) => record),
             calls: records.prints.map(({ record }) => record),
         });
-        if (faults.length === 0 || performance.now() > end) {
-            return faults;
+        if (violations.length === 0 || performance.now() > deadline) {
+            return violations;
         }
-        await sleep(settlePauseMilliseconds);
+        await sleep(checkIntervalMilliseconds);
     }
 }
 
@@ -77,29 +77,31 @@
 }
 
 /** A session's answers must all be of one version, as the answers themselves say. */
-function findSessionFaults(chats: readonly TrafficChat[]): readonly string[] {
+function findSessionViolations(chats: readonly TrafficChat[]): readonly string[] {
     const versions = new Map<string, string>();
-    const faults: string[] = [];
+    const violations: string[] = [];
     for (const { record, session } of chats) {
         const version = / by (\S+):/.exec(record.text)?.[1];
         if (session === undefined || version === undefined) {
             continue;
         }
-        const known = versions.get(session) ?? version;
-        versions.set(session, known);
-        if (known !== version) {
-            faults.push(`The session ${session} went from ${known} to ${version} in request ${record.requestId}.`);
+        const firstVersion = versions.get(session) ?? version;
+        versions.set(session, firstVersion);
+        if (firstVersion !== version) {
+            violations.push(
+                `The session ${session} went from ${firstVersion} to ${version} in request ${record.requestId}.`,
+            );
         }
     }
-    return faults;
+    return violations;
 }
 
-function findWithdrawnRuns(runs: readonly EngineRun[], spans: readonly WithdrawnSpan[]): readonly string[] {
-    const faults: string[] = [];
-    for (const { version, from, to } of spans) {
+function findWithdrawnRuns(runs: readonly EngineRun[], periods: readonly WithdrawalPeriod[]): readonly string[] {
+    const violations: string[] = [];
+    for (const { version, from, to } of periods) {
         for (const run of runs) {
             if (run.ran === version && run.arrivedAt > from + inFlightMilliseconds && run.arrivedAt < to) {
-                faults.push(
+                violations.push(
                     `${version} got the new work ${run.id} ${
                         run.arrivedAt - from
                     } ms after it was withdrawn everywhere.`,
@@ -107,23 +109,23 @@
             }
         }
     }
-    return faults;
+    return violations;
 }
 
-async function findConfigurationFaults(site: Site): Promise<readonly string[]> {
-    const end = performance.now() + settleBoundMilliseconds;
+async function findConfigurationViolations(site: Site): Promise<readonly string[]> {
+    const deadline = performance.now() + checkTimeoutMilliseconds;
     for (;;) {
-        const seen = new Set<string>();
+        const configurations = new Set<string>();
         for (const { name } of site.getEntries()) {
             const { configurationOffset, versions } = await site.getStatus(name);
-            seen.add(JSON.stringify([configurationOffset, versions.map(({ id, status }) => [id, status])]));
+            configurations.add(JSON.stringify([configurationOffset, versions.map(({ id, status }) => [id, status])]));
         }
-        if (seen.size === 1) {
+        if (configurations.size === 1) {
             return [];
         }
-        if (performance.now() > end) {
-            return [`The entries end with unlike configurations: ${[...seen].join(" and ")}.`];
+        if (performance.now() > deadline) {
+            return [`The entries end with unlike configurations: ${[...configurations].join(" and ")}.`];
         }
-        await sleep(settlePauseMilliseconds);
+        await sleep(checkIntervalMilliseconds);
     }
 }
--- a/src/soak/soakFault.ts
+++ b/src/soak/soakFault.ts
@@ -8,11 +8,11 @@
     readonly kind: FaultKind;
     /** The process or link that it happens to. */
     readonly target: string;
-    readonly holdMilliseconds: number;
+    readonly durationMilliseconds: number;
 }
 
 const processKinds = ["kill", "stop", "freeze", "freeze-upstream", "none"] as const;
-const worldKinds = [
+const environmentKinds = [
     "cut",
     "cut-to",
     "cut-from",
@@ -26,10 +26,10 @@
 ] as const;
 
 /** Kinds of faults. */
-export type FaultKind = typeof processKinds[number] | typeof worldKinds[number];
+export type FaultKind = typeof processKinds[number] | typeof environmentKinds[number];
 
-const shortestHoldMilliseconds = 300;
-const longestHoldMilliseconds = 3500;
+const minDurationMilliseconds = 300;
+const maxDurationMilliseconds = 3500;
 /** A withdrawal has to come into force before it can be judged. */
 const withdrawalMilliseconds = 7000;
 const versions = ["label-large@3", "label-medium@2", "label-small@5"] as const;
@@ -44,18 +44,18 @@
 export function drawProcessFault(random: RandomSource, targets: FaultTargets): SoakFault {
     const kind = pick(random, processKinds);
     const target = pick(random, kind === "freeze-upstream" ? targets.upstreams : targets.entries);
-    return { kind, target, holdMilliseconds: drawHold(random) };
+    return { kind, target, durationMilliseconds: drawDuration(random) };
 }
 
 /** Draws a fault of the network or the platform, or something that operators do. */
-export function drawWorldFault(random: RandomSource, targets: FaultTargets): SoakFault {
-    const kind = pick(random, worldKinds);
-    const holdMilliseconds = kind === "withdraw" ? withdrawalMilliseconds : drawHold(random);
+export function drawEnvironmentFault(random: RandomSource, targets: FaultTargets): SoakFault {
+    const kind = pick(random, environmentKinds);
+    const durationMilliseconds = kind === "withdraw" ? withdrawalMilliseconds : drawDuration(random);
     const entry = pick(random, targets.entries);
     const others = [...targets.upstreams, ...targets.entries.filter(name => name !== entry), "log", "log", "rating"];
     const link = `${entry}>${pick(random, others)}`;
     const version = pick(random, versions);
-    return { kind, target: kind === "withdraw" ? version : link, holdMilliseconds };
+    return { kind, target: kind === "withdraw" ? version : link, durationMilliseconds };
 }
 
 /** Draws one of several values. */
@@ -63,6 +63,6 @@
     return values[random.nextInteger(values.length)];
 }
 
-function drawHold(random: RandomSource): number {
-    return shortestHoldMilliseconds + random.nextInteger(longestHoldMilliseconds - shortestHoldMilliseconds);
+function drawDuration(random: RandomSource): number {
+    return minDurationMilliseconds + random.nextInteger(maxDurationMilliseconds - minDurationMilliseconds);
 }
--- a/src/soak/timeLine.ts
+++ b/src/soak/timeLine.ts
@@ -2,26 +2,26 @@
  * The time line of a soak: what was done to the site and what its processes wrote, in order.
  */
 import type { EventLine } from "../events/index.js";
-import type { SoakNote } from "./faultInjector.js";
+import type { SoakEvent } from "./faultInjector.js";
 
 const uuidPattern = /[0-9a-f]{8}-[0-9a-f-]{27}/g;
 
 /**
  * Formats a time line. Of single requests it shows those that a fault names.
- * @param notes - What the soak did.
+ * @param soakEvents - What the soak did.
  * @param events - The events of all processes.
- * @param faults - What broke.
+ * @param violations - What broke.
  */
 export function formatTimeLine(
-    notes: readonly SoakNote[],
+    soakEvents: readonly SoakEvent[],
     events: readonly EventLine[],
-    faults: readonly string[],
+    violations: readonly string[],
 ): readonly string[] {
-    const named = new Set(faults.join(" ").match(uuidPattern) ?? []);
-    const lines = notes.map(({ time, text }) => ({ time, text: `soak           ${text}` }));
+    const namedRequests = new Set(violations.join(" ").match(uuidPattern) ?? []);
+    const lines = soakEvents.map(({ time, text }) => ({ time, text: `soak           ${text}` }));
     for (const event of events) {
         const { time, process, name, request } = event;
-        if (request === undefined || named.has(String(request))) {
+        if (request === undefined || namedRequests.has(String(request))) {
             lines.push({ time, text: `${process.padEnd(14)} ${name} ${formatFields(event)}` });
         }
     }
@@ -30,7 +30,9 @@
 }
 
 function formatFields(event: EventLine): string {
-    const passedOver = ["event", "name", "level", "process", "time", "counter"];
-    return Object.entries(event).filter(([key]) => !passedOver.includes(key)).map(([key, value]) => `${key}=${value}`)
+    const omittedFields = ["event", "name", "level", "process", "time", "counter"];
+    return Object.entries(event).filter(([key]) => !omittedFields.includes(key)).map(([key, value]) =>
+        `${key}=${value}`
+    )
         .join(" ");
 }
--- a/src/standins/engine/answerStream.ts
+++ b/src/standins/engine/answerStream.ts
@@ -42,7 +42,7 @@
     }
 
     /** Returns the events after the one with this identifier. */
-    getAfter(identifier: number): readonly string[] {
+    getEventsAfter(identifier: number): readonly string[] {
         return this.#events.slice(identifier);
     }
 
@@ -51,7 +51,7 @@
      * @param listener - The function.
      * @returns A function that ends the calls.
      */
-    listen(listener: () => void): () => void {
+    subscribe(listener: () => void): () => void {
         this.#listeners.add(listener);
         return () => this.#listeners.delete(listener);
     }
@@ -61,19 +61,19 @@
      * @param listener - The function.
      * @returns A function that ends the reading.
      */
-    read(listener: () => void): () => void {
-        const end = this.listen(listener);
-        let reading = true;
+    addReader(listener: () => void): () => void {
+        const unsubscribe = this.subscribe(listener);
+        let isReading = true;
         this.#readerCount += 1;
         return () => {
-            end();
-            this.#readerCount -= reading ? 1 : 0;
-            reading = false;
+            unsubscribe();
+            this.#readerCount -= isReading ? 1 : 0;
+            isReading = false;
         };
     }
 
     /** Returns whether somebody reads the stream. */
-    isRead(): boolean {
+    hasReaders(): boolean {
         return this.#readerCount > 0;
     }
 
@@ -92,9 +92,9 @@
             return Promise.resolve();
         }
         return new Promise(resolve => {
-            const end = this.listen(() => {
+            const unsubscribe = this.subscribe(() => {
                 if (!condition()) {
-                    end();
+                    unsubscribe();
                     resolve();
                 }
             });
--- a/src/standins/engine/batch.ts
+++ b/src/standins/engine/batch.ts
@@ -4,7 +4,7 @@
 import { type Clock, systemClock } from "../../common/index.js";
 
 /** A loop that is later than so many steps gives up on catching up. */
-const catchUpSteps = 4;
+const maxCatchUpSteps = 4;
 
 /** One request inside the batch. */
 export interface Sequence {
@@ -15,11 +15,11 @@
     /** Returns the tokens that it produces a step. */
     readonly getSpeed: () => number;
     /** Called at admission; returns the prompt tokens that are left to compute. */
-    readonly begin: () => number;
+    readonly start: () => number;
     /** Called once the whole prompt is computed. */
     readonly finishPrefill: () => void;
     /** Produces one token; returns whether it was the last one. */
-    readonly produce: () => boolean;
+    readonly produceToken: () => boolean;
 }
 
 /** Limits of the batch; asked at each step. */
@@ -34,9 +34,9 @@
 
 interface RunningSequence {
     readonly sequence: Sequence;
-    prefillLeft: number;
-    prefilled: boolean;
-    credit: number;
+    remainingPrefillTokens: number;
+    isPrefilled: boolean;
+    tokenCredit: number;
 }
 
 /** Runs sequences side by side, the most urgent ones admitted first. */
@@ -66,11 +66,11 @@
 
     /** Adds a sequence behind all of its own priority. */
     add(sequence: Sequence): void {
-        let place = this.#waiting.length;
-        while (place > 0 && this.#waiting[place - 1].priority > sequence.priority) {
-            place -= 1;
+        let index = this.#waiting.length;
+        while (index > 0 && this.#waiting[index - 1].priority > sequence.priority) {
+            index -= 1;
         }
-        this.#waiting.splice(place, 0, sequence);
+        this.#waiting.splice(index, 0, sequence);
         if (this.#timer === undefined) {
             this.#dueAt = this.#clock.monotonic();
             this.#schedule();
@@ -79,9 +79,9 @@
 
     /** Takes a sequence out, wherever it is. */
     remove(sequence: Sequence): void {
-        const place = this.#waiting.indexOf(sequence);
-        if (place >= 0) {
-            this.#waiting.splice(place, 1);
+        const index = this.#waiting.indexOf(sequence);
+        if (index >= 0) {
+            this.#waiting.splice(index, 1);
         }
         if (this.#running.some(member => member.sequence === sequence)) {
             this.#release(sequence);
@@ -109,7 +109,7 @@
         const { stepMilliseconds } = this.#getLimits();
         const now = this.#clock.monotonic();
         this.#dueAt += stepMilliseconds;
-        if (this.#dueAt < now - catchUpSteps * stepMilliseconds) {
+        if (this.#dueAt < now - maxCatchUpSteps * stepMilliseconds) {
             this.#dueAt = now;
         }
         this.#timer = setTimeout(() => this.#tick(), Math.max(0, this.#dueAt - now));
@@ -132,41 +132,46 @@
             }
             this.#waiting.shift();
             this.#usedMemory += sequence.memoryTokens;
-            this.#running.push({ sequence, prefillLeft: sequence.begin(), prefilled: false, credit: 0 });
+            this.#running.push({
+                sequence,
+                remainingPrefillTokens: sequence.start(),
+                isPrefilled: false,
+                tokenCredit: 0,
+            });
         }
     }
 
     #decode(): number {
-        let used = 0;
-        for (const member of [...this.#running]) {
-            if (!member.prefilled) {
+        let usedTokens = 0;
+        for (const running of [...this.#running]) {
+            if (!running.isPrefilled) {
                 continue;
             }
-            member.credit += member.sequence.getSpeed();
-            while (member.credit >= 1) {
-                member.credit -= 1;
-                used += 1;
-                if (member.sequence.produce()) {
-                    this.#release(member.sequence);
+            running.tokenCredit += running.sequence.getSpeed();
+            while (running.tokenCredit >= 1) {
+                running.tokenCredit -= 1;
+                usedTokens += 1;
+                if (running.sequence.produceToken()) {
+                    this.#release(running.sequence);
                     break;
                 }
             }
         }
-        return used;
+        return usedTokens;
     }
 
     #prefill(budget: number): void {
-        let left = budget;
-        for (const member of this.#running) {
-            if (member.prefilled) {
+        let remaining = budget;
+        for (const running of this.#running) {
+            if (running.isPrefilled) {
                 continue;
             }
-            const part = Math.min(left, member.prefillLeft);
-            member.prefillLeft -= part;
-            left -= part;
-            if (member.prefillLeft <= 0) {
-                member.prefilled = true;
-                member.sequence.finishPrefill();
+            const tokens = Math.min(remaining, running.remainingPrefillTokens);
+            running.remainingPrefillTokens -= tokens;
+            remaining -= tokens;
+            if (running.remainingPrefillTokens <= 0) {
+                running.isPrefilled = true;
+                running.sequence.finishPrefill();
             }
         }
     }
--- a/src/standins/engine/chat.ts
+++ b/src/standins/engine/chat.ts
@@ -23,7 +23,7 @@
     readonly model: string;
     readonly prompt: string;
     readonly stream: boolean;
-    readonly maximumTokens: number;
+    readonly maxTokens: number;
 }
 
 /** Token counts of an answer. */
@@ -39,13 +39,13 @@
     if (!parsed.success) {
         return undefined;
     }
-    const { model, messages, stream, max_tokens: oldLimit, max_completion_tokens: limit } = parsed.data;
+    const { model, messages, stream, max_tokens: legacyLimit, max_completion_tokens: limit } = parsed.data;
     let prompt = "";
     for (const { role, content } of messages) {
         const text = typeof content === "string" ? content : (content ?? []).map(part => part.text ?? "").join("");
         prompt += `${role}\n${text}\n`;
     }
-    return { model, prompt, stream: stream === true, maximumTokens: limit ?? oldLimit ?? Number.MAX_SAFE_INTEGER };
+    return { model, prompt, stream: stream === true, maxTokens: limit ?? legacyLimit ?? Number.MAX_SAFE_INTEGER };
 }
 
 /** Counts a text's tokens, at four characters each. */
@@ -56,14 +56,14 @@
 /** Writes a chunk with a piece of the answer. */
 export function createChunk(id: string, model: string, delta: object, finishReason?: string): string {
     return JSON.stringify({
-        ...createHead(id, model, "chat.completion.chunk"),
+        ...createBaseFields(id, model, "chat.completion.chunk"),
         choices: [{ index: 0, delta, finish_reason: finishReason }],
     });
 }
 
 /** Writes the chunk with the token counts. */
 export function createUsageChunk(id: string, model: string, usage: Usage): string {
-    const head = createHead(id, model, "chat.completion.chunk");
+    const head = createBaseFields(id, model, "chat.completion.chunk");
     return JSON.stringify({ ...head, choices: [], usage: createUsage(usage) });
 }
 
@@ -76,13 +76,13 @@
     usage: Usage,
 ): object {
     return {
-        ...createHead(id, model, "chat.completion"),
+        ...createBaseFields(id, model, "chat.completion"),
         choices: [{ index: 0, message: { role: "assistant", content }, finish_reason: finishReason }],
         usage: createUsage(usage),
     };
 }
 
-function createHead(id: string, model: string, object: string): object {
+function createBaseFields(id: string, model: string, object: string): object {
     return { id, object, created: Math.floor(Date.now() / 1000), model };
 }
 
--- a/src/standins/engine/engineConditions.ts
+++ b/src/standins/engine/engineConditions.ts
@@ -15,7 +15,7 @@
 }).catchall(probability);
 
 /** What a version is like in truth. */
-export type VersionTruth = z.infer<typeof versionSchema>;
+export type VersionBehaviour = z.infer<typeof versionSchema>;
 
 /** Every condition of an engine. */
 export const engineSchema = z.strictObject({
@@ -64,7 +64,7 @@
 /** Conditions in force of an engine. */
 export type EngineConditions = z.infer<typeof engineSchema>;
 
-const turnSchema = z.strictObject({
+const versionChangeSchema = z.strictObject({
     version: z.string(),
     quality: probability.optional(),
     class: z.string().optional(),
@@ -74,13 +74,13 @@
 });
 
 /** Returns what a version is like in truth. */
-export function getTruth(conditions: EngineConditions, version: string): VersionTruth {
+export function getVersionBehaviour(conditions: EngineConditions, version: string): VersionBehaviour {
     return conditions.version[version] ?? versionSchema.parse({});
 }
 
 /** Returns a version's true quality for a class of request. */
-export function getTrueQuality(truth: VersionTruth, requestClass: string): number {
-    return truth[`quality.${requestClass}`] ?? truth.quality;
+export function getTrueQuality(behaviour: VersionBehaviour, requestClass: string): number {
+    return behaviour[`quality.${requestClass}`] ?? behaviour.quality;
 }
 
 /**
@@ -88,18 +88,18 @@
  * @param conditions - The conditions in force.
  * @param change - The body of `POST /faults`.
  */
-export function expandTurn(conditions: EngineConditions, change: object): object {
-    const parsed = turnSchema.safeParse(change);
+export function expandVersionChange(conditions: EngineConditions, change: object): object {
+    const parsed = versionChangeSchema.safeParse(change);
     if (!parsed.success) {
         return change;
     }
     const { version, quality, class: requestClass, ...others } = parsed.data;
-    const truth: Record<string, unknown> = { ...getTruth(conditions, version) };
+    const behaviour: Record<string, unknown> = { ...getVersionBehaviour(conditions, version) };
     if (quality !== undefined) {
-        truth[requestClass === undefined ? "quality" : `quality.${requestClass}`] = quality;
+        behaviour[requestClass === undefined ? "quality" : `quality.${requestClass}`] = quality;
     }
     for (const [key, value] of Object.entries(others)) {
-        truth[key] = value;
+        behaviour[key] = value;
     }
-    return { version: { ...conditions.version, [version]: truth } };
+    return { version: { ...conditions.version, [version]: behaviour } };
 }
--- a/src/standins/engine/engineRun.ts
+++ b/src/standins/engine/engineRun.ts
@@ -6,7 +6,7 @@
 import { AnswerStream } from "./answerStream.js";
 import type { Sequence } from "./batch.js";
 import { type ChatRequest, countTokens, createChunk, createUsageChunk, type Usage } from "./chat.js";
-import { type EngineConditions, getTrueQuality, getTruth } from "./engineConditions.js";
+import { type EngineConditions, getTrueQuality, getVersionBehaviour } from "./engineConditions.js";
 import { blockTokens, type PrefixCache } from "./prefixCache.js";
 
 /** What a run is made from. */
@@ -23,7 +23,7 @@
 }
 
 /** What the engine notes of a request: the truth that tests judge by. */
-export interface RunNote {
+export interface RunJournalEntry {
     readonly kind: "request";
     readonly id: string;
     /** Version asked for. */
@@ -48,50 +48,50 @@
 export class EngineRun {
     /** The answer as it comes. */
     readonly stream = new AnswerStream();
-    readonly note: RunNote;
+    readonly journalEntry: RunJournalEntry;
     readonly sequence: Sequence;
     readonly blocks: readonly string[];
     readonly #options: EngineRunOptions;
     readonly #tokens: readonly string[];
-    readonly #fails: boolean;
-    #produced = 0;
+    readonly #shouldFail: boolean;
+    #producedCount = 0;
 
     constructor(options: EngineRunOptions) {
         const { request, version, chat, requestClass } = options;
         const conditions = options.getConditions();
-        const truth = getTruth(conditions, version);
-        const mean = getTrueQuality(truth, requestClass);
+        const behaviour = getVersionBehaviour(conditions, version);
+        const mean = getTrueQuality(behaviour, requestClass);
         const quality = drawQuality(request, version, mean, conditions.qualitySpread);
-        const tokens = Math.min(chat.maximumTokens, drawAnswerTokens(request, truth.outputTokens));
+        const tokens = Math.min(chat.maxTokens, drawAnswerTokens(request, behaviour.outputTokens));
         this.#options = options;
         this.blocks = options.blocks;
         this.#tokens = createAnswerTokens({ request, version, quality, tokens });
-        this.#fails = drawError(request, version, truth.errorRate);
-        this.note = createNote(options, quality);
+        this.#shouldFail = drawError(request, version, behaviour.errorRate);
+        this.journalEntry = createJournalEntry(options, quality);
         this.sequence = {
             priority: options.priority,
-            memoryTokens: this.note.promptTokens + this.#tokens.length,
-            getSpeed: () => getTruth(options.getConditions(), version).speed,
-            begin: () => this.#begin(),
+            memoryTokens: this.journalEntry.promptTokens + this.#tokens.length,
+            getSpeed: () => getVersionBehaviour(options.getConditions(), version).speed,
+            start: () => this.#start(),
             finishPrefill: () => options.cache.add(version, options.blocks),
-            produce: () => this.#produce(),
+            produceToken: () => this.#produce(),
         };
     }
 
     /** Returns the text produced so far. */
     getText(): string {
-        return this.#tokens.slice(0, this.#produced).join("");
+        return this.#tokens.slice(0, this.#producedCount).join("");
     }
 
     /** Returns why the answer ended. */
     getFinishReason(): string {
-        return this.#tokens.length >= this.#options.chat.maximumTokens ? "length" : "stop";
+        return this.#tokens.length >= this.#options.chat.maxTokens ? "length" : "stop";
     }
 
     /** Returns the tokens spent so far. */
     getUsage(): Usage {
-        const { promptTokens, cachedTokens } = this.note;
-        return { promptTokens, cachedTokens, outputTokens: this.#produced };
+        const { promptTokens, cachedTokens } = this.journalEntry;
+        return { promptTokens, cachedTokens, outputTokens: this.#producedCount };
     }
 
     /** Ends the run before its time. */
@@ -99,27 +99,27 @@
         this.#end("cancelled");
     }
 
-    #begin(): number {
+    #start(): number {
         const { cache, version, blocks } = this.#options;
         const cached = blockTokens * cache.getCachedCount(version, blocks);
-        this.note.startedAt = systemClock.wall();
-        this.note.outcome = "running";
-        this.note.cachedTokens = Math.min(cached, this.note.promptTokens - 1);
-        return this.note.promptTokens - this.note.cachedTokens;
+        this.journalEntry.startedAt = systemClock.wall();
+        this.journalEntry.outcome = "running";
+        this.journalEntry.cachedTokens = Math.min(cached, this.journalEntry.promptTokens - 1);
+        return this.journalEntry.promptTokens - this.journalEntry.cachedTokens;
     }
 
     #produce(): boolean {
-        if (this.#fails) {
+        if (this.#shouldFail) {
             this.#end("failed");
             return true;
         }
-        const content = this.#tokens[this.#produced];
-        const delta = this.#produced === 0 ? { role: "assistant", content } : { content };
-        this.#produced += 1;
-        this.note.firstTokenAt ??= systemClock.wall();
-        this.note.outputTokens = this.#produced;
+        const content = this.#tokens[this.#producedCount];
+        const delta = this.#producedCount === 0 ? { role: "assistant", content } : { content };
+        this.#producedCount += 1;
+        this.journalEntry.firstTokenAt ??= systemClock.wall();
+        this.journalEntry.outputTokens = this.#producedCount;
         this.stream.add(createChunk(this.#getAnswerId(), this.#options.version, delta));
-        if (this.#produced < this.#tokens.length) {
+        if (this.#producedCount < this.#tokens.length) {
             return false;
         }
         this.#finish();
@@ -139,9 +139,9 @@
         if (this.stream.isClosed()) {
             return;
         }
-        this.note.endedAt = systemClock.wall();
-        this.note.outcome = outcome;
-        this.note.answerHash = getAnswerHash(this.getText());
+        this.journalEntry.endedAt = systemClock.wall();
+        this.journalEntry.outcome = outcome;
+        this.journalEntry.answerHash = getAnswerHash(this.getText());
         this.stream.close(outcome);
     }
 
@@ -150,7 +150,7 @@
     }
 }
 
-function createNote(options: EngineRunOptions, quality: number): RunNote {
+function createJournalEntry(options: EngineRunOptions, quality: number): RunJournalEntry {
     return {
         kind: "request",
         id: options.request,
--- a/src/standins/engine/loadedVersions.ts
+++ b/src/standins/engine/loadedVersions.ts
@@ -18,7 +18,7 @@
 export type Order = z.infer<typeof orderSchema>;
 
 /** What the engine notes of an order. */
-export interface OrderNote extends Order {
+export interface OrderJournalEntry extends Order {
     readonly kind: "order";
     readonly time: number;
     readonly outcome: "followed" | "ignored" | "refused";
@@ -34,7 +34,7 @@
     readonly #getConditions: () => EngineConditions;
     readonly #loaded: Set<string>;
     #desired: ReadonlySet<string>;
-    #highestFence = -1;
+    #maxFencingToken = -1;
     #role: string;
 
     constructor(getConditions: () => EngineConditions) {
@@ -60,12 +60,12 @@
     }
 
     /** Takes an order and says what became of it. Loading goes on after the return. */
-    follow(order: Order): OrderNote["outcome"] {
+    applyOrder(order: Order): OrderJournalEntry["outcome"] {
         const { checksFencing, ignoreOrders } = this.#getConditions();
-        if (checksFencing && order.fence < this.#highestFence) {
+        if (checksFencing && order.fence < this.#maxFencingToken) {
             return "refused";
         }
-        this.#highestFence = Math.max(this.#highestFence, order.fence);
+        this.#maxFencingToken = Math.max(this.#maxFencingToken, order.fence);
         if (ignoreOrders) {
             return "ignored";
         }
@@ -103,12 +103,12 @@
     }
 
     /** Fetches weights, again and again while the store is away or refuses for its rate. */
-    async #fetchWeights(version: string, isWanted: () => boolean): Promise<boolean> {
+    async #fetchWeights(version: string, isStillDesired: () => boolean): Promise<boolean> {
         const { weightStore } = this.#getConditions();
         if (weightStore === "") {
             return true;
         }
-        while (isWanted()) {
+        while (isStillDesired()) {
             const status = await getStatus(`http://${weightStore}/weights/${encodeURIComponent(version)}`);
             if (status === 200 || status === 404) {
                 return status === 200;
--- a/src/standins/engine/modelEngine.ts
+++ b/src/standins/engine/modelEngine.ts
@@ -13,9 +13,9 @@
 import type { AnswerStream } from "./answerStream.js";
 import { Batch } from "./batch.js";
 import { type ChatRequest, createCompletion, readChatRequest } from "./chat.js";
-import { type EngineConditions, engineSchema, expandTurn } from "./engineConditions.js";
-import { EngineRun, type RunNote } from "./engineRun.js";
-import { LoadedVersions, type OrderNote, readOrder } from "./loadedVersions.js";
+import { type EngineConditions, engineSchema, expandVersionChange } from "./engineConditions.js";
+import { EngineRun, type RunJournalEntry } from "./engineRun.js";
+import { LoadedVersions, type OrderJournalEntry, readOrder } from "./loadedVersions.js";
 import { BlockHasher, PrefixCache } from "./prefixCache.js";
 
 const refusalRetrySeconds = "1";
@@ -33,9 +33,9 @@
     readonly #cache: PrefixCache;
     readonly #versions: LoadedVersions;
     readonly #runs = new Map<string, EngineRun>();
-    readonly #journal: (RunNote | OrderNote)[] = [];
+    readonly #journal: (RunJournalEntry | OrderJournalEntry)[] = [];
     #hasher: BlockHasher | undefined;
-    #report: LoadReport;
+    #lastReport: LoadReport;
 
     constructor(listen: Address, settings: object = {}) {
         this.#conditions = new Conditions(engineSchema, settings);
@@ -43,11 +43,11 @@
         this.#batch = new Batch(getConditions);
         this.#cache = new PrefixCache(getConditions, new RandomSource(getConditions().seed));
         this.#versions = new LoadedVersions(getConditions);
-        this.#report = this.#measureLoad();
+        this.#lastReport = this.#measureLoad();
         this.#server = new StandinServer({
             listen,
             getConditions,
-            changeConditions: change => this.#conditions.change(expandTurn(getConditions(), change)),
+            changeConditions: change => this.#conditions.change(expandVersionChange(getConditions(), change)),
             getJournal: () => this.#journal,
             addRoutes: router => this.#addRoutes(router),
         });
@@ -75,7 +75,7 @@
         router.get("/cache-events", context => {
             context.body = this.#cache.getEvents(Number(context.query.from ?? 0));
         });
-        router.post("/orders", context => this.#follow(context));
+        router.post("/orders", context => this.#applyOrder(context));
         router.get("/kv/:request", context => this.#exportCache(context, context.params.request));
         router.put("/kv/:request", context => this.#importCache(context));
     }
@@ -86,7 +86,7 @@
             answerProblem(context, 400, "bad-request", "The body is no chat completion. Send model and messages.");
             return;
         }
-        if (this.#refuses(context, chat.model)) {
+        if (this.#rejectIfUnavailable(context, chat.model)) {
             return;
         }
         const run = this.#startRun(context, chat);
@@ -104,12 +104,12 @@
             answerProblem(context, 499, "cancelled", "The request was cancelled.");
             return;
         }
-        const { id, ran } = run.note;
+        const { id, ran } = run.journalEntry;
         context.body = createCompletion(`chatcmpl-${id}`, ran, run.getText(), run.getFinishReason(), run.getUsage());
     }
 
     /** Answers a request that the engine won't take; nothing of it has run. */
-    #refuses(context: Koa.Context, version: string): boolean {
+    #rejectIfUnavailable(context: Koa.Context, version: string): boolean {
         const { leaving, maximumWaiting } = this.#conditions.get();
         if (leaving) {
             answerProblem(context, 409, "leaving", "This engine is leaving. Use another.");
@@ -141,9 +141,9 @@
             getConditions: () => this.#conditions.get(),
         });
         this.#runs.set(request, run);
-        this.#journal.push(run.note);
+        this.#journal.push(run.journalEntry);
         this.#batch.add(run.sequence);
-        void this.#forgetLater(request, run);
+        void this.#removeAfterRetention(request, run);
         const load = this.#measureLoad();
         context.set("X-Model-Version", version);
         context.set("X-Load", `${load.running}/${load.waiting}/${load.capacity}`);
@@ -151,7 +151,7 @@
     }
 
     /** Forgets a run some time after its end; until then its stream can be taken up again. */
-    async #forgetLater(request: string, run: EngineRun): Promise<void> {
+    async #removeAfterRetention(request: string, run: EngineRun): Promise<void> {
         await run.stream.waitForEnd();
         const timer = setTimeout(() => {
             if (this.#runs.get(request) === run) {
@@ -167,7 +167,7 @@
             answerProblem(context, 404, "no-stream", "No such stream is kept. Send the request again.");
             return;
         }
-        context.set("X-Model-Version", run.note.ran);
+        context.set("X-Model-Version", run.journalEntry.ran);
         this.#sendStream(context, run.stream, Number(context.get("Last-Event-ID") || 0));
     }
 
@@ -181,7 +181,7 @@
             answerProblem(context, 404, "no-stream", "No such stream is running. There is nothing to cancel.");
             return;
         }
-        if (context.query.idle === "true" && run.stream.isRead()) {
+        if (context.query.idle === "true" && run.stream.hasReaders()) {
             answerProblem(context, 409, "stream-read", "Somebody reads the stream. Leave it to them.");
             return;
         }
@@ -197,13 +197,13 @@
         };
     }
 
-    async #follow(context: Koa.Context): Promise<void> {
+    async #applyOrder(context: Koa.Context): Promise<void> {
         const order = readOrder(await readJson(context));
         if (order === undefined) {
             answerProblem(context, 400, "bad-order", "The body is no order. Send fence, versions and role.");
             return;
         }
-        const outcome = this.#versions.follow(order);
+        const outcome = this.#versions.applyOrder(order);
         this.#journal.push({ kind: "order", time: systemClock.wall(), ...order, outcome });
         if (outcome === "refused") {
             answerProblem(context, 409, "old-fence", "The engine has seen a newer fencing number. Give up the lease.");
@@ -218,7 +218,7 @@
             answerProblem(context, 404, "no-cache", "No such KV cache is kept. Compute the prompt again.");
             return;
         }
-        context.body = { version: run.note.ran, blocks: run.blocks } satisfies CacheTransfer;
+        context.body = { version: run.journalEntry.ran, blocks: run.blocks } satisfies CacheTransfer;
     }
 
     async #importCache(context: Koa.Context): Promise<void> {
@@ -234,10 +234,10 @@
     /** Returns a load report that is up to the lag old. */
     #getReport(): LoadReport {
         const { loadLagMilliseconds } = this.#conditions.get();
-        if (systemClock.wall() - this.#report.measuredAt >= loadLagMilliseconds) {
-            this.#report = this.#measureLoad();
+        if (systemClock.wall() - this.#lastReport.measuredAt >= loadLagMilliseconds) {
+            this.#lastReport = this.#measureLoad();
         }
-        return this.#report;
+        return this.#lastReport;
     }
 
     #measureLoad(): LoadReport {
@@ -255,33 +255,33 @@
 }
 
 /** How a stream is sent. */
-interface StreamSending {
+interface StreamOptions {
     /** Identifier of the event after which it starts. */
     readonly after: number;
     readonly readerLagMilliseconds: number;
 }
 
 /** Sends a stream's events after one, and goes on until the stream ends. */
-function sendStream(context: Koa.Context, stream: AnswerStream, sending: StreamSending): void {
+function sendStream(context: Koa.Context, stream: AnswerStream, options: StreamOptions): void {
     const { res: response } = context;
-    let sent = sending.after;
+    let lastSentId = options.after;
     context.respond = false;
     response.statusCode = 200;
     response.setHeader("Content-Type", "text/event-stream");
     response.setHeader("Cache-Control", "no-store");
     const send = (): void => {
-        const events = stream.getAfter(sent);
-        sent += events.length;
+        const events = stream.getEventsAfter(lastSentId);
+        lastSentId += events.length;
         if (events.length > 0) {
             response.write(events.join(""));
         }
         if (stream.isClosed()) {
-            endListening();
+            unsubscribe();
             endStream(response, stream);
         }
     };
-    const endListening = stream.read(send);
-    response.once("close", () => setTimeout(endListening, sending.readerLagMilliseconds).unref());
+    const unsubscribe = stream.addReader(send);
+    response.once("close", () => setTimeout(unsubscribe, options.readerLagMilliseconds).unref());
     response.flushHeaders();
     send();
 }
--- a/src/standins/engine/prefixCache.ts
+++ b/src/standins/engine/prefixCache.ts
@@ -8,7 +8,7 @@
 const blockCharacters = 512;
 /** Tokens of a block. */
 export const blockTokens = 128;
-const keptEvents = 10_000;
+const retainedEventCount = 10_000;
 
 /** Tells that a block came into the cache or left it. */
 export interface CacheEvent {
@@ -27,7 +27,7 @@
     readonly cacheEventLossProbability: number;
 }
 
-interface DatedEvent {
+interface TimestampedEvent {
     readonly at: number;
     readonly event: CacheEvent;
 }
@@ -64,7 +64,7 @@
     readonly #clock: Clock;
     /** In the order of use, the least recent first; the value is the event's part. */
     readonly #blocks = new Map<string, { readonly block: string; readonly version: string; }>();
-    #events: DatedEvent[] = [];
+    #events: TimestampedEvent[] = [];
     #nextSequence = 0;
 
     constructor(getLimits: () => CacheLimits, random: RandomSource, clock: Clock = systemClock) {
@@ -93,13 +93,13 @@
     add(version: string, blocks: readonly string[]): void {
         for (const block of [...blocks].reverse()) {
             const key = getKey(version, block);
-            const known = this.#blocks.delete(key);
+            const wasCached = this.#blocks.delete(key);
             this.#blocks.set(key, { block, version });
-            if (!known) {
+            if (!wasCached) {
                 this.#publish("stored", block, version);
             }
         }
-        this.#shrink();
+        this.#evict();
     }
 
     /** Forgets everything. */
@@ -125,7 +125,7 @@
         return { events, next };
     }
 
-    #shrink(): void {
+    #evict(): void {
         for (const [key, { block, version }] of this.#blocks) {
             if (this.#blocks.size <= this.#getLimits().cacheBlocks) {
                 return;
@@ -142,8 +142,8 @@
             return;
         }
         this.#events.push({ at: this.#clock.monotonic(), event });
-        if (this.#events.length > 2 * keptEvents) {
-            this.#events = this.#events.slice(-keptEvents);
+        if (this.#events.length > 2 * retainedEventCount) {
+            this.#events = this.#events.slice(-retainedEventCount);
         }
     }
 }
--- a/src/standins/logService.ts
+++ b/src/standins/logService.ts
@@ -42,7 +42,7 @@
 const expirySchema = z.object({ stream: z.string(), offset: z.number().int().min(0) });
 
 /** What the log notes of an append. */
-interface AppendNote {
+interface AppendJournalEntry {
     readonly stream: string;
     readonly offset: number;
     readonly time: number;
@@ -59,7 +59,7 @@
     readonly #streams = new Map<string, LogStream>();
     readonly #bucket: TokenBucket;
     readonly #random: RandomSource;
-    readonly #journal: AppendNote[] = [];
+    readonly #journal: AppendJournalEntry[] = [];
 
     constructor(listen: Address, settings: object = {}) {
         this.#conditions = new Conditions(schema, settings);
@@ -103,7 +103,7 @@
 
     #wakeReaders(): void {
         for (const stream of this.#streams.values()) {
-            stream.wake();
+            stream.wakeWaiters();
         }
     }
 
@@ -123,7 +123,7 @@
             answerProblem(context, 413, "too-large", "A record has at most 256 KiB. Split it.");
             return;
         }
-        if (this.#takeOne("lostAppends")) {
+        if (this.#consumeFault("lostAppends")) {
             dropConnection(context);
             return;
         }
@@ -139,7 +139,7 @@
         const entry = this.#getStream(name).add(record, systemClock.wall());
         const { offset, time } = entry;
         const { id, kind, writer } = record;
-        const acknowledged = !this.#losesAcknowledgement();
+        const acknowledged = !this.#shouldLoseAcknowledgement();
         this.#journal.push({ stream: name, offset, time, id, kind, writer, acknowledged });
         if (!acknowledged) {
             dropConnection(context);
@@ -150,12 +150,12 @@
 
     async #read(context: Koa.Context, name: string): Promise<void> {
         const stream = this.#getStream(name);
-        const asked = String(context.query.from ?? "0");
-        const from = asked === "latest" ? stream.getNext() : Number(asked);
+        const requestedFrom = String(context.query.from ?? "0");
+        const from = requestedFrom === "latest" ? stream.getNextOffset() : Number(requestedFrom);
         const limit = Math.min(pageLimit, Number(context.query.limit ?? pageLimit));
         const wait = Math.min(waitLimitMilliseconds, Number(context.query.wait ?? 0));
-        if (asked !== "latest" && from >= stream.getNext() && wait > 0) {
-            await stream.wait(wait);
+        if (requestedFrom !== "latest" && from >= stream.getNextOffset() && wait > 0) {
+            await stream.waitForAppend(wait);
         }
         this.#expire(stream);
         if (this.#conditions.get().outage !== "none") {
@@ -163,16 +163,16 @@
             dropConnection(context);
             return;
         }
-        if (from < stream.getEarliest()) {
+        if (from < stream.getEarliestOffset()) {
             context.status = 410;
-            context.body = { earliest: stream.getEarliest(), next: stream.getNext() };
+            context.body = { earliest: stream.getEarliestOffset(), next: stream.getNextOffset() };
             return;
         }
         context.body = stream.read(from, limit);
     }
 
-    #losesAcknowledgement(): boolean {
-        if (this.#takeOne("lostAcknowledgements")) {
+    #shouldLoseAcknowledgement(): boolean {
+        if (this.#consumeFault("lostAcknowledgements")) {
             return true;
         }
         const { lostAcknowledgementProbability } = this.#conditions.get();
@@ -180,12 +180,12 @@
     }
 
     /** Counts one of the next so many down; returns whether there was one. */
-    #takeOne(key: "lostAcknowledgements" | "lostAppends"): boolean {
-        const left = this.#conditions.get()[key];
-        if (left < 1) {
+    #consumeFault(key: "lostAcknowledgements" | "lostAppends"): boolean {
+        const remaining = this.#conditions.get()[key];
+        if (remaining < 1) {
             return false;
         }
-        this.#conditions.change({ [key]: left - 1 });
+        this.#conditions.change({ [key]: remaining - 1 });
         return true;
     }
 
--- a/src/standins/logStream.ts
+++ b/src/standins/logStream.ts
@@ -6,17 +6,17 @@
 /** Keeps a stream's entries within its retention and wakes readers that wait for the next one. */
 export class LogStream {
     #entries: LogEntry[] = [];
-    #earliest = 0;
+    #earliestOffset = 0;
     readonly #waiters = new Set<() => void>();
 
     /** Returns the offset that the next append gets. */
-    getNext(): number {
-        return this.#earliest + this.#entries.length;
+    getNextOffset(): number {
+        return this.#earliestOffset + this.#entries.length;
     }
 
     /** Returns the oldest offset that is still kept. */
-    getEarliest(): number {
-        return this.#earliest;
+    getEarliestOffset(): number {
+        return this.#earliestOffset;
     }
 
     /**
@@ -25,9 +25,9 @@
      * @param time - Wall-clock milliseconds.
      */
     add(record: LogRecord, time: number): LogEntry {
-        const entry = { offset: this.getNext(), time, record };
+        const entry = { offset: this.getNextOffset(), time, record };
         this.#entries.push(entry);
-        this.wake();
+        this.wakeWaiters();
         return entry;
     }
 
@@ -37,10 +37,10 @@
      * @param limit - Greatest number of entries.
      */
     read(from: number, limit: number): LogPage {
-        const start = from - this.#earliest;
+        const start = from - this.#earliestOffset;
         const entries = this.#entries.slice(start, start + limit);
-        const next = entries.length === 0 ? Math.min(from, this.getNext()) : from + entries.length;
-        return { entries, next, earliest: this.#earliest };
+        const next = entries.length === 0 ? Math.min(from, this.getNextOffset()) : from + entries.length;
+        return { entries, next, earliest: this.#earliestOffset };
     }
 
     /**
@@ -48,9 +48,9 @@
      * @param offset - The first offset to keep.
      */
     removeBefore(offset: number): void {
-        const count = Math.min(this.#entries.length, Math.max(0, offset - this.#earliest));
+        const count = Math.min(this.#entries.length, Math.max(0, offset - this.#earliestOffset));
         this.#entries = this.#entries.slice(count);
-        this.#earliest += count;
+        this.#earliestOffset += count;
     }
 
     /**
@@ -64,7 +64,7 @@
             excess += 1;
         }
         if (excess > 0) {
-            this.removeBefore(this.#earliest + excess);
+            this.removeBefore(this.#earliestOffset + excess);
         }
     }
 
@@ -72,20 +72,20 @@
      * Waits for the next append, a wake-up or the end of the time.
      * @param milliseconds - How long at most.
      */
-    wait(milliseconds: number): Promise<void> {
+    waitForAppend(milliseconds: number): Promise<void> {
         return new Promise(resolve => {
-            const end = (): void => {
+            const finish = (): void => {
                 clearTimeout(timer);
-                this.#waiters.delete(end);
+                this.#waiters.delete(finish);
                 resolve();
             };
-            const timer = setTimeout(end, milliseconds);
-            this.#waiters.add(end);
+            const timer = setTimeout(finish, milliseconds);
+            this.#waiters.add(finish);
         });
     }
 
     /** Wakes all readers that wait. */
-    wake(): void {
+    wakeWaiters(): void {
         for (const waiter of [...this.#waiters]) {
             waiter();
         }
--- a/src/standins/plainService.ts
+++ b/src/standins/plainService.ts
@@ -28,10 +28,10 @@
     hangAfterRun: amount.default(0),
 });
 
-type Counter = "dropAfterRun" | "dropBeforeRun" | "hang" | "hangAfterRun";
+type FaultCounter = "dropAfterRun" | "dropBeforeRun" | "hang" | "hangAfterRun";
 
 /** What the service notes of a call that took effect. */
-interface RunNote {
+interface RunJournalEntry {
     readonly run: number;
     readonly time: number;
     readonly method: string;
@@ -45,8 +45,8 @@
 export class PlainService {
     readonly #conditions: Conditions<z.infer<typeof schema>>;
     readonly #server: StandinServer;
-    readonly #journal: RunNote[] = [];
-    #active = 0;
+    readonly #journal: RunJournalEntry[] = [];
+    #activeCount = 0;
 
     constructor(listen: Address, settings: object = {}) {
         this.#conditions = new Conditions(schema, settings);
@@ -79,42 +79,47 @@
             answerProblem(context, 409, "leaving", "This service is leaving. Use another.");
             return;
         }
-        this.#active += 1;
+        this.#activeCount += 1;
         const load = this.#getLoad();
         context.set("X-Load", `${load.running}/${load.waiting}/${load.capacity}`);
         try {
             await this.#run(context);
         }
         finally {
-            this.#active -= 1;
+            this.#activeCount -= 1;
         }
     }
 
     async #run(context: Koa.Context): Promise<void> {
         const body = await text(context.req);
-        if (this.#takeOne("hang")) {
+        if (this.#consumeFault("hang")) {
             context.respond = false;
             return;
         }
-        if (this.#takeOne("dropBeforeRun")) {
+        if (this.#consumeFault("dropBeforeRun")) {
             dropConnection(context);
             return;
         }
-        const note = this.#note(context, body);
+        const journalEntry = this.#recordRun(context, body);
         await sleep(this.#conditions.get().workMilliseconds);
-        if (this.#takeOne("dropAfterRun")) {
+        if (this.#consumeFault("dropAfterRun")) {
             dropConnection(context);
             return;
         }
-        if (this.#takeOne("hangAfterRun")) {
+        if (this.#consumeFault("hangAfterRun")) {
             context.respond = false;
             return;
         }
-        context.body = { run: note.run, request: note.request, key: note.key, service: this.#conditions.get().name };
+        context.body = {
+            run: journalEntry.run,
+            request: journalEntry.request,
+            key: journalEntry.key,
+            service: this.#conditions.get().name,
+        };
     }
 
-    #note(context: Koa.Context, body: string): RunNote {
-        const note = {
+    #recordRun(context: Koa.Context, body: string): RunJournalEntry {
+        const journalEntry = {
             run: this.#journal.length + 1,
             time: systemClock.wall(),
             method: context.method,
@@ -123,16 +128,16 @@
             key: getHeader(context, "Idempotency-Key"),
             body,
         };
-        this.#journal.push(note);
-        return note;
+        this.#journal.push(journalEntry);
+        return journalEntry;
     }
 
-    #takeOne(key: Counter): boolean {
-        const left = this.#conditions.get()[key];
-        if (left < 1) {
+    #consumeFault(key: FaultCounter): boolean {
+        const remaining = this.#conditions.get()[key];
+        if (remaining < 1) {
             return false;
         }
-        this.#conditions.change({ [key]: left - 1 });
+        this.#conditions.change({ [key]: remaining - 1 });
         return true;
     }
 
@@ -141,8 +146,8 @@
         return {
             upstream: name,
             measuredAt: systemClock.wall(),
-            running: Math.min(this.#active, capacity),
-            waiting: Math.max(0, this.#active - capacity),
+            running: Math.min(this.#activeCount, capacity),
+            waiting: Math.max(0, this.#activeCount - capacity),
             capacity,
             versions: [],
             leaving,
--- a/src/standins/proxy/faultProxy.ts
+++ b/src/standins/proxy/faultProxy.ts
@@ -8,7 +8,7 @@
 import { Failure } from "../../common/index.js";
 import { type Address, formatAddress, parseAddress } from "../address.js";
 import { answerProblem, readJson, StandinServer } from "../standinServer.js";
-import { type ConnectionNote, ProxyRoute } from "./proxyRoute.js";
+import { type ConnectionJournalEntry, ProxyRoute } from "./proxyRoute.js";
 
 const routeSchema = z.strictObject({ listen: z.string(), target: z.string() });
 
@@ -21,11 +21,11 @@
 export class FaultProxy {
     readonly #server: StandinServer;
     readonly #routes = new Map<string, ProxyRoute>();
-    readonly #initial: z.infer<typeof schema>;
-    readonly #journal: ConnectionNote[] = [];
+    readonly #initialSettings: z.infer<typeof schema>;
+    readonly #journal: ConnectionJournalEntry[] = [];
 
     constructor(listen: Address, settings: object = {}) {
-        this.#initial = schema.parse(settings);
+        this.#initialSettings = schema.parse(settings);
         this.#server = new StandinServer({
             listen,
             getConditions: () => ({ seed: 0, outage: "none", delayMilliseconds: 0, routes: this.#getAllFaults() }),
@@ -37,7 +37,7 @@
 
     /** Opens all routes and the control port; returns the control port's address. */
     async start(): Promise<Address> {
-        for (const [name, { listen, target }] of Object.entries(this.#initial.route)) {
+        for (const [name, { listen, target }] of Object.entries(this.#initialSettings.route)) {
             await this.addRoute(name, parseAddress(listen), parseAddress(target));
         }
         return this.#server.start();
@@ -57,7 +57,7 @@
      */
     async addRoute(name: string, listen: Address, target: Address): Promise<Address> {
         await this.#routes.get(name)?.stop();
-        const route = new ProxyRoute({ name, listen, target, note: note => this.#journal.push(note) });
+        const route = new ProxyRoute({ name, listen, target, onConnection: note => this.#journal.push(note) });
         this.#routes.set(name, route);
         return route.start();
     }
@@ -70,7 +70,8 @@
         const { route: name, ...faults } = change as Record<string, unknown>;
         const routes = name === undefined ? [...this.#routes.values()] : [this.#routes.get(String(name))];
         for (const route of routes) {
-            const changed = await route?.changeFaults(faults) ?? err(createNoRoute(String(name), this.#routes.keys()));
+            const changed = await route?.changeFaults(faults)
+                ?? err(createUnknownRouteFailure(String(name), this.#routes.keys()));
             if (changed.isErr()) {
                 return changed;
             }
@@ -108,7 +109,7 @@
     }
 }
 
-function createNoRoute(name: string, names: Iterable<string>): Failure {
+function createUnknownRouteFailure(name: string, names: Iterable<string>): Failure {
     return new Failure({
         kind: "invalid-input",
         message: `There is no route "${name}".`,
--- a/src/standins/proxy/proxyRoute.ts
+++ b/src/standins/proxy/proxyRoute.ts
@@ -11,7 +11,7 @@
 import { type RouteFaults, routeFaultSchema } from "./routeFaults.js";
 
 /** What the proxy notes of a connection. */
-export interface ConnectionNote {
+export interface ConnectionJournalEntry {
     readonly route: string;
     readonly openedAt: number;
     closedAt?: number;
@@ -26,7 +26,7 @@
     readonly target: Address;
     readonly faults?: object;
     /** Takes the note of each connection as it opens. */
-    readonly note: (note: ConnectionNote) => void;
+    readonly onConnection: (onConnection: ConnectionJournalEntry) => void;
 }
 
 interface Connection {
@@ -99,7 +99,7 @@
         }
         if (!halfOpen && oneWay === "none") {
             // A connection that lost bytes would deliver a text with a hole in it, which no real network does.
-            this.#breakAll(connection => connection.pumps.some(pump => pump.hasLost()));
+            this.#breakAll(connection => connection.pumps.some(pump => pump.hasDroppedBytes()));
         }
         for (const connection of this.#connections) {
             for (const pump of connection.pumps) {
@@ -109,30 +109,42 @@
         return changed;
     }
 
-    #accept(near: Socket): void {
+    #accept(clientSocket: Socket): void {
         const { host, port } = this.#options.target;
-        const far = connect({ host, port, allowHalfOpen: true, noDelay: true });
-        near.setNoDelay(true);
-        const sockets = [near, far];
+        const targetSocket = connect({ host, port, allowHalfOpen: true, noDelay: true });
+        clientSocket.setNoDelay(true);
+        const sockets = [clientSocket, targetSocket];
         const breakConnection = (): void => breakSockets(sockets);
         const getFaults = (): RouteFaults => this.#faults.get();
-        const toTarget = new Pump({ direction: "to-target", from: near, to: far, getFaults, breakConnection });
-        const fromTarget = new Pump({ direction: "from-target", from: far, to: near, getFaults, breakConnection });
+        const toTarget = new Pump({
+            direction: "to-target",
+            from: clientSocket,
+            to: targetSocket,
+            getFaults,
+            breakConnection,
+        });
+        const fromTarget = new Pump({
+            direction: "from-target",
+            from: targetSocket,
+            to: clientSocket,
+            getFaults,
+            breakConnection,
+        });
         const connection = { sockets, pumps: [toTarget, fromTarget] };
-        const note: ConnectionNote = {
+        const journalEntry: ConnectionJournalEntry = {
             route: this.#options.name,
             openedAt: systemClock.wall(),
             toTarget: 0,
             fromTarget: 0,
         };
-        this.#options.note(note);
+        this.#options.onConnection(journalEntry);
         this.#connections.add(connection);
         for (const socket of sockets) {
             socket.once("close", () => {
-                note.closedAt = systemClock.wall();
-                note.toTarget = toTarget.getDelivered();
-                note.fromTarget = fromTarget.getDelivered();
-                if (near.closed && far.closed) {
+                journalEntry.closedAt = systemClock.wall();
+                journalEntry.toTarget = toTarget.getDeliveredBytes();
+                journalEntry.fromTarget = fromTarget.getDeliveredBytes();
+                if (clientSocket.closed && targetSocket.closed) {
                     this.#connections.delete(connection);
                 }
             });
--- a/src/standins/proxy/pump.ts
+++ b/src/standins/proxy/pump.ts
@@ -19,7 +19,7 @@
 }
 
 /** Bytes on their way, or the end of the connection after them. */
-interface Parcel {
+interface QueuedChunk {
     readonly dueAt: number;
     readonly bytes: Buffer | undefined;
     readonly end: "none" | "close" | "break";
@@ -28,37 +28,37 @@
 /** One direction of a connection. */
 export class Pump {
     readonly #options: PumpOptions;
-    #queue: Parcel[] = [];
+    #queue: QueuedChunk[] = [];
     #queuedBytes = 0;
-    #delivered = 0;
+    #deliveredBytes = 0;
     /** What had arrived when faults last changed; the bytes after which to break are counted from there. */
-    #deliveredBefore = 0;
-    #lost = false;
+    #deliveredAtFaultChange = 0;
+    #hasDroppedBytes = false;
     #timer: NodeJS.Timeout | undefined;
 
     constructor(options: PumpOptions) {
         const { from, to } = options;
         this.#options = options;
-        from.on("data", bytes => this.#add("none", bytes));
-        from.on("end", () => this.#add("close"));
-        from.on("error", () => this.#add("break"));
-        from.on("close", hadError => this.#add(hadError ? "break" : "close"));
+        from.on("data", bytes => this.#enqueue("none", bytes));
+        from.on("end", () => this.#enqueue("close"));
+        from.on("error", () => this.#enqueue("break"));
+        from.on("close", hadError => this.#enqueue(hadError ? "break" : "close"));
         to.on("drain", () => this.deliver());
     }
 
     /** Returns how many bytes arrived. */
-    getDelivered(): number {
-        return this.#delivered;
+    getDeliveredBytes(): number {
+        return this.#deliveredBytes;
     }
 
     /** Returns whether bytes were dropped. Such a connection can't go on once the fault is lifted. */
-    hasLost(): boolean {
-        return this.#lost;
+    hasDroppedBytes(): boolean {
+        return this.#hasDroppedBytes;
     }
 
     /** Takes up changed faults. */
     applyFaults(): void {
-        this.#deliveredBefore = this.#delivered;
+        this.#deliveredAtFaultChange = this.#deliveredBytes;
         this.deliver();
     }
 
@@ -67,24 +67,24 @@
         clearTimeout(this.#timer);
         const { to, from, getFaults } = this.#options;
         while (this.#queue.length > 0 && !getFaults().freeze && !to.writableNeedDrain) {
-            const [parcel] = this.#queue;
-            const wait = parcel.dueAt - systemClock.monotonic();
+            const [chunk] = this.#queue;
+            const wait = chunk.dueAt - systemClock.monotonic();
             if (wait > 0) {
                 this.#timer = setTimeout(() => this.deliver(), wait);
                 return;
             }
             this.#queue.shift();
-            this.#hand(parcel);
+            this.#deliverChunk(chunk);
         }
         if (this.#queuedBytes < queuedBytesLimit) {
             from.resume();
         }
     }
 
-    #add(end: Parcel["end"], bytes?: Buffer): void {
+    #enqueue(end: QueuedChunk["end"], bytes?: Buffer): void {
         const { delayMilliseconds, halfOpen, oneWay } = this.#options.getFaults();
         if (halfOpen || oneWay === this.#options.direction) {
-            this.#lost = true;
+            this.#hasDroppedBytes = true;
             return;
         }
         this.#queue.push({ dueAt: systemClock.monotonic() + delayMilliseconds, bytes, end });
@@ -95,34 +95,34 @@
         this.deliver();
     }
 
-    #hand(parcel: Parcel): void {
+    #deliverChunk(chunk: QueuedChunk): void {
         const { to, breakConnection } = this.#options;
-        if (parcel.end === "break") {
+        if (chunk.end === "break") {
             breakConnection();
             return;
         }
-        if (parcel.end === "close") {
+        if (chunk.end === "close") {
             to.end();
             return;
         }
-        const bytes = parcel.bytes ?? Buffer.alloc(0);
+        const bytes = chunk.bytes ?? Buffer.alloc(0);
         this.#queuedBytes -= bytes.length;
-        const part = bytes.subarray(0, this.#getAllowance());
-        this.#delivered += part.length;
-        if (part.length < bytes.length) {
+        const allowedBytes = bytes.subarray(0, this.#getRemainingBytes());
+        this.#deliveredBytes += allowedBytes.length;
+        if (allowedBytes.length < bytes.length) {
             this.#queue = [];
-            to.write(part, breakConnection);
+            to.write(allowedBytes, breakConnection);
             return;
         }
-        to.write(part);
+        to.write(allowedBytes);
     }
 
     /** Returns how many bytes may still arrive before the connection is to break. */
-    #getAllowance(): number {
+    #getRemainingBytes(): number {
         const { cutAfterBytes } = this.#options.getFaults();
         if (cutAfterBytes === 0 || this.#options.direction === "to-target") {
             return Number.MAX_SAFE_INTEGER;
         }
-        return Math.max(0, cutAfterBytes - (this.#delivered - this.#deliveredBefore));
+        return Math.max(0, cutAfterBytes - (this.#deliveredBytes - this.#deliveredAtFaultChange));
     }
 }
--- a/src/standins/ratingService.ts
+++ b/src/standins/ratingService.ts
@@ -64,23 +64,23 @@
         });
     }
 
-    #rate(context: Koa.Context, asked: z.infer<typeof ratingSchema>): void {
+    #rate(context: Koa.Context, request: z.infer<typeof ratingSchema>): void {
         const { seed, noise, missingProbability } = this.#conditions.get();
-        const random = createSeededRandom(String(seed), asked.id, asked.version, "rating");
+        const random = createSeededRandom(String(seed), request.id, request.version, "rating");
         if (random.next() < missingProbability) {
             context.status = 204;
             return;
         }
         // An answer without its end is cut off and worth nothing.
-        const quality = getAnswerQuality(asked.answer) ?? 0;
+        const quality = getAnswerQuality(request.answer) ?? 0;
         const score = Math.min(1, Math.max(0, quality + noise * random.nextNormal()));
         this.#journal.push({
-            id: asked.id,
-            version: asked.version,
-            class: asked.class,
+            id: request.id,
+            version: request.version,
+            class: request.class,
             score,
             time: systemClock.wall(),
         });
-        context.body = { id: asked.id, score };
+        context.body = { id: request.id, score };
     }
 }
--- a/src/standins/settings.ts
+++ b/src/standins/settings.ts
@@ -19,37 +19,37 @@
  * Reads the command line `KIND --listen ADDRESS [--settings FILE] [KEY=VALUE ...]`.
  * A key such as `version.plan@2.quality.wear-tag` stands for key `quality.wear-tag` in section `[version.plan@2]`.
  */
-export function readCommand(words: readonly string[]): StandinCommand {
-    const [kind, ...rest] = words;
+export function readCommand(args: readonly string[]): StandinCommand {
+    const [kind, ...rest] = args;
     const settings: Section = {};
     let listen: Address | undefined;
-    for (let place = 0; place < rest.length; place += 1) {
-        const word = rest[place];
-        if (word === "--listen") {
-            place += 1;
-            listen = parseAddress(rest[place] ?? "");
+    for (let index = 0; index < rest.length; index += 1) {
+        const argument = rest[index];
+        if (argument === "--listen") {
+            index += 1;
+            listen = parseAddress(rest[index] ?? "");
             continue;
         }
-        if (word === "--settings") {
-            place += 1;
-            Object.assign(settings, parse(readFileSync(rest[place] ?? "", "utf8")));
+        if (argument === "--settings") {
+            index += 1;
+            Object.assign(settings, parse(readFileSync(rest[index] ?? "", "utf8")));
             continue;
         }
-        setValue(settings, word);
+        setValue(settings, argument);
     }
     if (kind === undefined || listen === undefined) {
-        throw createUsage("A stand-in needs its kind and --listen.");
+        throw createUsageFailure("A stand-in needs its kind and --listen.");
     }
     return { kind, listen, settings };
 }
 
-function setValue(settings: Section, word: string): void {
-    const sign = word.indexOf("=");
-    if (sign < 1) {
-        throw createUsage(`"${word}" is no setting.`);
+function setValue(settings: Section, argument: string): void {
+    const separator = argument.indexOf("=");
+    if (separator < 1) {
+        throw createUsageFailure(`"${argument}" is no setting.`);
     }
-    const value = word.slice(sign + 1);
-    const [first, name, ...rest] = word.slice(0, sign).split(".");
+    const value = argument.slice(separator + 1);
+    const [first, name, ...rest] = argument.slice(0, separator).split(".");
     if (name === undefined) {
         settings[first] = value;
         return;
@@ -68,7 +68,7 @@
     return section;
 }
 
-function createUsage(message: string): Failure {
+function createUsageFailure(message: string): Failure {
     return new Failure({
         kind: "invalid-input",
         message,
--- a/src/standins/standinServer.ts
+++ b/src/standins/standinServer.ts
@@ -15,7 +15,7 @@
 import type { CommonConditions, TlsFiles } from "./conditions.js";
 
 /** After this long a stop closes connections that are still at work. */
-const stopBoundMilliseconds = 1000;
+const stopTimeoutMilliseconds = 1000;
 const idleSweepMilliseconds = 20;
 const controlPaths: readonly string[] = ["/faults", "/journal"];
 
@@ -147,11 +147,11 @@
 /** Lets answers under way end within a bound, and closes all connections. */
 async function stopServer(server: Server): Promise<void> {
     const closed = new Promise<void>(resolve => server.close(() => resolve()));
-    const sweep = setInterval(() => server.closeIdleConnections(), idleSweepMilliseconds);
-    const bound = setTimeout(() => server.closeAllConnections(), stopBoundMilliseconds);
+    const sweepTimer = setInterval(() => server.closeIdleConnections(), idleSweepMilliseconds);
+    const closeTimer = setTimeout(() => server.closeAllConnections(), stopTimeoutMilliseconds);
     await closed;
-    clearInterval(sweep);
-    clearTimeout(bound);
+    clearInterval(sweepTimer);
+    clearTimeout(closeTimer);
 }
 
 function createMutualTlsServer(files: TlsFiles, listener: RequestListener): Server {
--- a/src/standins/vmList.ts
+++ b/src/standins/vmList.ts
@@ -73,19 +73,19 @@
 
     /** Adds a VM or replaces the one with its identifier. */
     set(vm: Vm): void {
-        this.#change("set", vm.id, new Map(this.#getTruth()).set(vm.id, vm));
+        this.#addSnapshot("set", vm.id, new Map(this.#getCurrentVms()).set(vm.id, vm));
     }
 
     /** Takes a VM away. */
     remove(id: string): void {
-        const vms = new Map(this.#getTruth());
+        const vms = new Map(this.#getCurrentVms());
         vms.delete(id);
-        this.#change("remove", id, vms);
+        this.#addSnapshot("remove", id, vms);
     }
 
     #addRoutes(router: Router): void {
         router.get("/vms", context => {
-            const { time, vms } = this.#getVisible();
+            const { time, vms } = this.#getVisibleSnapshot();
             const list = [...vms.values()];
             context.body = { time, vms: list };
             // The time is left out: it changes although the list does not.
@@ -113,7 +113,7 @@
     }
 
     #markLeaving(context: Koa.Context, id: string): void {
-        const vm = this.#getTruth().get(id);
+        const vm = this.#getCurrentVms().get(id);
         if (vm === undefined) {
             answerProblem(context, 404, "no-vm", `There is no VM ${id}. Add it with PUT /vms/${id}.`);
             return;
@@ -122,22 +122,22 @@
         context.status = 204;
     }
 
-    #getTruth(): ReadonlyMap<string, Vm> {
+    #getCurrentVms(): ReadonlyMap<string, Vm> {
         return this.#snapshots[this.#snapshots.length - 1].vms;
     }
 
     /** Returns the newest state that the lag lets through, and forgets the older ones. */
-    #getVisible(): Snapshot {
+    #getVisibleSnapshot(): Snapshot {
         const visibleAt = systemClock.wall() - this.#conditions.get().lagMilliseconds;
-        let place = this.#snapshots.length - 1;
-        while (place > 0 && this.#snapshots[place].time > visibleAt) {
-            place -= 1;
+        let index = this.#snapshots.length - 1;
+        while (index > 0 && this.#snapshots[index].time > visibleAt) {
+            index -= 1;
         }
-        this.#snapshots = this.#snapshots.slice(place);
+        this.#snapshots = this.#snapshots.slice(index);
         return { time: visibleAt, vms: this.#snapshots[0].vms };
     }
 
-    #change(change: string, id: string, vms: ReadonlyMap<string, Vm>): void {
+    #addSnapshot(change: string, id: string, vms: ReadonlyMap<string, Vm>): void {
         const time = systemClock.wall();
         this.#journal.push({ change, id, time });
         this.#snapshots.push({ time, vms });
--- a/src/testbench/addressBlock.ts
+++ b/src/testbench/addressBlock.ts
@@ -9,7 +9,7 @@
 export class AddressBlock {
     readonly #prefix: string;
     readonly #port = firstPort + process.pid % portCount;
-    #last = 0;
+    #lastHostNumber = 0;
 
     /** @param prefix - The first three bytes, such as `127.10.3`. */
     constructor(prefix: string) {
@@ -18,7 +18,7 @@
 
     /** Returns the next address as `HOST:PORT`. */
     next(): string {
-        this.#last += 1;
-        return `${this.#prefix}.${this.#last}:${this.#port}`;
+        this.#lastHostNumber += 1;
+        return `${this.#prefix}.${this.#lastHostNumber}:${this.#port}`;
     }
 }
--- a/src/testbench/endWithParent.ts
+++ b/src/testbench/endWithParent.ts
@@ -3,10 +3,10 @@
  */
 import type { ChildProcess } from "node:child_process";
 
-const terminatedCode = 143;
+const sigtermExitCode = 143;
 
 const children = new Set<ChildProcess>();
-let isWatching = false;
+let hasInstalledHandlers = false;
 
 function killChildren(): void {
     for (const child of children) {
@@ -19,7 +19,7 @@
 /** A test file that takes too long is ended by a signal, which by itself would leave its children running. */
 function exitUnlessHandled(): void {
     if (process.listenerCount("SIGTERM") === 0) {
-        process.exit(terminatedCode);
+        process.exit(sigtermExitCode);
     }
 }
 
@@ -28,8 +28,8 @@
  * @param child - The child.
  */
 export function endWithParent(child: ChildProcess): void {
-    if (!isWatching) {
-        isWatching = true;
+    if (!hasInstalledHandlers) {
+        hasInstalledHandlers = true;
         process.once("exit", killChildren);
         process.once("SIGTERM", exitUnlessHandled);
     }
--- a/src/testbench/runningProcess.ts
+++ b/src/testbench/runningProcess.ts
@@ -6,9 +6,9 @@
 import type { EventLine } from "../events/index.js";
 import { endWithParent } from "./endWithParent.js";
 
-const readyBoundMilliseconds = 20_000;
-const stopBoundMilliseconds = 30_000;
-const keptLines = 5000;
+const readyTimeoutMilliseconds = 20_000;
+const stopTimeoutMilliseconds = 30_000;
+const maxRetainedLines = 5000;
 
 /** What a process is started from. */
 export interface ProcessOptions {
@@ -92,9 +92,9 @@
      */
     async stop(): Promise<number | undefined> {
         this.signal("SIGTERM");
-        const bound = setTimeout(() => this.#child.kill("SIGKILL"), stopBoundMilliseconds);
+        const killTimer = setTimeout(() => this.#child.kill("SIGKILL"), stopTimeoutMilliseconds);
         const code = await this.#exited;
-        clearTimeout(bound);
+        clearTimeout(killTimer);
         return code;
     }
 
@@ -128,9 +128,9 @@
                     resolve(true);
                 }
             });
-            this.#readLines(this.#child.stderr, line => this.#takeEvent(line));
+            this.#readLines(this.#child.stderr, line => this.#parseEvent(line));
             void this.#exited.then(() => resolve(false));
-            setTimeout(() => resolve(false), readyBoundMilliseconds).unref();
+            setTimeout(() => resolve(false), readyTimeoutMilliseconds).unref();
         });
         if (!await ready) {
             await this.kill();
@@ -138,20 +138,20 @@
         }
     }
 
-    #readLines(stream: ChildProcess["stdout"], take: (line: string) => void): void {
+    #readLines(stream: ChildProcess["stdout"], onLine: (line: string) => void): void {
         if (!stream) {
             return;
         }
         createInterface({ input: stream }).on("line", line => {
             this.#lines.push(line);
-            if (this.#lines.length > keptLines) {
+            if (this.#lines.length > maxRetainedLines) {
                 this.#lines.shift();
             }
-            take(line);
+            onLine(line);
         });
     }
 
-    #takeEvent(line: string): void {
+    #parseEvent(line: string): void {
         const match = /rattanlock:\w+ (\{.*\})/.exec(line);
         if (match) {
             this.#events.push(JSON.parse(match[1]) as EventLine);
--- a/src/testbench/site/site.ts
+++ b/src/testbench/site/site.ts
@@ -26,22 +26,22 @@
 const lastBytes = { platform: 1, runners: 20, services: 80, entries: 100, links: 180 } as const;
 const peerPortOffset = 1;
 const operatorPortOffset = 2;
-const ownListPortOffset = 3;
+const vmListPortOffset = 3;
 const linkPortOffset = 10;
 const firstPort = 10_000;
 /** A site uses this many ports at most; sites of test processes that start one after the other stay apart. */
-const portsOfSite = 100;
+const portsPerSite = 100;
 const siteCount = 200;
 
 /** The platform's stand-ins. */
-export type PlatformPart = "log" | "vm-list" | "rating" | "weight-store" | "proxy";
+export type PlatformService = "log" | "vm-list" | "rating" | "weight-store" | "proxy";
 
 /** An entry of a site. */
 export interface SiteEntry {
     readonly name: string;
     readonly failureDomain: string;
-    readonly callers: string;
-    readonly operators: string;
+    readonly callerAddress: string;
+    readonly operatorAddress: string;
     readonly process: RunningProcess;
 }
 
@@ -49,10 +49,10 @@
 export class Site {
     readonly #group: ProcessGroup;
     readonly #description: SiteDescription;
-    readonly #port = firstPort + portsOfSite * (process.pid % siteCount);
-    readonly #platform = new Map<PlatformPart, string>();
-    readonly #log = new SiteLog(() => this.getPlatform("log"));
-    readonly #platformProcesses = new Map<PlatformPart, RunningProcess>();
+    readonly #port = firstPort + portsPerSite * (process.pid % siteCount);
+    readonly #platformAddresses = new Map<PlatformService, string>();
+    readonly #log = new SiteLog(() => this.getPlatformAddress("log"));
+    readonly #platformProcesses = new Map<PlatformService, RunningProcess>();
     readonly #upstreams = new Map<string, RunningProcess>();
     readonly #entries = new Map<string, SiteEntry>();
     readonly #links: SiteLinks;
@@ -62,11 +62,14 @@
         this.#group = group;
         this.#description = description;
         this.#links = new SiteLinks({
-            getProxy: () => this.getPlatform("proxy"),
+            getProxyAddress: () => this.getPlatformAddress("proxy"),
             host: `${description.prefix}.${lastBytes.links}`,
             port: this.#port + linkPortOffset,
         });
-        this.#vmLists = new VmLists({ getSiteList: () => this.getPlatform("vm-list"), links: this.#links });
+        this.#vmLists = new VmLists({
+            getPlatformListAddress: () => this.getPlatformAddress("vm-list"),
+            links: this.#links,
+        });
     }
 
     /**
@@ -89,19 +92,19 @@
     }
 
     /** Returns where a part of the platform listens. */
-    getPlatform(part: PlatformPart): string {
-        const address = this.#platform.get(part);
+    getPlatformAddress(service: PlatformService): string {
+        const address = this.#platformAddresses.get(service);
         if (address === undefined) {
-            throw new Error(`The site has no ${part}.`);
+            throw new Error(`The site has no ${service}.`);
         }
         return address;
     }
 
     /** Returns the process of a part of the platform. */
-    getPlatformProcess(part: PlatformPart): RunningProcess {
-        const process = this.#platformProcesses.get(part);
+    getPlatformProcess(service: PlatformService): RunningProcess {
+        const process = this.#platformProcesses.get(service);
         if (process === undefined) {
-            throw new Error(`The site has no ${part}.`);
+            throw new Error(`The site has no ${service}.`);
         }
         return process;
     }
@@ -149,8 +152,8 @@
         const entry = {
             name,
             failureDomain: vm.failureDomain,
-            callers: `${vm.address}:${vm.port}`,
-            operators: `${vm.address}:${vm.port + operatorPortOffset}`,
+            callerAddress: `${vm.address}:${vm.port}`,
+            operatorAddress: `${vm.address}:${vm.port + operatorPortOffset}`,
             process: started,
         };
         this.#entries.set(name, entry);
@@ -163,7 +166,7 @@
      * @param id - The new VM's identifier.
      */
     async replaceEntry(name: string, id: string): Promise<SiteEntry> {
-        if (this.#description.hasLinks === true) {
+        if (this.#description.hasProxiedLinks === true) {
             throw new Error("The site has links; replace entries on a site without them.");
         }
         const vm = this.#vmLists.getVmOrThrow(name);
@@ -182,13 +185,13 @@
                 const status = await this.getStatus(entry.name);
                 const alive = status.members.filter(member => member.state === "alive").length;
                 return status.ready && alive >= running.length && status.upstreams.length > 0;
-            }, { what: `${entry.name} to serve` });
+            }, { description: `${entry.name} to serve` });
         }
     }
 
     /** Returns what an entry tells operators. */
     getStatus(name: string): Promise<EntryStatus> {
-        return callJson<EntryStatus>({ address: this.getEntryOrThrow(name).operators, path: "/status" });
+        return callJson<EntryStatus>({ address: this.getEntryOrThrow(name).operatorAddress, path: "/status" });
     }
 
     /**
@@ -199,8 +202,8 @@
      * @returns The record's offset.
      */
     async publish(changes: readonly Change[], author = "operator", basedOn?: number): Promise<number> {
-        const known = basedOn ?? await this.#log.getEnd("config");
-        const publication = { author, reason: "test", basedOn: known, changes };
+        const baseOffset = basedOn ?? await this.#log.getEnd("config");
+        const publication = { author, reason: "test", basedOn: baseOffset, changes };
         return this.append("config", createPublishRecord(publication, author));
     }
 
@@ -232,11 +235,12 @@
      * @param offset - The offset of the record.
      * @param names - The entries; all running ones by default.
      */
-    async waitInForce(offset: number, names?: readonly string[]): Promise<void> {
-        const wanted = names ?? this.getEntries().filter(entry => !entry.process.hasExited()).map(entry => entry.name);
-        for (const name of wanted) {
+    async waitUntilApplied(offset: number, names?: readonly string[]): Promise<void> {
+        const entryNames = names
+            ?? this.getEntries().filter(entry => !entry.process.hasExited()).map(entry => entry.name);
+        for (const name of entryNames) {
             await waitUntil(async () => (await this.getStatus(name)).configurationOffset > offset, {
-                what: `configuration ${offset} in force at ${name}`,
+                description: `configuration ${offset} in force at ${name}`,
             });
         }
     }
@@ -247,7 +251,7 @@
      * @param to - `log`, `rating`, an entry or an upstream.
      * @param faults - Faults as the proxy knows them.
      */
-    async setLink(from: string, to: string, faults: object): Promise<void> {
+    async setLinkFaults(from: string, to: string, faults: object): Promise<void> {
         await this.#links.setFaults(from, to, faults);
     }
 
@@ -261,19 +265,23 @@
     }
 
     async #startPlatform(): Promise<void> {
-        const { logSettings, ratingSettings, hasLinks } = this.#description;
-        const kinds: [PlatformPart, Readonly<Record<string, string | number | boolean>>][] = [
+        const { logSettings, ratingSettings, hasProxiedLinks } = this.#description;
+        const kinds: [PlatformService, Readonly<Record<string, string | number | boolean>>][] = [
             ["log", logSettings ?? {}],
             ["vm-list", {}],
             ["rating", ratingSettings ?? {}],
             ["weight-store", {}],
         ];
-        if (hasLinks === true) {
+        if (hasProxiedLinks === true) {
             kinds.push(["proxy", {}]);
         }
         for (const [index, [kind, settings]] of kinds.entries()) {
-            const started = await this.#group.startStandin(kind, this.#at(lastBytes.platform + index), settings);
-            this.#platform.set(kind, started.getAddress());
+            const started = await this.#group.startStandin(
+                kind,
+                this.#formatAddress(lastBytes.platform + index),
+                settings,
+            );
+            this.#platformAddresses.set(kind, started.getAddress());
             this.#platformProcesses.set(kind, started);
         }
     }
@@ -306,16 +314,20 @@
         await Promise.all(starts);
     }
 
-    async #startUpstream(start: UpstreamStart): Promise<void> {
-        const started = await this.#group.startStandin(start.kind, this.#at(start.lastByte), start.settings);
-        this.#upstreams.set(start.name, started);
+    async #startUpstream(options: UpstreamOptions): Promise<void> {
+        const started = await this.#group.startStandin(
+            options.kind,
+            this.#formatAddress(options.lastByte),
+            options.settings,
+        );
+        this.#upstreams.set(options.name, started);
         const vm: Vm = {
-            id: start.name,
-            address: `${this.#description.prefix}.${start.lastByte}`,
-            port: this.#port + Number(start.settings["tls.portOffset"] ?? 0),
-            role: start.kind === "engine" ? "runner" : "service",
-            pool: start.pool,
-            failureDomain: start.failureDomain,
+            id: options.name,
+            address: `${this.#description.prefix}.${options.lastByte}`,
+            port: this.#port + Number(options.settings["tls.portOffset"] ?? 0),
+            role: options.kind === "engine" ? "runner" : "service",
+            pool: options.pool,
+            failureDomain: options.failureDomain,
             region: this.#description.name,
             state: "live",
         };
@@ -323,7 +335,7 @@
     }
 
     async #addEntryVm(name: string, index: number): Promise<void> {
-        const { failureDomains, prefix, hasLinks } = this.#description;
+        const { failureDomains, prefix, hasProxiedLinks } = this.#description;
         const vm: Vm = {
             id: name,
             address: `${prefix}.${lastBytes.entries + index}`,
@@ -335,17 +347,17 @@
             state: "live",
             peerPort: this.#port + peerPortOffset,
         };
-        if (hasLinks === true) {
-            const list = await this.#group.startStandin("vm-list", `${vm.address}:${this.#port + ownListPortOffset}`);
-            await this.#vmLists.addOwnList(name, list.getAddress());
+        if (hasProxiedLinks === true) {
+            const list = await this.#group.startStandin("vm-list", `${vm.address}:${this.#port + vmListPortOffset}`);
+            await this.#vmLists.addEntryList(name, list.getAddress());
         }
         await this.#vmLists.add(vm);
     }
 
     async #writeSettings(vm: Vm): Promise<string> {
-        const reach = async (part: "log" | "rating"): Promise<string> => {
-            const target = this.getPlatform(part);
-            return this.#description.hasLinks === true ? this.#links.add(vm.id, part, target) : target;
+        const getRoutedAddress = async (service: "log" | "rating"): Promise<string> => {
+            const target = this.getPlatformAddress(service);
+            return this.#description.hasProxiedLinks === true ? this.#links.add(vm.id, service, target) : target;
         };
         return writeEntrySettings({
             name: vm.id,
@@ -354,19 +366,19 @@
             callers: `${vm.address}:${vm.port}`,
             peers: `${vm.address}:${vm.peerPort}`,
             operators: `${vm.address}:${vm.port + operatorPortOffset}`,
-            log: await reach("log"),
-            vmList: this.#vmLists.getListOf(vm.id),
-            rating: await reach("rating"),
-            weightStore: this.getPlatform("weight-store"),
-        }, { ...this.#description.entrySettings, ...this.#description.singleEntrySettings?.[vm.id] });
+            log: await getRoutedAddress("log"),
+            vmList: this.#vmLists.getListAddress(vm.id),
+            rating: await getRoutedAddress("rating"),
+            weightStore: this.getPlatformAddress("weight-store"),
+        }, { ...this.#description.entrySettings, ...this.#description.perEntrySettings?.[vm.id] });
     }
 
-    #at(lastByte: number): string {
+    #formatAddress(lastByte: number): string {
         return `${this.#description.prefix}.${lastByte}:${this.#port}`;
     }
 }
 
-interface UpstreamStart {
+interface UpstreamOptions {
     readonly name: string;
     readonly kind: "engine" | "service";
     readonly pool: string;
--- a/src/testbench/site/siteDescription.ts
+++ b/src/testbench/site/siteDescription.ts
@@ -48,7 +48,7 @@
     /** Sections of the entries' settings that differ from the defaults. */
     readonly entrySettings?: Readonly<Record<string, Readonly<Record<string, string>>>>;
     /** The same for single entries, by name; what stands here goes before `entrySettings`. */
-    readonly singleEntrySettings?: Readonly<Record<string, SiteDescription["entrySettings"]>>;
+    readonly perEntrySettings?: Readonly<Record<string, SiteDescription["entrySettings"]>>;
     /** Conditions of the log at the start. */
     readonly logSettings?: Readonly<Record<string, string | number | boolean>>;
     /** Conditions of the rating service at the start. */
@@ -56,7 +56,7 @@
     /** Variables of the entries' environment that differ; `DEBUG` shows which events they write. */
     readonly entryEnvironment?: Readonly<Record<string, string>>;
     /** Whether each directed link of an entry goes through the fault-injecting proxy. */
-    readonly hasLinks?: boolean;
+    readonly hasProxiedLinks?: boolean;
 }
 
 /**
--- a/src/testbench/site/siteFiles.ts
+++ b/src/testbench/site/siteFiles.ts
@@ -44,11 +44,11 @@
 /**
  * Writes the settings file of an entry and returns its path.
  * @param addresses - Where the entry and what it talks to listen.
- * @param changes - Sections that differ from the defaults.
+ * @param overrides - Sections that differ from the defaults.
  */
 export function writeEntrySettings(
     addresses: EntryAddresses,
-    changes: SiteDescription["entrySettings"] = {},
+    overrides: SiteDescription["entrySettings"] = {},
 ): string {
     const folder = mkdtempSync(join(tmpdir(), "rattanlock-site-"));
     const path = join(folder, `${addresses.name}.ini`);
@@ -65,9 +65,9 @@
             rating_url: `http://${addresses.rating}`,
             weight_store_url: `http://${addresses.weightStore}`,
         },
-        timing: { ...testTiming, ...changes.timing },
-        session: { signing_key: "a-signing-key-for-tests-and-demos-only", ...changes.session },
-        ...pickOthers(changes),
+        timing: { ...testTiming, ...overrides.timing },
+        session: { signing_key: "a-signing-key-for-tests-and-demos-only", ...overrides.session },
+        ...omitBaseSections(overrides),
     };
     writeFileSync(path, stringify(sections));
     return path;
@@ -122,9 +122,9 @@
     return settings;
 }
 
-function pickOthers(changes: NonNullable<SiteDescription["entrySettings"]>) {
+function omitBaseSections(overrides: NonNullable<SiteDescription["entrySettings"]>) {
     const others: Record<string, Readonly<Record<string, string>>> = {};
-    for (const [section, keys] of Object.entries(changes)) {
+    for (const [section, keys] of Object.entries(overrides)) {
         if (section !== "timing" && section !== "session") {
             others[section] = keys;
         }
--- a/src/testbench/site/siteLinks.ts
+++ b/src/testbench/site/siteLinks.ts
@@ -7,7 +7,7 @@
 /** What links are made from. */
 export interface SiteLinksOptions {
     /** Gets where the proxy is controlled. */
-    readonly getProxy: () => string;
+    readonly getProxyAddress: () => string;
     /** The IP number that routes listen at. */
     readonly host: string;
     /** Routes listen above this port. */
@@ -31,15 +31,16 @@
      * @returns Where the link listens.
      */
     async add(from: string, to: string, target: string): Promise<string> {
-        const { getProxy, host, port } = this.#options;
+        const { getProxyAddress, host, port } = this.#options;
         const name = getLinkName(from, to);
-        const known = (await callJson<Record<string, string>>({ address: getProxy(), path: "/routes" }))[name];
-        if (known !== undefined) {
-            return known;
+        const existing =
+            (await callJson<Record<string, string>>({ address: getProxyAddress(), path: "/routes" }))[name];
+        if (existing !== undefined) {
+            return existing;
         }
         this.#count += 1;
         const { listen } = await callJson<{ listen: string; }>({
-            address: getProxy(),
+            address: getProxyAddress(),
             path: `/routes/${encodeURIComponent(name)}`,
             method: "PUT",
             body: { listen: `${host}:${port + this.#count}`, target },
@@ -54,7 +55,7 @@
      * @param faults - Faults as the proxy knows them.
      */
     async setFaults(from: string, to: string, faults: object): Promise<void> {
-        await setFaults(this.#options.getProxy(), { route: getLinkName(from, to), ...faults });
+        await setFaults(this.#options.getProxyAddress(), { route: getLinkName(from, to), ...faults });
     }
 }
 
--- a/src/testbench/site/vmLists.ts
+++ b/src/testbench/site/vmLists.ts
@@ -9,7 +9,7 @@
 /** What lists are made from. */
 export interface VmListsOptions {
     /** Gets where the platform's list listens. */
-    readonly getSiteList: () => string;
+    readonly getPlatformListAddress: () => string;
     readonly links: SiteLinks;
 }
 
@@ -17,7 +17,7 @@
 export class VmLists {
     readonly #options: VmListsOptions;
     readonly #vms = new Map<string, Vm>();
-    readonly #ownLists = new Map<string, string>();
+    readonly #entryListAddresses = new Map<string, string>();
 
     constructor(options: VmListsOptions) {
         this.#options = options;
@@ -33,8 +33,8 @@
     }
 
     /** Returns the address of the list that an entry reads. */
-    getListOf(entry: string): string {
-        return this.#ownLists.get(entry) ?? this.#options.getSiteList();
+    getListAddress(entry: string): string {
+        return this.#entryListAddresses.get(entry) ?? this.#options.getPlatformListAddress();
     }
 
     /**
@@ -42,19 +42,19 @@
      * @param entry - Identifier of the entry.
      * @param address - Where the list listens.
      */
-    async addOwnList(entry: string, address: string): Promise<void> {
-        this.#ownLists.set(entry, address);
+    async addEntryList(entry: string, address: string): Promise<void> {
+        this.#entryListAddresses.set(entry, address);
         for (const vm of this.#vms.values()) {
-            await this.#showAt(entry, address, vm);
+            await this.#putIntoEntryList(entry, address, vm);
         }
     }
 
     /** Adds a VM to all lists. */
     async add(vm: Vm): Promise<void> {
         this.#vms.set(vm.id, vm);
-        await putVm(this.#options.getSiteList(), vm);
-        for (const [entry, list] of this.#ownLists) {
-            await this.#showAt(entry, list, vm);
+        await putVm(this.#options.getPlatformListAddress(), vm);
+        for (const [entry, list] of this.#entryListAddresses) {
+            await this.#putIntoEntryList(entry, list, vm);
         }
     }
 
@@ -74,32 +74,32 @@
             await this.add(this.getVmOrThrow(id));
             return;
         }
-        for (const address of [this.#options.getSiteList(), ...this.#ownLists.values()]) {
+        for (const address of [this.#options.getPlatformListAddress(), ...this.#entryListAddresses.values()]) {
             await (state === "gone"
                 ? callJson({ address, path: `/vms/${id}`, method: "DELETE" })
                 : callJson({ address, path: `/vms/${id}/leaving`, method: "POST" }));
         }
     }
 
-    async #showAt(entry: string, list: string, vm: Vm): Promise<void> {
+    async #putIntoEntryList(entry: string, listAddress: string, vm: Vm): Promise<void> {
         if (vm.id === entry) {
-            await putVm(list, vm);
+            await putVm(listAddress, vm);
             return;
         }
         const target = `${vm.address}:${vm.role === "entry" ? vm.peerPort : vm.port}`;
-        const link = splitAddress(await this.#options.links.add(entry, vm.id, target));
+        const linkAddress = splitAddress(await this.#options.links.add(entry, vm.id, target));
         // An entry calls the others at their peer port only, so the port for callers stays as it is.
         await putVm(
-            list,
+            listAddress,
             vm.role === "entry"
-                ? { ...vm, address: link.host, peerPort: link.port }
-                : { ...vm, address: link.host, port: link.port },
+                ? { ...vm, address: linkAddress.host, peerPort: linkAddress.port }
+                : { ...vm, address: linkAddress.host, port: linkAddress.port },
         );
     }
 }
 
-async function putVm(list: string, vm: Vm): Promise<void> {
-    await callJson({ address: list, path: `/vms/${vm.id}`, method: "PUT", body: vm });
+async function putVm(listAddress: string, vm: Vm): Promise<void> {
+    await callJson({ address: listAddress, path: `/vms/${vm.id}`, method: "PUT", body: vm });
 }
 
 function splitAddress(address: string): { readonly host: string; readonly port: number; } {
--- a/src/testbench/judge.ts
+++ b/src/testbench/siteChecks.ts
@@ -50,12 +50,12 @@
             continue;
         }
         for (
-            const note of await getJournal<Omit<EngineRun, "runner"> & { readonly kind: string; }>(
+            const journalEntry of await getJournal<Omit<EngineRun, "runner"> & { readonly kind: string; }>(
                 upstream.getAddress(),
             )
         ) {
-            if (note.kind === "request") {
-                runs.push({ ...note, runner: name });
+            if (journalEntry.kind === "request") {
+                runs.push({ ...journalEntry, runner: name });
             }
         }
     }
@@ -68,8 +68,8 @@
  * @param runs - What the services counted.
  * @param calls - What the callers were told.
  */
-export function findRunFaults(runs: readonly ServiceRun[], calls: readonly KeyedCall[]): readonly string[] {
-    const faults: string[] = [];
+export function findRunViolations(runs: readonly ServiceRun[], calls: readonly KeyedCall[]): readonly string[] {
+    const violations: string[] = [];
     const counts = new Map<string, number>();
     for (const { key } of runs) {
         if (key !== undefined) {
@@ -78,19 +78,19 @@
     }
     for (const [key, count] of counts) {
         if (count > 1) {
-            faults.push(`The key ${key} ran ${count} times.`);
+            violations.push(`The key ${key} ran ${count} times.`);
         }
     }
-    const ranRequests = new Set(runs.map(run => run.request));
+    const executedRequestIds = new Set(runs.map(run => run.request));
     for (const { key, record } of calls) {
-        if (record.outcome === "not-run" && ranRequests.has(record.requestId)) {
-            faults.push(`The request ${record.requestId} with the key ${key} was called "not run" and ran.`);
+        if (record.outcome === "not-run" && executedRequestIds.has(record.requestId)) {
+            violations.push(`The request ${record.requestId} with the key ${key} was called "not run" and ran.`);
         }
         if (record.status === 200 && counts.get(key) === undefined) {
-            faults.push(`The key ${key} was answered and never ran.`);
+            violations.push(`The key ${key} was answered and never ran.`);
         }
     }
-    return faults;
+    return violations;
 }
 
 /**
@@ -99,27 +99,27 @@
  * @param site - The site, whose log holds the bills.
  * @param chats - What the callers got.
  */
-export async function findBillFaults(site: Site, chats: readonly ChatRecord[]): Promise<readonly string[]> {
-    const faults: string[] = [];
+export async function findBillViolations(site: Site, chats: readonly ChatRecord[]): Promise<readonly string[]> {
+    const violations: string[] = [];
     const bills = await site.readBills();
     for (const chat of chats) {
-        if (!chat.isWhole) {
+        if (!chat.isComplete) {
             continue;
         }
         const bill = bills.get(chat.requestId ?? "");
-        const last = bill?.lines.at(-1);
-        if (last === undefined) {
-            faults.push(`The request ${chat.requestId} was answered and has no bill.`);
+        const lastLine = bill?.lines.at(-1);
+        if (lastLine === undefined) {
+            violations.push(`The request ${chat.requestId} was answered and has no bill.`);
             continue;
         }
-        if (last.outputTokens !== chat.completionTokens) {
-            faults.push(
-                `The request ${chat.requestId} is billed ${last.outputTokens} of ${chat.completionTokens} tokens.`,
+        if (lastLine.outputTokens !== chat.completionTokens) {
+            violations.push(
+                `The request ${chat.requestId} is billed ${lastLine.outputTokens} of ${chat.completionTokens} tokens.`,
             );
         }
-        if (!chat.text.startsWith(`answer ${chat.requestId}.`) || !chat.text.includes(` by ${last.version}:`)) {
-            faults.push(`The request ${chat.requestId} got the answer "${chat.text.slice(0, 60)}".`);
+        if (!chat.text.startsWith(`answer ${chat.requestId}.`) || !chat.text.includes(` by ${lastLine.version}:`)) {
+            violations.push(`The request ${chat.requestId} got the answer "${chat.text.slice(0, 60)}".`);
         }
     }
-    return faults;
+    return violations;
 }
--- a/src/testbench/standinControl.ts
+++ b/src/testbench/standinControl.ts
@@ -9,6 +9,6 @@
 }
 
 /** Returns a stand-in's journal, from a note on. */
-export function getJournal<Note>(address: string, from = 0): Promise<readonly Note[]> {
-    return callJson<readonly Note[]>({ address, path: `/journal?from=${from}` });
+export function getJournal<JournalEntry>(address: string, from = 0): Promise<readonly JournalEntry[]> {
+    return callJson<readonly JournalEntry[]>({ address, path: `/journal?from=${from}` });
 }
