--- a/src/testbench/traffic.ts
+++ b/src/testbench/traffic.ts
@@ -4,15 +4,15 @@
 import { randomUUID } from "node:crypto";
 import { setTimeout as sleep } from "node:timers/promises";
 import { type Caller, type ChatRecord, type ServiceRecord } from "../caller/index.js";
-import type { KeyedCall } from "./judge.js";
+import type { KeyedCall } from "./siteChecks.js";
 
 const pauseMilliseconds = 10;
 /** A caller that is told to come back later waits this long at most, so that load goes on. */
-const longestWaitMilliseconds = 500;
+const maxWaitMilliseconds = 500;
 const sessionTurns = 3;
-const maximumResumptions = 20;
+const maxResumptions = 20;
 const resumptionPauseMilliseconds = 250;
-const maximumPrintTries = 4;
+const maxPrintAttempts = 4;
 
 /** What the callers do. */
 export interface TrafficOptions {
@@ -21,12 +21,12 @@
     readonly model?: string;
     /** The pool of the plain service. */
     readonly pool: string;
-    readonly chatters: number;
-    readonly printers: number;
+    readonly chatCallers: number;
+    readonly printCallers: number;
     /** Gives `HOST:PORT` for the next request. */
     readonly getEntry: () => Promise<string>;
     /** Whether broken answers are taken up at the next entry. */
-    readonly resumes: boolean;
+    readonly resumesBrokenAnswers: boolean;
 }
 
 /** A chat completion with its circumstances. */
@@ -53,11 +53,11 @@
 
     /** Starts the callers. */
     start(): void {
-        for (let index = 0; index < this.#options.chatters; index += 1) {
-            this.#loops.push(this.#runChatter(index));
+        for (let index = 0; index < this.#options.chatCallers; index += 1) {
+            this.#loops.push(this.#runChatCaller(index));
         }
-        for (let index = 0; index < this.#options.printers; index += 1) {
-            this.#loops.push(this.#runPrinter());
+        for (let index = 0; index < this.#options.printCallers; index += 1) {
+            this.#loops.push(this.#runPrintCaller());
         }
     }
 
@@ -78,7 +78,7 @@
     }
 
     /** Every third caller holds conversations, half of which show the session token of the answer before. */
-    async #runChatter(index: number): Promise<void> {
+    async #runChatCaller(index: number): Promise<void> {
         const holdsSessions = index % 3 === 2;
         while (!this.#isStopped) {
             const session = holdsSessions ? randomUUID() : undefined;
@@ -95,16 +95,16 @@
         const { caller, key, model, getEntry } = this.#options;
         const entry = await getEntry();
         const startedAt = Date.now();
-        const ask = { entry, key, model, text: "Does the tray hold nuts?", streamed, session, sessionToken };
-        const record = await this.#resume(await caller.chat(ask));
+        const request = { entry, key, model, text: "Does the tray hold nuts?", streamed, session, sessionToken };
+        const record = await this.#resume(await caller.chat(request));
         this.#chats.push({ record, entry, session, startedAt, endedAt: Date.now() });
         return record;
     }
 
-    async #resume(broken: ChatRecord): Promise<ChatRecord> {
-        let record = broken;
-        for (let count = 0; count < maximumResumptions; count += 1) {
-            if (!this.#options.resumes || record.isWhole || record.resumeToken === undefined) {
+    async #resume(partial: ChatRecord): Promise<ChatRecord> {
+        let record = partial;
+        for (let count = 0; count < maxResumptions; count += 1) {
+            if (!this.#options.resumesBrokenAnswers || record.isComplete || record.resumeToken === undefined) {
                 return record;
             }
             await sleep(resumptionPauseMilliseconds);
@@ -115,10 +115,10 @@
         return record;
     }
 
-    async #runPrinter(): Promise<void> {
+    async #runPrintCaller(): Promise<void> {
         while (!this.#isStopped) {
             const key = randomUUID();
-            for (let attempt = 0; attempt < maximumPrintTries; attempt += 1) {
+            for (let attempt = 0; attempt < maxPrintAttempts; attempt += 1) {
                 const record = await this.#print(key);
                 this.#prints.push({ key, record });
                 await pause(record.retryAfterSeconds);
@@ -142,24 +142,24 @@
  * @param chats - The chat completions.
  * @param prints - The calls to plain services.
  */
-export function findUntoldErrors(chats: readonly TrafficChat[], prints: readonly KeyedCall[]): readonly string[] {
-    const faults: string[] = [];
+export function findUnreportedErrors(chats: readonly TrafficChat[], prints: readonly KeyedCall[]): readonly string[] {
+    const errors: string[] = [];
     for (const { record, entry, startedAt } of chats) {
-        const isTold = record.outcome === "not-run" && record.retryAfterSeconds !== undefined;
-        if (!record.isWhole && !isTold) {
-            faults.push(`A chat at ${entry} (began at ${startedAt}) ended with ${record.status} ${record.problem}.`);
+        const isReported = record.outcome === "not-run" && record.retryAfterSeconds !== undefined;
+        if (!record.isComplete && !isReported) {
+            errors.push(`A chat at ${entry} (began at ${startedAt}) ended with ${record.status} ${record.problem}.`);
         }
     }
     for (const { key, record } of prints) {
-        const isTold = record.outcome === "not-run" && record.retryAfterSeconds !== undefined;
-        if (record.status !== 200 && !isTold) {
-            faults.push(`The print ${key} ended with ${record.status} ${record.outcome} ${record.text.slice(0, 120)}.`);
+        const isReported = record.outcome === "not-run" && record.retryAfterSeconds !== undefined;
+        if (record.status !== 200 && !isReported) {
+            errors.push(`The print ${key} ended with ${record.status} ${record.outcome} ${record.text.slice(0, 120)}.`);
         }
     }
-    return faults;
+    return errors;
 }
 
 async function pause(retryAfterSeconds: number | undefined): Promise<void> {
-    const wanted = retryAfterSeconds === undefined ? pauseMilliseconds : retryAfterSeconds * 1000;
-    await sleep(Math.min(longestWaitMilliseconds, Math.max(pauseMilliseconds, wanted)));
+    const requestedMilliseconds = retryAfterSeconds === undefined ? pauseMilliseconds : retryAfterSeconds * 1000;
+    await sleep(Math.min(maxWaitMilliseconds, Math.max(pauseMilliseconds, requestedMilliseconds)));
 }
--- a/src/testbench/waitUntil.ts
+++ b/src/testbench/waitUntil.ts
@@ -4,15 +4,15 @@
 import { setTimeout as sleep } from "node:timers/promises";
 
 const pollMilliseconds = 20;
-const defaultBoundMilliseconds = 20_000;
+const defaultTimeoutMilliseconds = 20_000;
 
 /** How a wait ends without success. */
 export interface WaitOptions {
     /** What is waited for, for the error's message. */
-    readonly what: string;
-    readonly boundMilliseconds?: number;
+    readonly description: string;
+    readonly timeoutMilliseconds?: number;
     /** Describes what was there in place of it, for the error's message. */
-    readonly describe?: () => string;
+    readonly describeState?: () => string;
 }
 
 /**
@@ -24,15 +24,15 @@
     condition: () => Value | Promise<Value>,
     options: WaitOptions,
 ): Promise<Exclude<Value, undefined | false>> {
-    const { what, boundMilliseconds = defaultBoundMilliseconds } = options;
-    const end = performance.now() + boundMilliseconds;
-    while (performance.now() < end) {
+    const { description, timeoutMilliseconds = defaultTimeoutMilliseconds } = options;
+    const deadline = performance.now() + timeoutMilliseconds;
+    while (performance.now() < deadline) {
         const value = await condition();
         if (value !== undefined && value !== false) {
             return value as Exclude<Value, undefined | false>;
         }
         await sleep(pollMilliseconds);
     }
-    const found = options.describe === undefined ? "" : ` Found: ${options.describe()}.`;
-    throw new Error(`Waited ${boundMilliseconds} ms in vain for ${what}.${found}`);
+    const foundState = options.describeState === undefined ? "" : ` Found: ${options.describeState()}.`;
+    throw new Error(`Waited ${timeoutMilliseconds} ms in vain for ${description}.${foundState}`);
 }
--- a/test/bills/billReplicaStore.test.ts
+++ b/test/bills/billReplicaStore.test.ts
@@ -109,7 +109,7 @@
                 const { keeper, log, gone } = createSetup();
                 retainBills(keeper, "r1");
                 gone.add("entry-a");
-                log.fate = () => fate;
+                log.decideOutcome = () => fate;
                 await keeper.appendDue();
                 expect(keeper.getSize()).toEqual(1);
             }
@@ -123,7 +123,7 @@
             const next = createSetup();
             const { keeper, log } = createSetup(next.keeper);
             retainBills(keeper, "r1");
-            log.fate = () => "dropped";
+            log.decideOutcome = () => "dropped";
             expect(await keeper.flush(0)).toEqual(0);
             next.gone.add("entry-a");
             await next.keeper.appendDue();
@@ -133,7 +133,7 @@
         it("tells how many copies no one took", async () => {
             const { keeper, log } = createSetup();
             retainBills(keeper, "r1", "r2");
-            log.fate = () => "dropped";
+            log.decideOutcome = () => "dropped";
             expect(await keeper.flush(0)).toEqual(2);
         });
     });
--- a/test/bills/billWriter.test.ts
+++ b/test/bills/billWriter.test.ts
@@ -92,10 +92,10 @@
         // Neither peers nor the log answer. The caller must not be told that its bill is safe.
         it("fails in time when neither a peer nor the log takes the bill, and keeps it", async () => {
             const log = new MemoryLog();
-            log.fate = () => "dropped";
+            log.decideOutcome = () => "dropped";
             const writer = createWriter(log, [], { copyTimeoutMilliseconds: 30 });
             expect((await writer.add(createBill("r1"))).isErr()).toEqual(true);
-            log.fate = () => "taken";
+            log.decideOutcome = () => "taken";
             expect((await writer.flush(1_000)).isOk()).toEqual(true);
             expect(readLedger(log).getSize()).toEqual(1);
         });
@@ -145,7 +145,7 @@
                 const random = new RandomSource(seed);
                 const log = new MemoryLog();
                 const fates = ["taken", "lost", "dropped", "dropped", "overloaded"] as const;
-                log.fate = () => fates[random.nextInteger(fates.length)];
+                log.decideOutcome = () => fates[random.nextInteger(fates.length)];
                 const writer = createWriter(log, [createCopyTarget("b", createReplicaStore(log))]);
                 writer.start();
                 for (let index = 0; index < 50; index += 1) {
@@ -161,7 +161,7 @@
     describe("isFull", () => {
         it("refuses new work before the buffer ends, and still takes in what is answered", async () => {
             const log = new MemoryLog();
-            log.fate = () => "dropped";
+            log.decideOutcome = () => "dropped";
             const writer = createWriter(log, [createCopyTarget("b", createReplicaStore(log))], { maxBills: 10 });
             for (let index = 0; index < 7; index += 1) {
                 await writer.add(createBill(`r${index}`));
@@ -180,7 +180,7 @@
         // keeper must have them, or the depot is never billed.
         it("leaves bills to two peers when the log does not answer", async () => {
             const log = new MemoryLog();
-            log.fate = () => "dropped";
+            log.decideOutcome = () => "dropped";
             const keepers = [createReplicaStore(log), createReplicaStore(log)];
             const writer = createWriter(log, keepers.map((keeper, index) => createCopyTarget(`k${index}`, keeper)));
             await writer.add(createBill("r1"));
@@ -190,7 +190,7 @@
 
         it("fails when a bill is nowhere else", async () => {
             const log = new MemoryLog();
-            log.fate = () => "dropped";
+            log.decideOutcome = () => "dropped";
             const writer = createWriter(log, [], { copyTimeoutMilliseconds: 10 });
             await writer.add(createBill("r1"));
             expect((await writer.flush(10)).isErr()).toEqual(true);
--- a/test/bills/ledgerMain.test.ts
+++ b/test/bills/ledgerMain.test.ts
@@ -66,7 +66,7 @@
             expect((await writer.flush(10_000)).isOk()).toEqual(true);
             writer.stop();
             const read = () => callJson<LedgerReport>({ address: ledger.getAddress(), path: "/totals" });
-            await waitUntil(async () => (await read()).requests === 160, { what: "all bills in the ledger" });
+            await waitUntil(async () => (await read()).requests === 160, { description: "all bills in the ledger" });
             expect((await read()).workspaces.map(total => [total.requests, total.total])).toEqual([[160, 80]]);
             expect(await ledger.stop()).toEqual(0);
             const ids = readBills(out).map(bill => bill.requestId);
--- a/test/claims/claimClient.test.ts
+++ b/test/claims/claimClient.test.ts
@@ -61,7 +61,7 @@
         // nobody; written again under another identifier, the claimant would lose to itself.
         it("reads its claim back when the acknowledgement was lost", async () => {
             const log = new MemoryLog();
-            log.fate = () => "lost";
+            log.decideOutcome = () => "lost";
             expect((await claim(createNode({ log }), "r1"))?.kind).toEqual("granted");
         });
 
@@ -71,7 +71,7 @@
             const log = new MemoryLog();
             const fates = ["dropped", "overloaded"] as const;
             let appends = 0;
-            log.fate = () => fates[appends++] ?? "taken";
+            log.decideOutcome = () => fates[appends++] ?? "taken";
             expect((await claim(createNode({ log }), "r1"))?.kind).toEqual("granted");
         });
 
@@ -92,7 +92,7 @@
             for (const [fate, mayHaveTakenEffect] of cases) {
                 const log = new MemoryLog();
                 let appends = 0;
-                log.fate = () => {
+                log.decideOutcome = () => {
                     appends += 1;
                     return fate;
                 };
@@ -113,11 +113,11 @@
             const log = new MemoryLog();
             const node = createNode({ log, name: "cut", decideMilliseconds: 1_000 });
             const other = createNode({ log, name: "other" });
-            log.isReadingCut = true;
+            log.isReadingBlocked = true;
             expect(await claim(node, "r1")).toEqual(undefined);
             expect(hasAnyRecord(log)).toEqual(true);
-            log.isReadingCut = false;
-            log.wake();
+            log.isReadingBlocked = false;
+            log.wakeReaders();
             expect((await claim(other, "r2"))?.kind).toEqual("held");
             await waitUntil(async () => (await claim(other, "r3"))?.kind === "granted", "the key is free");
         });
@@ -127,7 +127,7 @@
         it("frees the key of an entry that died before the write, and not after it", async () => {
             for (const [fate, expected] of [["overloaded", "granted"], ["taken", "held"]] as const) {
                 const log = new MemoryLog();
-                log.fate = record => record.writer === "dying" ? fate : "taken";
+                log.decideOutcome = record => record.writer === "dying" ? fate : "taken";
                 const dying = createNode({ log, name: "dying", decideMilliseconds: 100 });
                 const attempt = claim(dying, "r1");
                 await waitUntil(() => fate === "overloaded" || hasAnyRecord(log), "the claim was sent");
@@ -143,13 +143,13 @@
         it("does not append operations whose time is over", async () => {
             const log = new MemoryLog();
             const node = createNode({ log });
-            log.fate = () => {
+            log.decideOutcome = () => {
                 node.clock.advance(60_000);
                 return "overloaded";
             };
             const attempt = claim(node, "r1");
             await waitUntil(() => node.clock.monotonic() > 0, "the first append was refused");
-            log.fate = () => "taken";
+            log.decideOutcome = () => "taken";
             expect(await attempt).toEqual(undefined);
             expect(hasAnyRecord(log)).toEqual(false);
         });
@@ -260,7 +260,7 @@
                 const random = new RandomSource(seed);
                 const log = new MemoryLog();
                 const fates = ["taken", "taken", "lost", "dropped", "overloaded"] as const;
-                log.fate = () => fates[random.nextInteger(fates.length)];
+                log.decideOutcome = () => fates[random.nextInteger(fates.length)];
                 const entries = ["a", "b", "c", "d"].map(name => createNode({ log, name, decideMilliseconds: 1_500 }));
                 const runs = new Map<string, number>();
                 const attempts = [];
@@ -311,7 +311,7 @@
                 const pins = new SessionPins(node.client);
                 const request = { workspace: "agenzia", session: "bench-1", requestId: "r" };
                 await pins.pin({ ...request, proposal: "plan@1" });
-                log.fate = () => "dropped";
+                log.decideOutcome = () => "dropped";
                 node.clock.advance(age);
                 const pinned = await pins.pin({ ...request, proposal: "plan@2" });
                 expect(pinned.unwrapOr("unavailable")).toEqual(isKnown ? "plan@1" : "unavailable");
--- a/test/claims/claimsOverHttp.test.ts
+++ b/test/claims/claimsOverHttp.test.ts
@@ -92,7 +92,7 @@
             await waitUntil(async () => {
                 const claimed = await node.client.claim({ key, value: "r2", requestId: "r2" });
                 return claimed.isOk() && claimed.value.kind === "granted";
-            }, { what: "the key to be free" });
+            }, { description: "the key to be free" });
         });
     });
 });
--- a/test/command/inForce.test.ts
+++ b/test/command/inForce.test.ts
@@ -11,9 +11,9 @@
             const site = await Site.start(group, { ...metroManila, prefix: "127.20.12", entryCount: 3 });
             const urls = [
                 "--log",
-                `http://${site.getPlatform("log")}`,
+                `http://${site.getPlatformAddress("log")}`,
                 "--vm-list",
-                `http://${site.getPlatform("vm-list")}`,
+                `http://${site.getPlatformAddress("vm-list")}`,
             ];
             const run = await runCommand("withdraw", "label-small@5", ...urls, "--wait", "in-force");
             expect([run.code, run.stderr.trim().split("\n").at(-1)]).toEqual([0, "in force on 3 of 3 entries"]);
--- a/test/command/operations.test.ts
+++ b/test/command/operations.test.ts
@@ -26,9 +26,9 @@
     function run(...args: readonly string[]): Promise<CommandRun> {
         const urls = [
             "--log",
-            `http://${site.getPlatform("log")}`,
+            `http://${site.getPlatformAddress("log")}`,
             "--vm-list",
-            `http://${site.getPlatform("vm-list")}`,
+            `http://${site.getPlatformAddress("vm-list")}`,
         ];
         return runCommand(...args, ...urls);
     }
@@ -45,7 +45,7 @@
 
     function requestChat() {
         return caller.chat({
-            entry: site.getEntryOrThrow("entry-1").callers,
+            entry: site.getEntryOrThrow("entry-1").callerAddress,
             key: getApiKey("banquet"),
             model: "label-small",
             text: "Draft a label.",
@@ -80,7 +80,7 @@
             const { port } = server.address() as AddressInfo;
             const vm = { address: "127.20.13.250", port: 1, role: "entry", pool: "", failureDomain: "makati" };
             await callJson({
-                address: site.getPlatform("vm-list"),
+                address: site.getPlatformAddress("vm-list"),
                 path: "/vms/old",
                 method: "PUT",
                 body: { ...vm, id: "old", region: "metro-manila", state: "live", peerPort: port - 1 },
@@ -96,7 +96,7 @@
             writeFileSync(file, lines.join("\n\n"));
             const refused = await run("publish", file);
             expect([refused.code, refused.stderr.includes("old")]).toEqual([1, true]);
-            await callJson({ address: site.getPlatform("vm-list"), path: "/vms/old", method: "DELETE" });
+            await callJson({ address: site.getPlatformAddress("vm-list"), path: "/vms/old", method: "DELETE" });
             const accepted = await run("publish", file, "--wait", "in-force");
             expect([accepted.code, accepted.stderr.includes("in force on 2 of 2")]).toEqual([0, true]);
         });
@@ -105,10 +105,10 @@
     describe("halt", () => {
         it("stops a version on every entry until it is lifted", async () => {
             expect((await run("halt", "label-small@5", "--reason", "wrong labels")).code).toEqual(0);
-            await waitUntil(() => isHalted("label-small@5"), { what: "the halt on both entries" });
+            await waitUntil(() => isHalted("label-small@5"), { description: "the halt on both entries" });
             expect((await requestChat()).status).toEqual(503);
             expect((await run("lift", "label-small@5")).code).toEqual(0);
-            await waitUntil(async () => (await requestChat()).isWhole, { what: "an answer after the lift" });
+            await waitUntil(async () => (await requestChat()).isComplete, { description: "an answer after the lift" });
             expect((await run("lift", "label-small@5")).code).toEqual(1);
         });
     });
--- a/test/control/leaseHolder.test.ts
+++ b/test/control/leaseHolder.test.ts
@@ -111,7 +111,7 @@
         // one reads it too and waits.
         it("goes on when the acknowledgement of its renewal was lost", async () => {
             const { log, first, second } = await createHeldLease();
-            log.fate = () => "lost";
+            log.decideOutcome = () => "lost";
             advance(term / 2, first, second);
             await check(log, first);
             read(log, second);
@@ -149,14 +149,14 @@
 
         it("is undefined for everybody while the log is away, and one holds it afterwards", async () => {
             const { log, first, second } = await createHeldLease();
-            log.fate = () => "dropped";
+            log.decideOutcome = () => "dropped";
             for (let step = 0; step < 40; step += 1) {
                 advance(term / 10, first, second);
                 await check(log, first);
                 await check(log, second);
             }
             expect([first, second].map(({ holder }) => holder.getFencingToken())).toEqual([undefined, undefined]);
-            log.fate = () => "taken";
+            log.decideOutcome = () => "taken";
             await check(log, first);
             await check(log, second);
             const held = [first, second].filter(({ holder }) => holder.getFencingToken() !== undefined);
@@ -182,7 +182,7 @@
                 const random = new RandomSource(seed);
                 const log = new MemoryLog();
                 const fates = ["taken", "taken", "taken", "lost", "dropped"] as const;
-                log.fate = () => fates[random.nextInteger(fates.length)];
+                log.decideOutcome = () => fates[random.nextInteger(fates.length)];
                 const candidates = ["a", "b", "c"].map(id => createCandidate(log, id));
                 log.onAppended = () => advance(random.nextInteger(300), ...candidates);
                 let held = 0;
--- a/test/entry/bufferedAnswers.test.ts
+++ b/test/entry/bufferedAnswers.test.ts
@@ -35,13 +35,13 @@
 
     function requestChat(streamed: boolean): Promise<ChatRecord> {
         return caller.chat({
-            entry: site.getEntryOrThrow("entry-1").callers,
+            entry: site.getEntryOrThrow("entry-1").callerAddress,
             key: getApiKey("compliance"),
             model: "auto",
             text: "Declare the allergens of the pandan cake.",
             requestClass: "allergen",
             streamed,
-            boundMilliseconds: 30_000,
+            timeoutMilliseconds: 30_000,
         });
     }
 
@@ -63,7 +63,7 @@
                 streamedIds.add(record.requestId ?? "");
             }
             return countCascades() >= 3;
-        }, { what: "three documents by cascades", boundMilliseconds: 90_000 });
+        }, { description: "three documents by cascades", timeoutMilliseconds: 90_000 });
         expect(getCascades().filter(id => streamedIds.has(id))).toEqual([]);
     });
 });
--- a/test/entry/deadline.test.ts
+++ b/test/entry/deadline.test.ts
@@ -15,7 +15,7 @@
             prefix: "127.60.9",
             entryCount: 1,
             runners: { name: "lm-pool", count: 1, settings: { stepMilliseconds: 5 } },
-            hasLinks: true,
+            hasProxiedLinks: true,
             // Longer than the caller waits: only an entry that doesn't wait for the engine answers in time.
             entrySettings: { timing: { upstream_connect_timeout_ms: "30000" } },
         });
@@ -29,22 +29,24 @@
     // The way to an engine goes dead in the middle of a request. At the deadline the entry knows that there will be no
     // answer; a caller that is kept until the engine has confirmed the cancellation waits for nothing.
     it("gives the final answer without waiting for the cancellation", async () => {
-        const [{ name, callers: entry }] = site.getEntries();
+        const [{ name, callerAddress: entry }] = site.getEntries();
         const key = getApiKey("commissary");
         const changes = [{ section: "workspace.commissary", key: "deadline_ms", value: "1500" }];
-        await site.waitInForce(await site.publish(changes));
+        await site.waitUntilApplied(await site.publish(changes));
         const requestChat = () =>
             caller.chat({
                 entry,
                 key,
                 text: "Does the pastry hold sesame?",
-                boundMilliseconds: callerTimeoutMilliseconds,
+                timeoutMilliseconds: callerTimeoutMilliseconds,
             });
-        await waitUntil(async () => (await requestChat()).isWhole, { what: "a first answer" });
-        await site.setLink(name, "runner-1", { freeze: true });
+        await waitUntil(async () => (await requestChat()).isComplete, { description: "a first answer" });
+        await site.setLinkFaults(name, "runner-1", { freeze: true });
         const record = await requestChat();
         expect([record.status, record.outcome]).toEqual([504, "unknown"]);
-        await site.setLink(name, "runner-1", { freeze: false });
-        await waitUntil(async () => (await requestChat()).isWhole, { what: "an answer after the link is back" });
+        await site.setLinkFaults(name, "runner-1", { freeze: false });
+        await waitUntil(async () => (await requestChat()).isComplete, {
+            description: "an answer after the link is back",
+        });
     });
 });
--- a/test/entry/hostileInput.test.ts
+++ b/test/entry/hostileInput.test.ts
@@ -36,7 +36,7 @@
 
     before(async () => {
         site = await Site.start(group, description);
-        entry = site.getEntries()[0].callers;
+        entry = site.getEntries()[0].callerAddress;
     });
 
     after(async () => {
@@ -46,7 +46,7 @@
 
     async function expectHealthy(): Promise<void> {
         const record = await caller.chat({ entry, key, text: "Does the soy glaze hold sesame?" });
-        expect(record.isWhole).toEqual(true);
+        expect(record.isComplete).toEqual(true);
     }
 
     function post(headers: Readonly<Record<string, string>>, body: object) {
@@ -145,7 +145,7 @@
 
     function disconnectMidStream(): Promise<ChatRecord> {
         const text = "List every allergen of the buffet.";
-        return caller.chat({ entry, key, model: version, text, streamed: true, leaveAfterEvents: 1 });
+        return caller.chat({ entry, key, model: version, text, streamed: true, disconnectAfterEvents: 1 });
     }
 
     /** Waits until the engines' own notes tell of one run for the request, and this outcome. */
@@ -159,7 +159,7 @@
                 outcomes.push(...ownRuns.map(note => note.outcome));
             }
             return outcomes.length === 1 && outcomes[0] === expected;
-        }, { what: `the engines to note ${expected}`, describe: () => outcomes.join() });
+        }, { description: `the engines to note ${expected}`, describeState: () => outcomes.join() });
     }
 
     function getRunners(): readonly string[] {
--- a/test/entry/mutualTls.test.ts
+++ b/test/entry/mutualTls.test.ts
@@ -40,7 +40,7 @@
     after(() => group.killAll());
 
     async function isAnswered(client: PeerClient): Promise<boolean> {
-        const [address, port] = site.getEntryOrThrow("entry-1").callers.split(":");
+        const [address, port] = site.getEntryOrThrow("entry-1").callerAddress.split(":");
         const peer = { id: "entry-1", address, peerPort: Number(port) + 1 };
         const reply = await client.fetchState(peer, {
             stream: "config",
@@ -67,7 +67,7 @@
         installCertificate("site-second");
         for (const entry of site.getEntries()) {
             await waitUntil(() => entry.process.getEvents().some(line => line.name === "credentials-renewed"), {
-                what: `${entry.name} to use the renewed certificate`,
+                description: `${entry.name} to use the renewed certificate`,
             });
         }
         await site.getEntryOrThrow("entry-2").process.kill();
--- a/test/entry/publicClient.test.ts
+++ b/test/entry/publicClient.test.ts
@@ -17,7 +17,7 @@
 
     function createClient(key = getApiKey("commissary")): OpenAI {
         const [entry] = site.getEntries();
-        return new OpenAI({ apiKey: key, baseURL: `http://${entry.callers}/v1`, maxRetries: 0 });
+        return new OpenAI({ apiKey: key, baseURL: `http://${entry.callerAddress}/v1`, maxRetries: 0 });
     }
 
     it("answers a chat completion", async () => {
--- a/test/entry/retryBudget.test.ts
+++ b/test/entry/retryBudget.test.ts
@@ -37,11 +37,11 @@
             for (let count = 0; count < requestCount; count += 1) {
                 records.push(
                     await caller.chat({
-                        entry: site.getEntryOrThrow("entry-1").callers,
+                        entry: site.getEntryOrThrow("entry-1").callerAddress,
                         key: getApiKey("commissary"),
                         model: "label-large@3",
                         text: "Which trays hold sesame?",
-                        maximumTokens: 4,
+                        maxTokens: 4,
                     }),
                 );
             }
--- a/test/entry/upstreamTls.test.ts
+++ b/test/entry/upstreamTls.test.ts
@@ -32,7 +32,7 @@
             ...metroManila,
             prefix: "127.60.11",
             entryCount: 1,
-            hasLinks: true,
+            hasProxiedLinks: true,
             runners: { name: "lm-pool", count: 1, settings: { stepMilliseconds: 5, ...settings } },
             services: { name: "label-app", count: 1, settings },
             entrySettings: {
@@ -52,9 +52,9 @@
     });
 
     async function expectServed(): Promise<void> {
-        const [{ callers: entry }] = site.getEntries();
+        const [{ callerAddress: entry }] = site.getEntries();
         const chat = await caller.chat({ entry, key, text: "Does the soy glaze hold sesame?", streamed: true });
-        expect([chat.status, chat.isWhole]).toEqual([200, true]);
+        expect([chat.status, chat.isComplete]).toEqual([200, true]);
         const print = await caller.callService({
             entry,
             key,
@@ -79,16 +79,18 @@
         const countRenewals = () =>
             entry.process.getEvents().filter(line => line.name === "credentials-renewed").length;
         installCertificate("other-first");
-        await waitUntil(() => countRenewals() === 1, { what: "a certificate that no upstream trusts to be in use" });
-        await site.setLink(entry.name, "runner-1", { cut: true });
-        await site.setLink(entry.name, "runner-1", { cut: false });
-        const refused = await caller.chat({ entry: entry.callers, key, text: "Is there sesame?" });
+        await waitUntil(() => countRenewals() === 1, {
+            description: "a certificate that no upstream trusts to be in use",
+        });
+        await site.setLinkFaults(entry.name, "runner-1", { cut: true });
+        await site.setLinkFaults(entry.name, "runner-1", { cut: false });
+        const refused = await caller.chat({ entry: entry.callerAddress, key, text: "Is there sesame?" });
         expect(refused.status).not.toEqual(200);
         installCertificate("site-first");
-        await waitUntil(() => countRenewals() === 2, { what: "the renewed certificate to be in use" });
+        await waitUntil(() => countRenewals() === 2, { description: "the renewed certificate to be in use" });
         await waitUntil(async () => {
-            const answer = await caller.chat({ entry: entry.callers, key, text: "Is there sesame now?" });
-            return answer.isWhole;
-        }, { what: "an answer under the renewed certificate" });
+            const answer = await caller.chat({ entry: entry.callerAddress, key, text: "Is there sesame now?" });
+            return answer.isComplete;
+        }, { description: "an answer under the renewed certificate" });
     });
 });
--- a/test/events/lineWriter.test.ts
+++ b/test/events/lineWriter.test.ts
@@ -59,7 +59,7 @@
             writer.write(createLine("info", index));
         }
         expect(writes.length).toEqual(0);
-        await waitUntil(() => lines.length === 20, { what: "the lines" });
+        await waitUntil(() => lines.length === 20, { description: "the lines" });
         expect(writes.length).toEqual(1);
         writer.write(createLine("info", 20));
         writer.write(createLine("warning", 21));
--- a/test/forwarding/forwarder.test.ts
+++ b/test/forwarding/forwarder.test.ts
@@ -1,7 +1,7 @@
 import { expect } from "earl";
 import { describe, it } from "node:test";
 import type { RouteTable } from "../../src/routing/index.js";
-import { createForwarder } from "../fixtures/exchanges.js";
+import { createForwarder } from "../fixtures/forwarders.js";
 import { createRoute, createRouteTable } from "../fixtures/routes.js";
 import { createUpstream } from "../fixtures/upstreams.js";
 
@@ -9,7 +9,7 @@
     it("passes a request on under its workspace, with the time that is left", async () => {
         const { send, calls } = createForwarder();
         const caller = await send();
-        expect([caller.status, caller.pieces, caller.isWhole]).toEqual([200, ["done"], true]);
+        expect([caller.status, caller.chunks, caller.isComplete]).toEqual([200, ["done"], true]);
         const { call } = calls[0];
         expect([call.workspace, call.deadlineMilliseconds <= 1_000]).toEqual(["harbour", true]);
     });
--- a/test/forwarding/streamExchange.test.ts
+++ b/test/forwarding/streamExchange.test.ts
@@ -1,7 +1,7 @@
 import { expect } from "earl";
 import { describe, it } from "node:test";
 import type { Generation } from "../../src/forwarding/index.js";
-import { type Behaviour, createAnswer, createCallFailure, createForwarder } from "../fixtures/exchanges.js";
+import { createAnswer, createCallFailure, createForwarder, type UpstreamBehaviour } from "../fixtures/forwarders.js";
 import { createRouteTable, createStreamRoute } from "../fixtures/routes.js";
 
 const generation: Generation = {
@@ -16,7 +16,7 @@
     return `id: ${id}\ndata: ${id}\n\n`;
 }
 
-function createSite(behaviour: Behaviour, options: Parameters<typeof createStreamRoute>[0] = {}) {
+function createSite(behaviour: UpstreamBehaviour, options: Parameters<typeof createStreamRoute>[0] = {}) {
     const route = createStreamRoute(options);
     const site = createForwarder({ behaviour, getRoutes: () => createRouteTable({ routes: [route] }) });
     const send = () => site.send({ generation, session: "session", deadlineMilliseconds: 20_000 });
@@ -29,7 +29,7 @@
         const { send, getModels } = createSite(() =>
             createAnswer([createEvent(1), createEvent(2)], { confidence: 80 })
         );
-        expect((await send()).pieces).toEqual([createEvent(1), createEvent(2)]);
+        expect((await send()).chunks).toEqual([createEvent(1), createEvent(2)]);
         expect(getModels()).toEqual(["small"]);
     });
 
@@ -38,7 +38,7 @@
             createAnswer([`data: ${model}\n\n`], { confidence: model === "small" ? 20 : 90 })
         );
         const caller = await send();
-        expect([caller.pieces, getModels()]).toEqual([["data: large\n\n"], ["small", "large"]]);
+        expect([caller.chunks, getModels()]).toEqual([["data: large\n\n"], ["small", "large"]]);
         expect(calls[0].call.signal.aborted).toEqual(true);
     });
 
@@ -46,11 +46,14 @@
     it("goes on at another runner after the last whole event", async () => {
         const { send, calls } = createSite((...[, , count]) =>
             count === 1
-                ? createAnswer([createEvent(1), `${createEvent(2)}id: 3\nda`], { confidence: 80, breakOff: true })
+                ? createAnswer([createEvent(1), `${createEvent(2)}id: 3\nda`], {
+                    confidence: 80,
+                    breaksConnection: true,
+                })
                 : createAnswer([createEvent(3)], { confidence: 10 })
         );
         const caller = await send();
-        expect([caller.pieces.join(""), caller.isWhole]).toEqual([
+        expect([caller.chunks.join(""), caller.isComplete]).toEqual([
             createEvent(1) + createEvent(2) + createEvent(3),
             true,
         ]);
@@ -71,7 +74,7 @@
                 : createAnswer([createEvent(2)])
         );
         const caller = await send();
-        expect([caller.pieces, caller.isWhole, calls.length]).toEqual([[createEvent(1), createEvent(2)], true, 2]);
+        expect([caller.chunks, caller.isComplete, calls.length]).toEqual([[createEvent(1), createEvent(2)], true, 2]);
     });
 
     it("asks for what follows the last event when a stream ends without a known end", async () => {
@@ -80,21 +83,21 @@
                 ? createAnswer([createEvent(1)], { confidence: 80, hasKnownEnd: false })
                 : createAnswer([createEvent(2)])
         );
-        expect((await send()).pieces).toEqual([createEvent(1), createEvent(2)]);
+        expect((await send()).chunks).toEqual([createEvent(1), createEvent(2)]);
         expect(calls[1].call.lastEventId).toEqual("1");
     });
 
     it("breaks off visibly when a stream can't go on", async () => {
-        const broken = createSite(() => createAnswer([createEvent(1)], { confidence: 80, breakOff: true }), {
+        const broken = createSite(() => createAnswer([createEvent(1)], { confidence: 80, breaksConnection: true }), {
             maxAttempts: 1,
         });
         const caller = await broken.send();
-        expect([caller.isWhole, caller.isAborted]).toEqual([false, true]);
+        expect([caller.isComplete, caller.isAborted]).toEqual([false, true]);
     });
 
     it("does not resume a stream whose route does not allow it", async () => {
         const { send, calls } = createSite(
-            () => createAnswer([createEvent(1)], { confidence: 80, breakOff: true }),
+            () => createAnswer([createEvent(1)], { confidence: 80, breaksConnection: true }),
             { isResumable: false },
         );
         expect([(await send()).isAborted, calls.length]).toEqual([true, 1]);
--- a/test/forwarding/unaryExchange.test.ts
+++ b/test/forwarding/unaryExchange.test.ts
@@ -7,7 +7,7 @@
     createCallerRequest,
     createCallFailure,
     createForwarder,
-} from "../fixtures/exchanges.js";
+} from "../fixtures/forwarders.js";
 import { createRoute, createRouteTable } from "../fixtures/routes.js";
 
 function createSite(kind: "idempotent" | "at-most-once", options: Parameters<typeof createForwarder>[0] = {}) {
@@ -28,7 +28,7 @@
             behaviour: (...[, , count]) =>
                 count === 1 ? createAnswer(["oops"], { status: 500 }) : createAnswer(["done"]),
         });
-        expect((await send()).pieces).toEqual(["done"]);
+        expect((await send()).chunks).toEqual(["done"]);
         expect(calls[0].upstream).not.toEqual(calls[1].upstream);
     });
 
@@ -42,7 +42,7 @@
 
     it("never repeats one whose answer broke off", async () => {
         const { send, calls } = createSite("at-most-once", {
-            behaviour: () => createAnswer(["ha"], { breakOff: true }),
+            behaviour: () => createAnswer(["ha"], { breaksConnection: true }),
         });
         const { refusal } = await send();
         expect([calls.length, refusal?.outcome]).toEqual([1, "ran"]);
@@ -61,9 +61,9 @@
         const behaviour = (...[, , count]: unknown[]) =>
             count === 1 ? createAnswer(["ha"], { hasKnownEnd: false }) : createAnswer(["whole"]);
         const booking = await createSite("at-most-once", { behaviour }).send();
-        expect([booking.pieces, booking.claimsWhole]).toEqual([["ha"], false]);
+        expect([booking.chunks, booking.hasCompleteFraming]).toEqual([["ha"], false]);
         const query = await createSite("idempotent", { behaviour }).send();
-        expect([query.pieces, query.claimsWhole]).toEqual([["whole"], true]);
+        expect([query.chunks, query.hasCompleteFraming]).toEqual([["whole"], true]);
     });
 
     // Every instance is full and says so. The caller must hear at once that nothing has run, and when to come back.
@@ -78,7 +78,7 @@
     it("gives the upstream's own failure when nobody did better", async () => {
         const { send } = createSite("idempotent", { behaviour: () => createAnswer(["oops"], { status: 500 }) });
         const caller = await send();
-        expect([caller.status, caller.pieces]).toEqual([500, ["oops"]]);
+        expect([caller.status, caller.chunks]).toEqual([500, ["oops"]]);
     });
 
     // An instance takes a request and falls silent. A caller of a repeatable request need not wait until its deadline.
@@ -110,14 +110,14 @@
         const caller = new CallerStandin();
         const handled = forwarder.handle(createCallerRequest(), caller);
         await new Promise(resolve => setImmediate(resolve));
-        caller.leave();
+        caller.disconnect();
         await handled;
         expect([calls.length, calls[0].call.signal.aborted]).toEqual([1, true]);
     });
 
     it("repeats nothing when the pool's budget is used up", async () => {
         const { send, calls } = createSite("idempotent", {
-            repeats: 0,
+            retryAllowance: 0,
             behaviour: () => createAnswer(["oops"], { status: 500 }),
         });
         expect([(await send()).status, calls.length]).toEqual([500, 1]);
--- a/test/load/loadClient.test.ts
+++ b/test/load/loadClient.test.ts
@@ -1,10 +1,10 @@
 import { expect } from "earl";
 import { describe, it } from "node:test";
 import { ManualClock } from "../../src/common/index.js";
-import { type Arrival, type Channel, LoadClient, type LoadRecord } from "../../src/load/index.js";
-import type { ChatAsk, ServiceAsk } from "../../src/testbench/index.js";
-import { createAnswer, createChannel, createRefusal, createServiceAnswer } from "../fixtures/loadChannels.js";
+import { type Arrival, LoadClient, type LoadRecord, type SiteTransport } from "../../src/load/index.js";
+import type { ChatCompletionRequest, ServiceCallRequest } from "../../src/testbench/index.js";
 import { createProfile } from "../fixtures/loadProfiles.js";
+import { createAnswer, createRefusal, createServiceAnswer, createTransport } from "../fixtures/loadTransports.js";
 
 const [plan, kitchen, print] = createProfile().works;
 
@@ -12,14 +12,14 @@
     return { at: 0, work: plan, number: 1, history: 0, session: undefined, turn: 0, ...changes };
 }
 
-function createClient(channel: Partial<Channel>, tries = 3) {
+function createClient(transport: Partial<SiteTransport>, maxAttempts = 3) {
     const clock = new ManualClock();
     const pauses: number[] = [];
     const client = new LoadClient({
-        channel: createChannel(channel),
+        transport: createTransport(transport),
         clock,
-        settings: { boundMilliseconds: 1000, tries },
-        run: "run",
+        settings: { boundMilliseconds: 1000, tries: maxAttempts },
+        runId: "run",
         sleep: async milliseconds => {
             pauses.push(milliseconds);
             clock.advance(milliseconds);
@@ -33,12 +33,12 @@
     // The site has more work than capacity and says when to come back. A caller who came back at once would add to the
     // overload; one whose wait were left out of the figures would seem to have had its answer early.
     it("waits as long as a refusal says and counts the wait", async () => {
-        const asked: number[] = [];
+        const requests: number[] = [];
         const { clock, pauses, send } = createClient({
             chat: async ask => {
-                asked.push(clock.monotonic());
+                requests.push(clock.monotonic());
                 clock.advance(5);
-                if (asked.length === 1) {
+                if (requests.length === 1) {
                     return createRefusal(2);
                 }
                 ask.onProgress?.(1);
@@ -84,32 +84,32 @@
     // The connection breaks while a label is printed, and nobody knows whether it was. A second try under another key would
     // print the label twice.
     it("keeps the idempotency key of a call whose answer was lost", async () => {
-        const asked: ServiceAsk[] = [];
+        const requests: ServiceCallRequest[] = [];
         const { send } = createClient({
             callService: async ask => {
-                asked.push(ask);
-                return createServiceAnswer({ status: asked.length === 1 ? 0 : 200 });
+                requests.push(ask);
+                return createServiceAnswer({ status: requests.length === 1 ? 0 : 200 });
             },
         });
         expect(await send(createArrival({ work: print, number: 9 }))).toEqual(
             expect.subset({ end: "answered", tries: 2 }),
         );
-        expect(asked.map(ask => ask.idempotencyKey)).toEqual(["run-9", "run-9"]);
+        expect(requests.map(ask => ask.idempotencyKey)).toEqual(["run-9", "run-9"]);
     });
 
     it("shows the session token of the answer before", async () => {
-        const asked: ChatAsk[] = [];
+        const requests: ChatCompletionRequest[] = [];
         const { send } = createClient({
             chat: async ask => {
-                asked.push(ask);
-                return createAnswer({ sessionToken: `token-${asked.length}` });
+                requests.push(ask);
+                return createAnswer({ sessionToken: `token-${requests.length}` });
             },
         });
         for (const turn of [0, 1]) {
             await send(createArrival({ work: kitchen, session: "s", turn }));
         }
         await send(createArrival({ work: kitchen, session: "other" }));
-        expect(asked.map(ask => [ask.session, ask.sessionToken])).toEqual([
+        expect(requests.map(ask => [ask.session, ask.sessionToken])).toEqual([
             ["run-s", undefined],
             ["run-s", "token-1"],
             ["run-other", undefined],
@@ -119,13 +119,13 @@
     // The entry that relays an answer stops halfway. A caller that holds a resume token takes the answer up elsewhere.
     it("takes up an answer that broke off", async () => {
         const { send } = createClient({
-            chat: async () => createAnswer({ isWhole: false, resumeToken: "token" }),
+            chat: async () => createAnswer({ isComplete: false, resumeToken: "token" }),
         });
         expect(await send(createArrival())).toEqual(expect.subset({ end: "answered", tries: 1 }));
     });
 
     it("calls an answer broken that nobody can complete", async () => {
-        const { send } = createClient({ chat: async () => createAnswer({ isWhole: false }) });
+        const { send } = createClient({ chat: async () => createAnswer({ isComplete: false }) });
         expect(await send(createArrival())).toEqual(expect.subset({ end: "broken", status: 200 }));
     });
 
--- a/test/load/loadCommand.test.ts
+++ b/test/load/loadCommand.test.ts
@@ -40,32 +40,32 @@
 }
 
 /** Runs the program to its end. */
-function runProgram(words: readonly string[]) {
+function runProgram(args: readonly string[]) {
     return new Promise<{ readonly code: number; readonly errors: string; }>(resolve => {
-        execFile(process.execPath, [program, ...words], (error, ...[, errors]) => {
+        execFile(process.execPath, [program, ...args], (error, ...[, errors]) => {
             resolve({ code: Number(error?.code ?? 0), errors });
         });
     });
 }
 
-async function runCommand(words: readonly string[]) {
+async function runCommand(args: readonly string[]) {
     const lines: string[] = [];
     const runs: LoadRunOptions[] = [];
-    const done = await runLoadCommand(words, {
+    const result = await runLoadCommand(args, {
         print: line => lines.push(line),
         run: async (options): Promise<LoadResult> => {
             runs.push(options);
             return createEmptyResult(options.title);
         },
     });
-    return { done, lines, runs };
+    return { done: result, lines, runs };
 }
 
 describe("runLoadCommand", () => {
-    const usual = ["--address", "127.64.1.1:80", "--profile", profile];
+    const defaultArgs = ["--address", "127.64.1.1:80", "--profile", profile];
 
     it("takes rate, time and seed from the profile and lets arguments go before it", async () => {
-        const { runs } = await runCommand([...usual, "--rate", "7.5", "--address", "127.64.1.2:80"]);
+        const { runs } = await runCommand([...defaultArgs, "--rate", "7.5", "--address", "127.64.1.2:80"]);
         expect(runs.length).toEqual(1);
         expect(runs[0]).toEqual(expect.subset({
             addresses: ["127.64.1.1:80", "127.64.1.2:80"],
@@ -77,7 +77,7 @@
 
     it("writes the result and the page, and compares results", async () => {
         const [json, html] = [join(folder, "a.json"), join(folder, "a.html")];
-        const { done } = await runCommand([...usual, "--json", json, "--html", html]);
+        const { done } = await runCommand([...defaultArgs, "--json", json, "--html", html]);
         expect(done.isOk()).toEqual(true);
         expect(parseLoadResult(readFileSync(json, "utf8"), json).isOk()).toEqual(true);
         expect(readFileSync(html, "utf8")).toEqual(expect.includes("<svg"));
@@ -88,7 +88,7 @@
     // A run against a site that is down ends in an error. The operator still wants the result of the run before, to compare.
     it("keeps an earlier result when the run fails", async () => {
         const json = write("earlier.json", "earlier");
-        const running = runLoadCommand([...usual, "--json", json], {
+        const running = runLoadCommand([...defaultArgs, "--json", json], {
             print: () => undefined,
             run: () => Promise.reject(new Error("the run failed")),
         });
@@ -96,33 +96,37 @@
         expect(readFileSync(json, "utf8")).toEqual("earlier");
     });
 
-    function checkRefused(name: string, words: readonly string[], message: string): void {
+    function testInvalidInput(name: string, args: readonly string[], message: string): void {
         it(`refuses ${name} before anything is sent`, async () => {
-            const { done, runs } = await runCommand(words);
+            const { done, runs } = await runCommand(args);
             expect(done._unsafeUnwrapErr().message).toEqual(expect.includes(message));
             expect(runs).toEqual([]);
         });
     }
-    checkRefused("no arguments", [], "--address or --profile is missing.");
-    checkRefused("an unknown argument", [...usual, "--speed", "3"], "--speed");
-    checkRefused("a wrong address", ["--address", "entry", "--profile", profile], "--address entry is no address.");
-    checkRefused("a rate of 0", [...usual, "--rate", "0"], "Write a number above 0");
-    checkRefused("a rate that is no number", [...usual, "--rate", "many"], "--rate many cannot be used.");
-    checkRefused("an empty time", [...usual, "--seconds", ""], "Write a number above 0");
-    checkRefused("a seed with a fraction", [...usual, "--seed", "1.5"], "Write a whole number");
-    checkRefused("a profile that is missing", ["--address", "a:1", "--profile", "none.ini"], "none.ini cannot be read");
-    checkRefused(
+    testInvalidInput("no arguments", [], "--address or --profile is missing.");
+    testInvalidInput("an unknown argument", [...defaultArgs, "--speed", "3"], "--speed");
+    testInvalidInput("a wrong address", ["--address", "entry", "--profile", profile], "--address entry is no address.");
+    testInvalidInput("a rate of 0", [...defaultArgs, "--rate", "0"], "Write a number above 0");
+    testInvalidInput("a rate that is no number", [...defaultArgs, "--rate", "many"], "--rate many cannot be used.");
+    testInvalidInput("an empty time", [...defaultArgs, "--seconds", ""], "Write a number above 0");
+    testInvalidInput("a seed with a fraction", [...defaultArgs, "--seed", "1.5"], "Write a whole number");
+    testInvalidInput(
+        "a profile that is missing",
+        ["--address", "a:1", "--profile", "none.ini"],
+        "none.ini cannot be read",
+    );
+    testInvalidInput(
         "a profile with a mistake",
         ["--address", "a:1", "--profile", write("wrong.ini", "[load]\nrait = 3\n")],
         "[load] rait: The key is not known here. Did you mean rate?",
     );
-    checkRefused(
+    testInvalidInput(
         "an output file that cannot be written",
-        [...usual, "--json", join(folder, "none", "a.json")],
+        [...defaultArgs, "--json", join(folder, "none", "a.json")],
         "cannot be written",
     );
-    checkRefused("a comparison with one file", ["compare", "a.json"], "A comparison needs two results.");
-    checkRefused("a comparison of other files", ["compare", profile, profile], "It is not JSON.");
+    testInvalidInput("a comparison with one file", ["compare", "a.json"], "A comparison needs two results.");
+    testInvalidInput("a comparison of other files", ["compare", profile, profile], "It is not JSON.");
 });
 
 describe("rattanlock-load", () => {
@@ -143,7 +147,7 @@
                 services: { ...metroManila.services, count: 1 },
             });
             const json = join(folder, "site.json");
-            const address = site.getEntries()[0].callers;
+            const address = site.getEntries()[0].callerAddress;
             const { code } = await runProgram(
                 ["--address", address, "--profile", profile, "--rate", "15", "--seconds", "2", "--json", json],
             );
--- a/test/load/openLoop.test.ts
+++ b/test/load/openLoop.test.ts
@@ -1,21 +1,21 @@
 import { expect } from "earl";
 import { describe, it } from "node:test";
 import { ManualClock } from "../../src/common/index.js";
-import { type Arrival, type Channel, createSchedule, LoadClient, runOpenLoop } from "../../src/load/index.js";
+import { type Arrival, createSchedule, LoadClient, runOpenLoop, type SiteTransport } from "../../src/load/index.js";
 import { type ChatRecord, waitUntil } from "../../src/testbench/index.js";
-import { createAnswer, createChannel } from "../fixtures/loadChannels.js";
 import { createProfile } from "../fixtures/loadProfiles.js";
+import { createAnswer, createTransport } from "../fixtures/loadTransports.js";
 
 const { works } = createProfile("[work.tag]\nkind = chat\nworkspace = commissary\n");
 const schedule = createSchedule({ works, ratePerSecond: 20, seconds: 2, seed: 4 });
-const bound = 1e-6;
+const tolerance = 1e-6;
 
-function createRun(clock: ManualClock, channel: Partial<Channel>) {
+function createRun(clock: ManualClock, transport: Partial<SiteTransport>) {
     const client = new LoadClient({
-        channel: createChannel(channel),
+        transport: createTransport(transport),
         clock,
         settings: { boundMilliseconds: 1000, tries: 1 },
-        run: "run",
+        runId: "run",
     });
     // Lets what was sent reach the channel before the time moves on.
     const sleep = async (milliseconds: number): Promise<void> => {
@@ -42,15 +42,15 @@
         const send = async (arrival: Arrival, intendedAt: number): Promise<void> => {
             latencies.push((await client.send(arrival, intendedAt)).milliseconds);
         };
-        let isOver = false;
-        const running = runOpenLoop({ schedule, clock, send, sleep }).then(() => isOver = true);
-        await waitUntil(() => sentAt.length >= schedule.length, { what: "all requests to be sent" });
+        let isFinished = false;
+        const running = runOpenLoop({ schedule, clock, send, sleep }).then(() => isFinished = true);
+        await waitUntil(() => sentAt.length >= schedule.length, { description: "all requests to be sent" });
         expect(schedule.length > 20).toEqual(true);
         expect(sentAt.length).toEqual(schedule.length);
         for (const [index, { at }] of schedule.entries()) {
-            expect(Math.abs(sentAt[index] - 500 - at) < bound).toEqual(true);
+            expect(Math.abs(sentAt[index] - 500 - at) < tolerance).toEqual(true);
         }
-        expect(isOver).toEqual(false);
+        expect(isFinished).toEqual(false);
         clock.advance(3000);
         const end = clock.monotonic();
         for (const answer of answers) {
@@ -58,7 +58,7 @@
         }
         await running;
         for (const [index, { at }] of schedule.entries()) {
-            expect(Math.abs(latencies[index] - (end - 500 - at)) < bound).toEqual(true);
+            expect(Math.abs(latencies[index] - (end - 500 - at)) < tolerance).toEqual(true);
         }
     });
 
@@ -83,10 +83,10 @@
             records.push({ late: record.lateMilliseconds, firstToken: record.firstTokenMilliseconds });
         };
         await runOpenLoop({ schedule, clock, send, sleep });
-        const heldUp = schedule[4].at + 1000;
+        const delayedUntil = schedule[4].at + 1000;
         for (const [index, { at }] of schedule.entries()) {
-            const expected = index < 4 ? 0 : Math.max(0, heldUp - at);
-            expect(Math.abs(records[index].late - expected) < bound).toEqual(true);
+            const expected = index < 4 ? 0 : Math.max(0, delayedUntil - at);
+            expect(Math.abs(records[index].late - expected) < tolerance).toEqual(true);
             expect((records[index].firstToken ?? -1) >= records[index].late).toEqual(true);
         }
     });
--- a/test/load/profile.test.ts
+++ b/test/load/profile.test.ts
@@ -6,7 +6,7 @@
 
 const workspace = "[workspace.a]\nkey = k\n";
 
-function getMistakes(content: string): readonly string[] {
+function getErrors(content: string): readonly string[] {
     return parseLoadProfile(content, "p.ini")._unsafeUnwrapErr().map(formatValidationError);
 }
 
@@ -32,19 +32,19 @@
     });
 
     it("reports a workspace that is missing", () => {
-        expect(getMistakes("[work.tag]\nkind = chat\nworkspace = b\n")).toEqual([
+        expect(getErrors("[work.tag]\nkind = chat\nworkspace = b\n")).toEqual([
             "p.ini:3: [work.tag] workspace: There is no [workspace.b]. Add the section with the workspace's key.",
         ]);
     });
 
     it("reports a service without a pool", () => {
-        expect(getMistakes(`${workspace}[work.print]\nkind = service\nworkspace = a\n`)).toEqual([
+        expect(getErrors(`${workspace}[work.print]\nkind = service\nworkspace = a\n`)).toEqual([
             "p.ini:3: [work.print] pool: A service needs its pool. Write, for instance, pool = label-app.",
         ]);
     });
 
     it("reports that there is no work", () => {
-        expect(getMistakes(`${workspace}[work.tag]\nkind = chat\nworkspace = a\nshare = 0\n`)).toEqual([
+        expect(getErrors(`${workspace}[work.tag]\nkind = chat\nworkspace = a\nshare = 0\n`)).toEqual([
             "p.ini:0: No work has a share above 0. Add a [work.NAME] section with kind, workspace and share.",
         ]);
     });
--- a/test/load/report.test.ts
+++ b/test/load/report.test.ts
@@ -6,9 +6,9 @@
     createReportPage,
     formatDifferences,
     type LoadRecord,
+    LoadRecorder,
     type LoadResult,
     parseLoadResult,
-    Recorder,
 } from "../../src/load/index.js";
 import { createEmptyResult, createProfile } from "../fixtures/loadProfiles.js";
 
@@ -29,7 +29,7 @@
         status: 200,
         outcome: undefined,
         version: "small@1",
-        tries: 1,
+        attempts: 1,
         lateMilliseconds: 0,
         firstTokenMilliseconds: 100,
         milliseconds: 400,
@@ -40,7 +40,7 @@
 }
 
 function createResult(records: readonly LoadRecord[], title = "run"): LoadResult {
-    const recorder = new Recorder({
+    const recorder = new LoadRecorder({
         title,
         startedAt: new Date(0),
         ratePerSecond: 10,
@@ -57,7 +57,7 @@
 const mixed = createResult([
     createRecord(),
     createRecord({ at: 1500, firstTokenMilliseconds: 901, milliseconds: 1000 }),
-    createRecord({ end: "refused", status: 429, outcome: "not-run", version: undefined, refusals: [3], tries: 2 }),
+    createRecord({ end: "refused", status: 429, outcome: "not-run", version: undefined, refusals: [3], attempts: 2 }),
     createRecord({ end: "failed", status: 0, firstTokenMilliseconds: undefined, gaps: [] }),
     createRecord({
         arrival: { ...createRecord().arrival, work: print },
@@ -115,14 +115,14 @@
         expect(parseLoadResult(JSON.stringify(mixed), "a.json")._unsafeUnwrap()).toEqual(mixed);
     });
 
-    function checkRefused(content: string, message: string): void {
+    function testInvalidFile(content: string, message: string): void {
         it(`refuses ${content.slice(0, 30)}`, () => {
             expect(parseLoadResult(content, "a.json")._unsafeUnwrapErr().message).toEqual(expect.includes(message));
         });
     }
-    checkRefused("no JSON", "It is not JSON.");
-    checkRefused(JSON.stringify({ ...mixed, format: 2 }), "a.json: format:");
-    checkRefused("{}", "Give a file that rattanlock-load wrote with --json.");
+    testInvalidFile("no JSON", "It is not JSON.");
+    testInvalidFile(JSON.stringify({ ...mixed, format: 2 }), "a.json: format:");
+    testInvalidFile("{}", "Give a file that rattanlock-load wrote with --json.");
 });
 
 describe("createReportPage", () => {
--- a/test/membership/gossip.test.ts
+++ b/test/membership/gossip.test.ts
@@ -28,7 +28,7 @@
         it("pushes an urgent value to nearly all nodes without waiting for an exchange", async () => {
             const site = createGossipSite(40);
             site.nodes[0].gossip.set("halt", Buffer.from("plan@3"), { urgent: true });
-            await site.settle();
+            await site.deliverMessages();
             const known = readAll(site, "entry-0", "halt").filter(value => value === "plan@3").length;
             expect(known >= 36).toEqual(true);
         });
@@ -78,7 +78,7 @@
         site.nodes[0].gossip.set("color", Buffer.from("red"));
         await site.run(12);
         expect(site.nodes.filter(node => node.gossip.get("entry-0", "color") === undefined).length).toEqual(0);
-        expect(Math.max(...site.countPartners().values()) <= 4 + 60 * 0.15).toEqual(true);
+        expect(Math.max(...site.countPeers().values()) <= 4 + 60 * 0.15).toEqual(true);
     });
 
     // Half of a large fleet loses power at once, and nobody suspects those nodes yet. Each node goes on choosing among the same few
@@ -103,7 +103,7 @@
             site.nodes[0].gossip.set("mine", Buffer.from("a"));
             site.nodes[1].gossip.set("yours", Buffer.from("b"));
             await site.nodes[0].gossip.exchangeOnce();
-            await site.settle();
+            await site.deliverMessages();
             expect(site.nodes[0].gossip.get("entry-1", "yours")?.toString()).toEqual("b");
             expect(site.nodes[1].gossip.get("entry-0", "mine")?.toString()).toEqual("a");
         });
@@ -137,7 +137,7 @@
             const { gossip } = site.nodes[0];
             gossip.set("earlier", Buffer.from("e"));
             gossip.set("halt", Buffer.from("h"), { urgent: true });
-            await site.settle();
+            await site.deliverMessages();
             expect(site.nodes[1].gossip.get("entry-0", "halt")?.toString()).toEqual("h");
             await site.run(periodsToPropagate);
             expect(isKnownToAll(site, "entry-0", "earlier", "e")).toEqual(true);
@@ -156,7 +156,7 @@
             const { address } = site.nodes[0].vm;
             const restarted = site.add("entry-0", { address, clockOffsetMilliseconds: -month });
             restarted.gossip.set("load", Buffer.from("after"));
-            site.listAll(site.nodes.slice(1).map(node => node.vm));
+            site.distributeVmList(site.nodes.slice(1).map(node => node.vm));
             await site.run(periodsToPropagate * 2);
             const others = site.nodes.slice(1, 5);
             expect(others.map(node => node.gossip.get("entry-0", "load")?.toString())).toEqual(
@@ -173,7 +173,7 @@
             stranger.membership.setVms(site.nodes.map(node => node.vm));
             await site.run(periodsToPropagate);
             expect(site.nodes[0].gossip.get("stranger", "node")).toEqual(undefined);
-            site.listAll();
+            site.distributeVmList();
             await site.run(periodsToPropagate);
             expect(site.nodes[0].gossip.get("stranger", "node") === undefined).toEqual(false);
         });
--- a/test/membership/membership.test.ts
+++ b/test/membership/membership.test.ts
@@ -49,9 +49,9 @@
         // hear of each other through the rest, and must not take each other for dead and split the work.
         it("keeps members alive through cuts that go one way", async () => {
             const site = await createConvergedSite();
-            site.cuts.add("entry-0>entry-1");
+            site.cutLinks.add("entry-0>entry-1");
             for (const node of site.nodes) {
-                site.cuts.add(`${node.vm.id}>entry-5`);
+                site.cutLinks.add(`${node.vm.id}>entry-5`);
             }
             await site.run(periodsUntilDead);
             for (const node of site.nodes) {
@@ -70,11 +70,11 @@
             await site.run(periodsToPropagate);
             old.isDown = true;
             const fresh = site.add("entry-new", { address: old.vm.address });
-            site.listAll([...site.nodes.map(node => node.vm)]);
+            site.distributeVmList([...site.nodes.map(node => node.vm)]);
             await site.run(periodsUntilDead + periodsToPropagate);
             expect(getStates(site, "entry-2")).toEqual(new Set(["dead"]));
             expect(getStates(site, "entry-new")).toEqual(new Set(["alive"]));
-            site.listAll(site.nodes.filter(node => node !== old).map(node => node.vm));
+            site.distributeVmList(site.nodes.filter(node => node !== old).map(node => node.vm));
             await site.run(periodsUntilDead);
             expect(site.nodes[0].membership.get("entry-2")).toEqual(undefined);
             expect(site.nodes[0].gossip.get("entry-2", "node")).toEqual(undefined);
@@ -118,7 +118,7 @@
         it("tells all members at once", async () => {
             const site = await createConvergedSite();
             site.nodes[0].membership.announceLeaving();
-            await site.settle();
+            await site.deliverMessages();
             expect(getStates(site, "entry-0")).toEqual(new Set(["leaving"]));
             expect(site.nodes[1].membership.getAlive().length).toEqual(size - 1);
         });
@@ -130,7 +130,7 @@
         it("stays with the older version until no older member is left", async () => {
             const site = createGossipSite(2);
             site.add("newer", { protocol: { oldest: 1, newest: newestProtocol + 1 } });
-            site.listAll();
+            site.distributeVmList();
             const newer = site.get("newer");
             expect(newer.membership.getCommonProtocol()).toEqual(1);
             await site.run(periodsToPropagate);
@@ -140,7 +140,7 @@
             await site.run(periodsUntilDead);
             expect(getState(newer, "entry-0")).toEqual("dead");
             expect(newer.membership.getCommonProtocol()).toEqual(newestProtocol);
-            site.listAll([newer.vm]);
+            site.distributeVmList([newer.vm]);
             expect(newer.membership.getCommonProtocol()).toEqual(newestProtocol + 1);
         });
 
@@ -148,7 +148,7 @@
             const site = createGossipSite(1);
             const newer = site.add("newer", { protocol: { oldest: 1, newest: 2 } });
             site.nodes[0].isDown = true;
-            site.listAll();
+            site.distributeVmList();
             expect(newer.membership.getCommonProtocol()).toEqual(1);
             newer.clock.advance(11 * 60_000);
             expect(newer.membership.getCommonProtocol()).toEqual(2);
@@ -164,7 +164,7 @@
             expect(collect(site.nodes[7])).toEqual(before);
             expect(new Set(before).size).toEqual(size);
             site.nodes[2].membership.announceLeaving();
-            await site.settle();
+            await site.deliverMessages();
             const after = collect(site.nodes[0]);
             const moved = partitions.filter((...[, index]) => before[index] !== after[index]);
             expect(moved.length).toEqual(before.filter(id => id === "entry-2").length);
@@ -178,14 +178,14 @@
             const smaller = ["entry-0", "entry-1", "entry-2"];
             for (const one of smaller) {
                 for (const node of site.nodes.filter(other => !smaller.includes(other.vm.id))) {
-                    site.cuts.add(`${one}>${node.vm.id}`);
-                    site.cuts.add(`${node.vm.id}>${one}`);
+                    site.cutLinks.add(`${one}>${node.vm.id}`);
+                    site.cutLinks.add(`${node.vm.id}>${one}`);
                 }
             }
             await site.run(periodsUntilDead);
             expect(site.nodes[0].membership.isMajorityUnreachable()).toEqual(true);
             expect(site.nodes[5].membership.isMajorityUnreachable()).toEqual(false);
-            site.cuts.clear();
+            site.cutLinks.clear();
             await site.run(periodsUntilDead);
             expect(site.nodes[0].membership.getReachableShare()).toEqual(1);
         });
--- a/test/membership/stateQueryStream.test.ts
+++ b/test/membership/stateQueryStream.test.ts
@@ -134,7 +134,7 @@
         // The library's own keep-alive would end the connection after seven seconds.
         const isAnswered = async (): Promise<boolean> =>
             (await client.followState(peer, createRequest(3), timeoutMilliseconds)).isOk();
-        await waitUntil(isAnswered, { what: "an answer on a new connection", boundMilliseconds: 5_000 });
+        await waitUntil(isAnswered, { description: "an answer on a new connection", timeoutMilliseconds: 5_000 });
     });
 
     // A peer is killed and starts again on its address. Questions under way must fail at once, so that somebody else is asked.
@@ -150,6 +150,6 @@
         await startServer(host, 7_100, ({ knownOffset }) => createReply(knownOffset));
         const isBack = async (): Promise<boolean> =>
             (await client.followState(peer, createRequest(2), timeoutMilliseconds)).isOk();
-        await waitUntil(isBack, { what: "the peer" });
+        await waitUntil(isBack, { description: "the peer" });
     });
 });
--- a/test/platform/node.test.ts
+++ b/test/platform/node.test.ts
@@ -37,8 +37,8 @@
         await waitUntil(
             async () => (await site.send(site.nodes[0], { headers: { "api-key": "second" } })).status === 200,
             {
-                what: "the new key",
-                boundMilliseconds: 2_000,
+                description: "the new key",
+                timeoutMilliseconds: 2_000,
             },
         );
     });
@@ -51,19 +51,19 @@
         await waitUntil(
             async () => (await site.send(site.nodes[0], { headers: { "api-key": "third" } })).status === 200,
             {
-                what: "the readable configuration",
+                description: "the readable configuration",
             },
         );
         // The two topics are read apart from each other, and lines come on another way than answers.
         const findUnreadable = () => site.nodes[0].events.filter(event => event.name === "record-unreadable");
-        await waitUntil(() => findUnreadable().length >= 2, { what: "both lines" });
+        await waitUntil(() => findUnreadable().length >= 2, { description: "both lines" });
         expect(findUnreadable().map(event => event.key).sort()).toEqual(["config", "i-9"]);
     });
 
     it("sends nothing to a runner that says that it is leaving", async () => {
         site.register("i-1", { state: "draining" });
         const isKnown = () => site.nodes[0].events.some(event => event.upstream === "i-1" && event.leaving === true);
-        await waitUntil(isKnown, { what: "the news" });
+        await waitUntil(isKnown, { description: "the news" });
         const before = site.runners.get("i-1")!.received.length;
         for (let request = 0; request < 6; request += 1) {
             expect((await site.send(site.nodes[0])).status).toEqual(200);
@@ -115,10 +115,14 @@
         const [node] = site.nodes;
         appendFileSync(node.settingsFile, "\nwrong\n[bounds]\n");
         node.child.kill("SIGHUP");
-        await waitUntil(() => node.events.some(event => event.name === "settings-refused"), { what: "the refusal" });
+        await waitUntil(() => node.events.some(event => event.name === "settings-refused"), {
+            description: "the refusal",
+        });
         writeFileSync(node.settingsFile, site.createSettings(node.address));
         node.child.kill("SIGHUP");
-        await waitUntil(() => node.events.some(event => event.name === "settings-reloaded"), { what: "the reload" });
+        await waitUntil(() => node.events.some(event => event.name === "settings-reloaded"), {
+            description: "the reload",
+        });
         expect((await site.send(node)).status).toEqual(200);
     });
 
--- a/test/platform/platformSite.ts
+++ b/test/platform/platformSite.ts
@@ -200,13 +200,15 @@
     /** Waits until a node says that it is ready. */
     async waitForReady(node: SiteNode): Promise<void> {
         await waitUntil(async () => (await this.request(node, readyPort, "/v1/readyz"))?.status === 200, {
-            what: "a node",
+            description: "a node",
         });
     }
 
     /** Waits until a node hands out so many addresses. */
     async waitForAddresses(node: SiteNode, count: number): Promise<void> {
-        await waitUntil(async () => (await this.getAddresses(node)).length === count, { what: `${count} addresses` });
+        await waitUntil(async () => (await this.getAddresses(node)).length === count, {
+            description: `${count} addresses`,
+        });
     }
 
     /** Returns the addresses that a node hands out. */
--- a/test/platform/poolRollout.test.ts
+++ b/test/platform/poolRollout.test.ts
@@ -58,8 +58,8 @@
         const stop = startTraffic(site);
         site.store.put("keyed.op", "rollout/pool", { service: "pool", target: "v2", deadline_s: 12 });
         await waitUntil(() => getState(site) === "reverted", {
-            what: "the end",
-            describe: () => describeRollout(site),
+            description: "the end",
+            describeState: () => describeRollout(site),
         });
         const received = bad.received.length;
         await new Promise(resolve => setTimeout(resolve, 1_000));
@@ -75,12 +75,12 @@
         const stop = startTraffic(site);
         const startedAt = performance.now();
         site.store.put("keyed.op", "rollout/pool", { service: "pool", target: "v3", deadline_s: 6 });
-        await waitUntil(() => getState(site) === "in_progress", { what: "the beginning" });
+        await waitUntil(() => getState(site) === "in_progress", { description: "the beginning" });
         site.nodes[0].child.kill("SIGKILL");
         await site.nodes[0].exited;
         await waitUntil(() => getState(site) === "completed", {
-            what: "completion",
-            describe: () => describeRollout(site),
+            description: "completion",
+            describeState: () => describeRollout(site),
         });
         expect(performance.now() - startedAt < 6_000).toEqual(true);
         await stop();
--- a/test/platform/soak/platformSoak.ts
+++ b/test/platform/soak/platformSoak.ts
@@ -189,7 +189,10 @@
             (this.#site.store.get("keyed.status", "rollout/pool") as { readonly state: string; } | undefined)?.state;
         const hasEnded = (): boolean => getState() === "completed" || getState() === "reverted";
         try {
-            await waitUntil(hasEnded, { what: "the roll-out's end", boundMilliseconds: rolloutSlackMilliseconds });
+            await waitUntil(hasEnded, {
+                description: "the roll-out's end",
+                timeoutMilliseconds: rolloutSlackMilliseconds,
+            });
         }
         catch {
             this.#violations.push(`the roll-out did not end: ${getState()}`);
@@ -348,7 +351,10 @@
             const isServing = async (): Promise<boolean> =>
                 (await callers.send("call", address, "key-last")).status === 200;
             try {
-                await waitUntil(isServing, { what: `node ${address}`, boundMilliseconds: recoveryMilliseconds });
+                await waitUntil(isServing, {
+                    description: `node ${address}`,
+                    timeoutMilliseconds: recoveryMilliseconds,
+                });
             }
             catch {
                 this.#violations.push(
--- a/test/platform/start.test.ts
+++ b/test/platform/start.test.ts
@@ -5,7 +5,7 @@
 
 /** Sends a request as soon as somebody listens. */
 function sendFirst(site: PlatformSite, node: SiteNode): Promise<SiteAnswer> {
-    return waitUntil(() => site.send(node).catch(() => undefined), { what: "a listener" });
+    return waitUntil(() => site.send(node).catch(() => undefined), { description: "a listener" });
 }
 
 describe("a node that starts", () => {
@@ -61,6 +61,6 @@
         expect([refused.status, JSON.parse(refused.body).outcome]).toEqual([503, "not-run"]);
         expect(Number(refused.headers["retry-after"]) > 0).toEqual(true);
         site.store.fault = "well";
-        await waitUntil(async () => (await site.send(alone)).status === 200, { what: "the store's return" });
+        await waitUntil(async () => (await site.send(alone)).status === 200, { description: "the store's return" });
     });
 });
--- a/test/platform/storeUnavailable.test.ts
+++ b/test/platform/storeUnavailable.test.ts
@@ -22,7 +22,7 @@
     it("let one of them read the store", async () => {
         await new Promise(resolve => setTimeout(resolve, 3_000));
         const from = site.store.calls.length;
-        await waitUntil(() => site.store.calls.length > from + 8, { what: "some reads" });
+        await waitUntil(() => site.store.calls.length > from + 8, { description: "some reads" });
         const readers = new Set(
             site.store.calls.slice(from).filter(call => readPath.test(call)).map(call => call.split(" ")[2]),
         );
@@ -38,7 +38,10 @@
             site.store.put("keyed.op", "config", createConfiguration(10 + index, ["key"]));
             const inForce = () =>
                 node.events.some(event => event.name === "routes-in-force" && event.version === 10 + index);
-            await waitUntil(inForce, { what: `version ${10 + index} at ${node.address}`, boundMilliseconds: 3_000 });
+            await waitUntil(inForce, {
+                description: `version ${10 + index} at ${node.address}`,
+                timeoutMilliseconds: 3_000,
+            });
         }
         site.store.faultsByCaller.clear();
     });
@@ -52,12 +55,12 @@
         const refused = await waitUntil(async () => {
             const answer = await site.send(node);
             return answer.status === 503 ? answer : undefined;
-        }, { what: "the refusal", boundMilliseconds: 12_000 });
+        }, { description: "the refusal", timeoutMilliseconds: 12_000 });
         expect(JSON.parse(refused.body)).toEqual({ ...JSON.parse(refused.body), error: "stale", outcome: "not-run" });
         expect(Number(refused.headers["retry-after"]) > 0).toEqual(true);
         site.store.fault = "well";
         for (const other of site.nodes) {
-            await waitUntil(async () => (await site.send(other)).status === 200, { what: "the store's return" });
+            await waitUntil(async () => (await site.send(other)).status === 200, { description: "the store's return" });
         }
     });
 
@@ -88,7 +91,7 @@
         await new Promise(resolve => setTimeout(resolve, 100));
         node.child.kill("SIGTERM");
         await waitUntil(async () => (await site.request(node, 7_002, "/v1/readyz"))?.status === 503, {
-            what: "not ready",
+            description: "not ready",
         });
         await site.waitForAddresses(site.nodes[0], 2);
         expect((await answering).status).toEqual(200);
--- a/test/platform/upstreamClient.test.ts
+++ b/test/platform/upstreamClient.test.ts
@@ -5,7 +5,7 @@
 import type { RegisteredUpstream } from "../../src/fleet/index.js";
 import type { UpstreamAnswer, UpstreamCall } from "../../src/forwarding/index.js";
 import { UpstreamClient } from "../../src/platform/upstreamClient.js";
-import { createCallerRequest } from "../fixtures/exchanges.js";
+import { createCallerRequest } from "../fixtures/forwarders.js";
 import { createUpstream } from "../fixtures/upstreams.js";
 import { createRawRunner } from "./standins/runnerStandin.js";
 
--- a/test/proofs/atMostOnce.test.ts
+++ b/test/proofs/atMostOnce.test.ts
@@ -2,7 +2,7 @@
 import { describe, it } from "node:test";
 import {
     callJson,
-    findRunFaults,
+    findRunViolations,
     type KeyedCall,
     readServiceRuns,
     setFaults,
@@ -15,8 +15,8 @@
 describe("A call that must not be repeated", () => {
     const getProof = useProofSite("127.61.1");
 
-    async function expectNoFaults(proof: ProofSite, calls: readonly KeyedCall[]): Promise<void> {
-        expect(findRunFaults(await readServiceRuns(proof.site), calls)).toEqual([]);
+    async function expectNoViolations(proof: ProofSite, calls: readonly KeyedCall[]): Promise<void> {
+        expect(findRunViolations(await readServiceRuns(proof.site), calls)).toEqual([]);
     }
 
     // A clerk presses the button twice, or a client gives up and asks the next address while the first entry still
@@ -32,7 +32,7 @@
             expect(final.record.isReplayed).toEqual(true);
             calls.push(final);
         }
-        await expectNoFaults(proof, calls);
+        await expectNoViolations(proof, calls);
     });
 
     // The log takes a claim and its acknowledgement gets lost on the way back. The entry does not know whether it
@@ -42,18 +42,18 @@
         const proof = getProof();
         const calls: KeyedCall[] = [];
         for (let round = 0; round < 12; round += 1) {
-            await setFaults(proof.site.getPlatform("log"), { lostAcknowledgements: 3 });
+            await setFaults(proof.site.getPlatformAddress("log"), { lostAcknowledgements: 3 });
             calls.push(await printUntilFinal(proof, entries[round % 3], `lost-${round}`));
         }
-        await setFaults(proof.site.getPlatform("log"), { lostAcknowledgements: 0 });
-        await expectNoFaults(proof, calls);
+        await setFaults(proof.site.getPlatformAddress("log"), { lostAcknowledgements: 0 });
+        await expectNoViolations(proof, calls);
     });
 
     // The log is away. Nobody can know whether another entry has claimed a key, so nothing may run. The caller is
     // told at once that nothing ran, and when to come back; after the outage its call runs once.
     it("is refused truthfully while the log is away and runs once afterwards", async () => {
         const proof = getProof();
-        const log = proof.site.getPlatform("log");
+        const log = proof.site.getPlatformAddress("log");
         await setFaults(log, { outage: "drop" });
         const calls: KeyedCall[] = [];
         try {
@@ -70,7 +70,7 @@
         for (const entry of entries) {
             calls.push(await printUntilFinal(proof, entry, `away-${entry}`));
         }
-        await expectNoFaults(proof, calls);
+        await expectNoViolations(proof, calls);
     });
 
     // The service runs the call, and the connection breaks before its answer arrives. The entry cannot know whether
@@ -84,9 +84,9 @@
                     await setFaults(upstream.getAddress(), { dropAfterRun: 1 });
                 }
             }
-            const asked = await printUntilRun(proof, entries[round % 3], `dropped-${round}`);
-            expect(asked.at(-1)?.record.outcome).toEqual("unknown");
-            calls.push(...asked);
+            const attempts = await printUntilRun(proof, entries[round % 3], `dropped-${round}`);
+            expect(attempts.at(-1)?.record.outcome).toEqual("unknown");
+            calls.push(...attempts);
             calls.push(await print(proof, entries[(round + 1) % 3], `dropped-${round}`));
         }
         for (const [name, upstream] of proof.site.getUpstreams()) {
@@ -94,7 +94,7 @@
                 await setFaults(upstream.getAddress(), { dropAfterRun: 0 });
             }
         }
-        await expectNoFaults(proof, calls);
+        await expectNoViolations(proof, calls);
     });
 
     // An entry claims a key and its VM stalls before the call goes out, for longer than its caller waits. The caller
@@ -108,7 +108,7 @@
         await setServiceLinks(proof, "entry-1", { freeze: true });
         try {
             const first = print(proof, "entry-1", "frozen", 1500);
-            await waitUntil(async () => hasClaim(proof, "frozen"), { what: "the claim to be in the log" });
+            await waitUntil(async () => hasClaim(proof, "frozen"), { description: "the claim to be in the log" });
             claimant.process.freeze();
             calls.push(await first);
             const second = await print(proof, "entry-2", "frozen");
@@ -126,7 +126,7 @@
         expect(last.every(call => call.record.outcome !== "not-run")).toEqual(true);
         expect([200, 409]).toEqual(expect.includes(last.at(-1)?.record.status ?? 0));
         calls.push(...last);
-        await expectNoFaults(proof, calls);
+        await expectNoViolations(proof, calls);
     });
 
     // An entry dies at any moment of its calls: before a claim is written, after it, while the service works, or
@@ -139,7 +139,9 @@
             for (let count = 0; count < 12; count += 1) {
                 pending.push(print(proof, "entry-3", `killed-${round}-${count}`, 3000));
             }
-            await waitUntil(async () => hasClaim(proof, `killed-${round}-`), { what: "a first claim of the round" });
+            await waitUntil(async () => hasClaim(proof, `killed-${round}-`), {
+                description: "a first claim of the round",
+            });
             await proof.site.getEntryOrThrow("entry-3").process.kill();
             calls.push(...await Promise.all(pending));
             for (let count = 0; count < 12; count += 1) {
@@ -148,7 +150,7 @@
             await proof.site.startEntry("entry-3");
             await proof.site.waitUntilReady();
         }
-        await expectNoFaults(proof, calls);
+        await expectNoViolations(proof, calls);
         expect(calls.some(call => call.record.status === 200)).toEqual(true);
     });
 });
@@ -156,7 +158,7 @@
 async function setServiceLinks(proof: ProofSite, entry: string, faults: object): Promise<void> {
     for (const name of proof.site.getUpstreams().keys()) {
         if (name.startsWith("service")) {
-            await proof.site.setLink(entry, name, faults);
+            await proof.site.setLinkFaults(entry, name, faults);
         }
     }
 }
@@ -164,7 +166,7 @@
 async function hasClaim(proof: ProofSite, key: string): Promise<boolean> {
     for (let partition = 0; partition < 8; partition += 1) {
         const page = await callJson<{ entries: readonly object[]; }>({
-            address: proof.site.getPlatform("log"),
+            address: proof.site.getPlatformAddress("log"),
             path: `/streams/claims-${partition}?from=0&limit=500`,
         });
         if (JSON.stringify(page.entries).includes(`/${key}`)) {
--- a/test/proofs/billing.test.ts
+++ b/test/proofs/billing.test.ts
@@ -44,14 +44,14 @@
     it("keeps the bills of an entry that is killed between the last byte and the append", async () => {
         const proof = getProof();
         const chats: ChatRecord[] = [];
-        await proof.site.setLink("entry-1", "log", { cut: true });
+        await proof.site.setLinkFaults("entry-1", "log", { cut: true });
         try {
             const ask = (index: number) => chatUntilRun(proof, "entry-1", { streamed: index % 2 === 0 });
             chats.push(...await Promise.all(Array.from({ length: 12 }, (...[, index]) => ask(index))));
         }
         finally {
             await proof.site.getEntryOrThrow("entry-1").process.kill();
-            await proof.site.setLink("entry-1", "log", noFaults);
+            await proof.site.setLinkFaults("entry-1", "log", noFaults);
         }
         const inLog = await proof.site.readBills();
         try {
@@ -61,7 +61,7 @@
             await proof.site.startEntry("entry-1");
             await proof.site.waitUntilReady();
         }
-        expect(chats.every(record => record.isWhole)).toEqual(true);
+        expect(chats.every(record => record.isComplete)).toEqual(true);
         expect(chats.some(record => inLog.has(record.requestId ?? ""))).toEqual(false);
     });
 
@@ -70,20 +70,22 @@
     it("lets a caller go on at another entry after the first one was killed in the middle", async () => {
         const proof = getProof();
         await setRunners(proof, { stepMilliseconds: slowStepMilliseconds });
-        let furthest = 0;
+        let maxEventCount = 0;
         const onProgress = (eventCount: number): void => {
-            furthest = Math.max(furthest, eventCount);
+            maxEventCount = Math.max(maxEventCount, eventCount);
         };
         const ask = () => chat(proof, "entry-1", { model: "label-large@3", onProgress });
-        const asked = Array.from({ length: 8 }, ask);
-        await waitUntil(() => furthest >= 3, { what: "a caller with a part of its answer" });
+        const pending = Array.from({ length: 8 }, ask);
+        await waitUntil(() => maxEventCount >= 3, { description: "a caller with a part of its answer" });
         await proof.site.getEntryOrThrow("entry-1").process.kill();
-        const broken = await Promise.all(asked);
-        expect(broken.some(record => !record.isWhole && record.resumeToken !== undefined)).toEqual(true);
+        const broken = await Promise.all(pending);
+        expect(broken.some(record => !record.isComplete && record.resumeToken !== undefined)).toEqual(true);
         const chats = await Promise.all(
             broken.map((record, index) => resumeIfBroken(record, entries[1 + index % 2])),
         );
-        expect(chats.filter(record => record.resumeToken !== undefined).every(record => record.isWhole)).toEqual(true);
+        expect(chats.filter(record => record.resumeToken !== undefined).every(record => record.isComplete)).toEqual(
+            true,
+        );
         await setRunners(proof, { stepMilliseconds });
         await expectBilledOnce(proof, chats);
         await proof.site.startEntry("entry-1");
@@ -97,16 +99,16 @@
         const proof = getProof();
         await setRunners(proof, { stepMilliseconds: slowStepMilliseconds });
         const chats = await Promise.all(Array.from({ length: 12 }, async (...[, index]) => {
-            const broken = await chatUntilRun(proof, entries[index % 3], { leaveAfterEvents: 1 + index });
-            expect(broken.isWhole).toEqual(false);
+            const broken = await chatUntilRun(proof, entries[index % 3], { disconnectAfterEvents: 1 + index });
+            expect(broken.isComplete).toEqual(false);
             return proof.caller.resume(
-                proof.site.getEntryOrThrow(entries[(index + 1) % 3]).callers,
+                proof.site.getEntryOrThrow(entries[(index + 1) % 3]).callerAddress,
                 proof.key,
                 broken,
             );
         }));
         await setRunners(proof, { stepMilliseconds });
-        expect(chats.map(record => record.isWhole)).toEqual(chats.map(() => true));
+        expect(chats.map(record => record.isComplete)).toEqual(chats.map(() => true));
         await expectBilledOnce(proof, chats);
     });
 
@@ -124,7 +126,7 @@
         finally {
             await setRunnerLinks(proof, "entry-1", noFaults);
         }
-        expect(chats.map(record => record.problem ?? record.isWhole)).toEqual(chats.map(() => true));
+        expect(chats.map(record => record.problem ?? record.isComplete)).toEqual(chats.map(() => true));
         await expectBilledOnce(proof, chats);
     });
 
@@ -149,11 +151,11 @@
             );
             const bills = [...(await proof.site.readBills()).values()];
             return bills.filter(bill => bill.lines.length > 1).length >= 5;
-        }, { what: "five escalated answers", boundMilliseconds: 30_000 });
+        }, { description: "five escalated answers", timeoutMilliseconds: 30_000 });
         await expectBilledOnce(proof, chats);
         const runs = (await readEngineRuns(proof.site)).filter(run => run.outcome === "finished");
         const bills = await proof.site.readBills();
-        for (const record of chats.filter(({ isWhole }) => isWhole)) {
+        for (const record of chats.filter(({ isComplete }) => isComplete)) {
             const ran = runs.filter(run => run.id.startsWith(record.requestId ?? "")).map(run => run.ran);
             expect(bills.get(record.requestId ?? "")?.lines.map(line => line.version).sort()).toEqual(ran.sort());
         }
@@ -165,7 +167,12 @@
         const proof = getProof();
         await withProcesses(async group => {
             const folder = mkdtempSync(join(tmpdir(), "rattanlock-ledger-"));
-            const args = ["--log", `http://${proof.site.getPlatform("log")}`, "--out", join(folder, "bills.jsonl")];
+            const args = [
+                "--log",
+                `http://${proof.site.getPlatformAddress("log")}`,
+                "--out",
+                join(folder, "bills.jsonl"),
+            ];
             const startLedger = () =>
                 group.start({ program: ledgerProgram, args: [...args, "--listen", ledgerAddress] });
             let ledger = await startLedger();
@@ -180,7 +187,9 @@
             await expectBilledOnce(proof, chats);
             const bills = await proof.site.readBills();
             const read = () => callJson<LedgerReport>({ address: ledgerAddress, path: "/totals" });
-            await waitUntil(async () => (await read()).requests === bills.size, { what: "all bills in the ledger" });
+            await waitUntil(async () => (await read()).requests === bills.size, {
+                description: "all bills in the ledger",
+            });
             let total = 0;
             for (const bill of bills.values()) {
                 total += bill.total;
@@ -209,7 +218,7 @@
                         model: index % 2 === 0 ? "auto" : undefined,
                     })),
             );
-            expect(chats.filter(record => record.isWhole).length > 30).toEqual(true);
+            expect(chats.filter(record => record.isComplete).length > 30).toEqual(true);
             await expectBilledOnce(proof, chats);
         }
         finally {
@@ -224,35 +233,41 @@
     it("bills a cancelled answer for what the engine says that it took", async () => {
         const proof = getProof();
         await setRunners(proof, { stepMilliseconds: verySlowStepMilliseconds });
-        const left = await Promise.all(
-            entries.map(entry => chat(proof, entry, { leaveAfterEvents: 2, model: "label-large@3" })),
+        const cancelledChats = await Promise.all(
+            entries.map(entry => chat(proof, entry, { disconnectAfterEvents: 2, model: "label-large@3" })),
         );
-        const isLeft = (run: EngineRun) => left.some(({ requestId }) => run.id.startsWith(requestId ?? "none"));
+        const isCancelledRun = (run: EngineRun) =>
+            cancelledChats.some(({ requestId }) => run.id.startsWith(requestId ?? "none"));
         await waitUntil(async () => {
-            const runs = (await readEngineRuns(proof.site)).filter(isLeft);
+            const runs = (await readEngineRuns(proof.site)).filter(isCancelledRun);
             return runs.length === entries.length && runs.every(run => run.outcome === "cancelled");
-        }, { what: "cancelled answers" });
+        }, { description: "cancelled answers" });
         await setRunners(proof, { stepMilliseconds });
-        await waitForBills(proof, left.map(record => ({ ...record, isWhole: true })));
-        await expectBilledOnce(proof, left);
+        await waitForBills(proof, cancelledChats.map(record => ({ ...record, isComplete: true })));
+        await expectBilledOnce(proof, cancelledChats);
     });
 
     // A caller gives up before the first token. The engine does not notice by itself and would work on for nobody.
     it("cancels and bills an answer whose caller leaves before its first token", async () => {
         const proof = getProof();
-        const isLeft = (run: EngineRun) => run.outcome === "cancelled" && run.outputTokens === 0;
+        const isCancelledRun = (run: EngineRun) => run.outcome === "cancelled" && run.outputTokens === 0;
         await setRunners(proof, { frozen: true });
         try {
-            await Promise.all(entries.map(entry => chat(proof, entry, { streamed: false, boundMilliseconds: 300 })));
-            await waitUntil(async () => (await readEngineRuns(proof.site)).filter(isLeft).length === entries.length, {
-                what: "cancelled answers",
-            });
+            await Promise.all(entries.map(entry => chat(proof, entry, { streamed: false, timeoutMilliseconds: 300 })));
+            await waitUntil(
+                async () => (await readEngineRuns(proof.site)).filter(isCancelledRun).length === entries.length,
+                {
+                    description: "cancelled answers",
+                },
+            );
         }
         finally {
             await setRunners(proof, { frozen: false });
         }
-        const left = (await readEngineRuns(proof.site)).filter(isLeft).map(run => run.id.split(".")[0]);
-        await waitForBills(proof, left.map(requestId => ({ requestId, isWhole: true })));
+        const cancelledChats = (await readEngineRuns(proof.site)).filter(isCancelledRun).map(run =>
+            run.id.split(".")[0]
+        );
+        await waitForBills(proof, cancelledChats.map(requestId => ({ requestId, isComplete: true })));
         await expectBilledOnce(proof, []);
     });
 
@@ -260,19 +275,22 @@
     // on two VMs each and must all be there once, when the log is back.
     it("bills everything once after the log was away for a good while under load", async () => {
         const proof = getProof();
-        const log = proof.site.getPlatform("log");
+        const log = proof.site.getPlatformAddress("log");
         const chats: ChatRecord[] = [];
         await setFaults(log, { outage: "drop" });
         try {
             await waitUntil(async () => {
                 chats.push(...await Promise.all(entries.map(entry => chat(proof, entry))));
                 return (await proof.site.getStatus("entry-1")).configurationAgeMilliseconds > 12_000;
-            }, { what: "an outage that is longer than a configuration may be old", boundMilliseconds: 40_000 });
+            }, {
+                description: "an outage that is longer than a configuration may be old",
+                timeoutMilliseconds: 40_000,
+            });
         }
         finally {
             await setFaults(log, { outage: "none" });
         }
-        expect(chats.filter(record => record.isWhole).length > chats.length / 2).toEqual(true);
+        expect(chats.filter(record => record.isComplete).length > chats.length / 2).toEqual(true);
         const calls = [(await print(proof, "entry-2", "after-outage")).record];
         await expectBilledOnce(proof, chats, calls);
     });
@@ -280,15 +298,15 @@
     /** Leaves an answer and takes it up elsewhere, so that both entries write its bill. */
     async function leaveAndResume(first: string, second: string): Promise<ChatRecord> {
         const proof = getProof();
-        const broken = await chat(proof, first, { leaveAfterEvents: 2 });
-        return proof.caller.resume(proof.site.getEntryOrThrow(second).callers, proof.key, broken);
+        const broken = await chat(proof, first, { disconnectAfterEvents: 2 });
+        return proof.caller.resume(proof.site.getEntryOrThrow(second).callerAddress, proof.key, broken);
     }
 
     async function resumeIfBroken(record: ChatRecord, entry: string): Promise<ChatRecord> {
-        if (record.isWhole || record.resumeToken === undefined) {
+        if (record.isComplete || record.resumeToken === undefined) {
             return record;
         }
-        return getProof().caller.resume(getProof().site.getEntryOrThrow(entry).callers, getProof().key, record);
+        return getProof().caller.resume(getProof().site.getEntryOrThrow(entry).callerAddress, getProof().key, record);
     }
 });
 
@@ -299,7 +317,7 @@
     // requests are refused before anything runs, and the callers are told that nothing ran and when to come back.
     it("refuses new work truthfully at its bound and takes it again afterwards", async () => {
         const proof = getProof();
-        const log = proof.site.getPlatform("log");
+        const log = proof.site.getPlatformAddress("log");
         const chats: ChatRecord[] = [];
         await setFaults(log, { outage: "drop" });
         try {
@@ -307,7 +325,7 @@
                 const record = await chat(proof, "entry-1");
                 chats.push(record);
                 return record.status === 200 ? undefined : record;
-            }, { what: "a refusal" });
+            }, { description: "a refusal" });
             expect([refused.status, refused.outcome]).toEqual([503, "not-run"]);
             expect(refused.retryAfterSeconds).not.toEqual(undefined);
             expect((await proof.site.getStatus("entry-1")).bills.waiting).toEqual(16);
@@ -318,8 +336,8 @@
         await waitUntil(async () => {
             const record = await chat(proof, "entry-1");
             chats.push(record);
-            return record.isWhole;
-        }, { what: "work to be taken again" });
+            return record.isComplete;
+        }, { description: "work to be taken again" });
         await expectBilledOnce(proof, chats);
     });
 });
--- a/test/proofs/billingFixtures.ts
+++ b/test/proofs/billingFixtures.ts
@@ -1,11 +1,11 @@
 import { expect } from "earl";
 import { type Bill, billsKind } from "../../src/bills/index.js";
 import {
-    type BillEvidence,
-    type ChatAsk,
+    type BillingRecords,
+    type ChatCompletionRequest,
     type ChatRecord,
-    findBillingFaults,
-    findUnlikeBills,
+    findBillingViolations,
+    findConflictingBills,
     getApiKey,
     readEngineRuns,
     readServiceRuns,
@@ -16,30 +16,38 @@
 import type { ProofSite } from "./fixtures.js";
 
 /** Asks for a chat completion at an entry, as the commissary. */
-export function chat(proof: ProofSite, entry: string, ask: Partial<ChatAsk> = {}): Promise<ChatRecord> {
+export function chat(
+    proof: ProofSite,
+    entry: string,
+    overrides: Partial<ChatCompletionRequest> = {},
+): Promise<ChatRecord> {
     return proof.caller.chat({
-        entry: proof.site.getEntryOrThrow(entry).callers,
+        entry: proof.site.getEntryOrThrow(entry).callerAddress,
         key: proof.key,
         model: "label-medium@2",
         text: "Does the tray hold nuts?",
         streamed: true,
-        ...ask,
+        ...overrides,
     });
 }
 
 /** Asks again, as a caller does, while the site says that nothing ran and when to come back. */
-export function chatUntilRun(proof: ProofSite, entry: string, ask: Partial<ChatAsk> = {}): Promise<ChatRecord> {
+export function chatUntilRun(
+    proof: ProofSite,
+    entry: string,
+    overrides: Partial<ChatCompletionRequest> = {},
+): Promise<ChatRecord> {
     return waitUntil(async () => {
-        const record = await chat(proof, entry, ask);
+        const record = await chat(proof, entry, overrides);
         return record.outcome === "not-run" ? undefined : record;
-    }, { what: `${entry} to take a request` });
+    }, { description: `${entry} to take a request` });
 }
 
 /** Sets faults of an entry's links to all runners. */
 export async function setRunnerLinks(proof: ProofSite, entry: string, faults: object): Promise<void> {
     for (const name of proof.site.getUpstreams().keys()) {
         if (name.startsWith("runner")) {
-            await proof.site.setLink(entry, name, faults);
+            await proof.site.setLinkFaults(entry, name, faults);
         }
     }
 }
@@ -67,39 +75,39 @@
 /** Waits until each whole answer has a bill in the log; what is missing at the bound is missing for good. */
 export async function waitForBills(
     proof: ProofSite,
-    chats: readonly Pick<ChatRecord, "isWhole" | "requestId">[],
+    chats: readonly Pick<ChatRecord, "isComplete" | "requestId">[],
     calls: readonly ServiceRecord[] = [],
 ): Promise<void> {
     const answered = [
-        ...chats.filter(({ isWhole }) => isWhole),
+        ...chats.filter(({ isComplete }) => isComplete),
         ...calls.filter(({ status, isReplayed }) => status === 200 && !isReplayed),
     ];
     await waitUntil(async () => {
         const bills = await proof.site.readBills();
         return answered.every(({ requestId }) => bills.has(requestId ?? ""));
-    }, { what: "a bill for every whole answer", boundMilliseconds: 30_000 });
+    }, { description: "a bill for every whole answer", timeoutMilliseconds: 30_000 });
 }
 
 /** What upstreams ran that have been stopped since. */
-export type Gone = Pick<BillEvidence, "engineRuns" | "serviceRuns">;
+export type StoppedUpstreamRuns = Pick<BillingRecords, "engineRuns" | "serviceRuns">;
 
 /** Expects that every promise about bills and answers held at a site. */
 export async function expectBilledOnce(
     proof: ProofSite,
     chats: readonly ChatRecord[],
     calls: readonly ServiceRecord[] = [],
-    gone: Gone = { engineRuns: [], serviceRuns: [] },
+    stoppedRuns: StoppedUpstreamRuns = { engineRuns: [], serviceRuns: [] },
 ): Promise<void> {
     await waitForBills(proof, chats, calls);
-    const evidence: BillEvidence = {
+    const records: BillingRecords = {
         bills: await proof.site.readBills(),
-        engineRuns: [...gone.engineRuns, ...await readEngineRuns(proof.site)],
-        serviceRuns: [...gone.serviceRuns, ...await readServiceRuns(proof.site)],
+        engineRuns: [...stoppedRuns.engineRuns, ...await readEngineRuns(proof.site)],
+        serviceRuns: [...stoppedRuns.serviceRuns, ...await readServiceRuns(proof.site)],
         chats,
         calls,
     };
-    expect(findBillingFaults(evidence)).toEqual([]);
-    expect(findUnlikeBills(await readAllBills(proof))).toEqual([]);
+    expect(findBillingViolations(records)).toEqual([]);
+    expect(findConflictingBills(await readAllBills(proof))).toEqual([]);
 }
 
 /** API key of the workspace that is steered by ratings. */
--- a/test/proofs/configuration.test.ts
+++ b/test/proofs/configuration.test.ts
@@ -27,18 +27,18 @@
         const second = await openOperator(proof, "second");
         for (let round = 0; round < 5; round += 1) {
             const basedOn = Math.min(first.reader.getOffset(), second.reader.getOffset());
-            const verdicts = await Promise.all([
+            const results = await Promise.all([
                 first.publish([createPrice(`1.${round}`)], basedOn, "race"),
                 second.publish([createPrice(`2.${round}`)], basedOn, "race"),
             ]);
-            const [left, right] = verdicts.map(verdict => verdict._unsafeUnwrap());
+            const [left, right] = results.map(verdict => verdict._unsafeUnwrap());
             const [winner, loser] = left.outcome === "accepted" ? [left, right] : [right, left];
             expect([winner.outcome, loser.outcome]).toEqual(["accepted", "rejected"]);
             expect(loser.beatenBy?.author).toEqual(winner.author);
-            await proof.site.waitInForce(Math.max(left.offset, right.offset));
+            await proof.site.waitUntilApplied(Math.max(left.offset, right.offset));
             for (const entry of entries) {
-                expect(await getNumbered(proof, entry, 200, [left.offset, right.offset])).toEqual([winner.offset]);
-                expect(await getNumbered(proof, entry, 201, [left.offset, right.offset])).toEqual([loser.offset]);
+                expect(await getEventOffsets(proof, entry, 200, [left.offset, right.offset])).toEqual([winner.offset]);
+                expect(await getEventOffsets(proof, entry, 201, [left.offset, right.offset])).toEqual([loser.offset]);
             }
         }
     });
@@ -50,17 +50,17 @@
         const operator = await openOperator(proof, "unlucky");
         const offsets: number[] = [];
         for (let round = 0; round < 3; round += 1) {
-            await setFaults(proof.site.getPlatform("log"), { lostAcknowledgements: 2 });
+            await setFaults(proof.site.getPlatformAddress("log"), { lostAcknowledgements: 2 });
             const verdict = await operator.publish([createPrice(`3.${round}`)], operator.reader.getOffset(), "lost");
             expect(verdict._unsafeUnwrap().outcome).toEqual("accepted");
             offsets.push(verdict._unsafeUnwrap().offset);
         }
-        await setFaults(proof.site.getPlatform("log"), { lostAcknowledgements: 0 });
-        await proof.site.waitInForce(Math.max(...offsets));
+        await setFaults(proof.site.getPlatformAddress("log"), { lostAcknowledgements: 0 });
+        await proof.site.waitUntilApplied(Math.max(...offsets));
         for (const entry of entries) {
             const end = offsets[offsets.length - 1] + 1;
             const all = Array.from({ length: end - offsets[0] }, (_, index) => offsets[0] + index);
-            expect(await getNumbered(proof, entry, 200, all)).toEqual(offsets);
+            expect(await getEventOffsets(proof, entry, 200, all)).toEqual(offsets);
         }
     });
 
@@ -70,7 +70,7 @@
         const proof = getProof();
         const { site } = proof;
         const withdrawal = { section: "version.label-small@5", key: "status", value: "withdrawn" };
-        await site.waitInForce(await site.publish([withdrawal]));
+        await site.waitUntilApplied(await site.publish([withdrawal]));
         const watch = new ConfigurationWatch(site, entries);
         const fold = new ConfigurationFold();
         for (const entry of (await site.readStream("config")).slice(0, 2)) {
@@ -80,13 +80,13 @@
             "config",
             createSnapshotRecord(fold.getOffset(), fold.toSnapshot(), "slow-writer"),
         );
-        await site.waitInForce(late);
-        await setFaults(site.getPlatform("log"), { expireBefore: { stream: "config", offset: late } });
+        await site.waitUntilApplied(late);
+        await setFaults(site.getPlatformAddress("log"), { expireBefore: { stream: "config", offset: late } });
         await restart(proof, "entry-1");
-        await site.waitInForce(late);
+        await site.waitUntilApplied(late);
         expect(await readStatuses(proof, "entry-1")).toEqual(await readStatuses(proof, "entry-2"));
-        expect((await ask(proof, "entry-1", "label-small")).status).not.toEqual(200);
-        expect(await watch.end()).toEqual([]);
+        expect((await requestChat(proof, "entry-1", "label-small")).status).not.toEqual(200);
+        expect(await watch.stop()).toEqual([]);
     });
 
     // VMs are replaced at any time and keep nothing. The state has to come back from the snapshot and the records
@@ -97,7 +97,7 @@
         const watch = new ConfigurationWatch(site, entries);
         const statuses = await readStatuses(proof, "entry-1");
         const changed = await site.publish([createPrice("5.1")]);
-        await site.waitInForce(changed);
+        await site.waitUntilApplied(changed);
         await waitForSnapshotAfter(proof, changed);
         await site.publish([createPrice("5.2")]);
         for (const entry of entries) {
@@ -105,29 +105,29 @@
         }
         const before = (await site.getStatus("entry-1")).configurationOffset;
         const covered = await waitForSnapshotAfter(proof, before);
-        await setFaults(site.getPlatform("log"), { expireBefore: { stream: "config", offset: covered } });
+        await setFaults(site.getPlatformAddress("log"), { expireBefore: { stream: "config", offset: covered } });
         const last = await site.publish([createPrice("5.3")]);
         await Promise.all(entries.map(entry => site.getEntryOrThrow(entry).process.kill()));
         await Promise.all(entries.map(entry => site.startEntry(entry)));
         await site.waitUntilReady();
-        await site.waitInForce(last);
+        await site.waitUntilApplied(last);
         for (const entry of entries) {
             expect(await readStatuses(proof, entry)).toEqual(statuses);
-            expect((await ask(proof, entry)).status).toEqual(200);
+            expect((await requestChat(proof, entry)).status).toEqual(200);
         }
-        await site.setLink("entry-1", "log", { cut: true });
+        await site.setLinkFaults("entry-1", "log", { cut: true });
         await restart(proof, "entry-1");
         expect(await readStatuses(proof, "entry-1")).toEqual(statuses);
-        expect((await ask(proof, "entry-1")).status).toEqual(200);
-        await site.setLink("entry-1", "log", { cut: false });
-        expect(await watch.end()).toEqual([]);
+        expect((await requestChat(proof, "entry-1")).status).toEqual(200);
+        await site.setLinkFaults("entry-1", "log", { cut: false });
+        expect(await watch.stop()).toEqual([]);
     });
 });
 
 const operators: OperatorSession[] = [];
 
 async function openOperator(proof: ProofSite, author: string): Promise<OperatorSession> {
-    const logUrl = `http://${proof.site.getPlatform("log")}`;
+    const logUrl = `http://${proof.site.getPlatformAddress("log")}`;
     const operator = new OperatorSession({ logUrl, clock: systemClock, timeoutMilliseconds: 10_000, author });
     operators.push(operator);
     (await operator.open())._unsafeUnwrap();
@@ -139,26 +139,26 @@
 }
 
 /** Returns the offsets, among the given ones, that an entry wrote an event about. */
-async function getNumbered(
+async function getEventOffsets(
     proof: ProofSite,
     entry: string,
     event: number,
     offsets: readonly number[],
 ): Promise<readonly unknown[]> {
-    const address = proof.site.getEntryOrThrow(entry).operators;
+    const address = proof.site.getEntryOrThrow(entry).operatorAddress;
     const lines = await callJson<readonly EventLine[]>({ address, path: "/events" });
     return lines.filter(line => line.event === event && offsets.includes(line.offset as number))
         .map(line => line.offset);
 }
 
-function ask(proof: ProofSite, entry: string, model = "auto") {
+function requestChat(proof: ProofSite, entry: string, model = "auto") {
     return proof.caller.chat({
-        entry: proof.site.getEntryOrThrow(entry).callers,
+        entry: proof.site.getEntryOrThrow(entry).callerAddress,
         key: proof.key,
         model,
         text: "Which trays are ready?",
-        maximumTokens: 8,
-        boundMilliseconds: 5000,
+        maxTokens: 8,
+        timeoutMilliseconds: 5000,
     });
 }
 
@@ -179,12 +179,12 @@
 async function waitForSnapshotAfter(proof: ProofSite, offset: number): Promise<number> {
     return waitUntil(async () => {
         const { entries: records } = await callJson<LogPage>({
-            address: proof.site.getPlatform("log"),
+            address: proof.site.getPlatformAddress("log"),
             path: `/streams/config?from=${offset}&limit=500`,
         });
         const found = records.find(({ record }) =>
             record.kind === "snapshot" && (record.body as { covers: number; }).covers > offset
         );
         return found?.offset;
-    }, { what: `a snapshot that covers ${offset}` });
+    }, { description: `a snapshot that covers ${offset}` });
 }
--- a/test/proofs/configurationCuts.test.ts
+++ b/test/proofs/configurationCuts.test.ts
@@ -6,13 +6,13 @@
 import { type ProofSite, useProofSite } from "./fixtures.js";
 
 const entries = ["entry-1", "entry-2", "entry-3"];
-const maximumAgeSeconds = 6;
+const maxAgeSeconds = 6;
 
 describe("An entry that is cut off", () => {
     const getProof = useProofSite("127.63.5", {
         workspaces: metroManila.workspaces.map(workspace => ({
             ...workspace,
-            settings: { ...workspace.settings, max_configuration_age_s: String(maximumAgeSeconds) },
+            settings: { ...workspace.settings, max_configuration_age_s: String(maxAgeSeconds) },
         })),
     });
 
@@ -21,20 +21,20 @@
     it("comes into force everywhere with the log healthy, slow, and away for a part of the entries", async () => {
         const proof = getProof();
         const { site } = proof;
-        await measure(proof, "log healthy");
+        await measurePropagation(proof, "log healthy");
         for (const entry of entries) {
-            await site.setLink(entry, "log", { delayMilliseconds: 300 });
+            await site.setLinkFaults(entry, "log", { delayMilliseconds: 300 });
         }
-        await measure(proof, "log slow (300 ms each way)");
+        await measurePropagation(proof, "log slow (300 ms each way)");
         for (const entry of entries) {
-            await site.setLink(entry, "log", { delayMilliseconds: 0 });
+            await site.setLinkFaults(entry, "log", { delayMilliseconds: 0 });
         }
-        await site.setLink("entry-1", "log", { cut: true });
-        await measure(proof, "log away for one of three");
-        await site.setLink("entry-2", "log", { cut: true });
-        await measure(proof, "log away for two of three");
+        await site.setLinkFaults("entry-1", "log", { cut: true });
+        await measurePropagation(proof, "log away for one of three");
+        await site.setLinkFaults("entry-2", "log", { cut: true });
+        await measurePropagation(proof, "log away for two of three");
         for (const entry of entries) {
-            await site.setLink(entry, "log", { cut: false });
+            await site.setLinkFaults(entry, "log", { cut: false });
         }
     });
 
@@ -43,7 +43,7 @@
         const proof = getProof();
         await setPeerLinks(proof, "entry-2", { cut: true });
         const offset = await proof.site.publish([createPrice("4.1")]);
-        await proof.site.waitInForce(offset);
+        await proof.site.waitUntilApplied(offset);
         await setPeerLinks(proof, "entry-2", { cut: false });
         await proof.site.waitUntilReady();
     });
@@ -56,24 +56,26 @@
         const watch = new ConfigurationWatch(site, entries);
         const before = (await site.getStatus("entry-3")).configurationOffset;
         await setPeerLinks(proof, "entry-3", { cut: true });
-        await site.setLink("entry-3", "log", { cut: true });
+        await site.setLinkFaults("entry-3", "log", { cut: true });
         const offset = await site.publish([{ section: "version.label-small@5", key: "status", value: "withdrawn" }]);
-        await site.waitInForce(offset, ["entry-1", "entry-2"]);
+        await site.waitUntilApplied(offset, ["entry-1", "entry-2"]);
         const refused = await waitUntil(async () => {
-            const reply = await ask(proof, "entry-3");
+            const reply = await requestChat(proof, "entry-3");
             return reply.status === 503 ? reply : undefined;
-        }, { what: "entry-3 to refuse new work" });
+        }, { description: "entry-3 to refuse new work" });
         expect([refused.outcome, refused.problem?.includes("confirm its configuration")]).toEqual(["not-run", true]);
         expect((await site.getStatus("entry-3")).configurationOffset <= offset).toEqual(true);
         expect((await site.getStatus("entry-3")).configurationOffset >= before).toEqual(true);
         for (const entry of ["entry-1", "entry-2"]) {
-            expect((await ask(proof, entry)).status).toEqual(200);
+            expect((await requestChat(proof, entry)).status).toEqual(200);
         }
         await setPeerLinks(proof, "entry-3", { cut: false });
-        await site.setLink("entry-3", "log", { cut: false });
-        await site.waitInForce(offset);
-        await waitUntil(async () => (await ask(proof, "entry-3")).status === 200, { what: "entry-3 to serve again" });
-        expect(await watch.end()).toEqual([]);
+        await site.setLinkFaults("entry-3", "log", { cut: false });
+        await site.waitUntilApplied(offset);
+        await waitUntil(async () => (await requestChat(proof, "entry-3")).status === 200, {
+            description: "entry-3 to serve again",
+        });
+        expect(await watch.stop()).toEqual([]);
     });
 
     // The platform's log is away for everybody, for longer than entries may go without a word from it. Nothing can be
@@ -81,20 +83,20 @@
     it("goes on serving while the log is away for everybody", async () => {
         const proof = getProof();
         const { site } = proof;
-        await setFaults(site.getPlatform("log"), { outage: "drop" });
+        await setFaults(site.getPlatformAddress("log"), { outage: "drop" });
         try {
             await waitUntil(async () => {
                 const ages = await Promise.all(
                     entries.map(async entry => (await site.getStatus(entry)).configurationAgeMilliseconds),
                 );
-                return Math.min(...ages) > (maximumAgeSeconds + 0.5) * 1000;
-            }, { what: "all entries to be without the log for long" });
+                return Math.min(...ages) > (maxAgeSeconds + 0.5) * 1000;
+            }, { description: "all entries to be without the log for long" });
             for (const entry of entries) {
-                expect((await ask(proof, entry)).status).toEqual(200);
+                expect((await requestChat(proof, entry)).status).toEqual(200);
             }
         }
         finally {
-            await setFaults(site.getPlatform("log"), { outage: "none" });
+            await setFaults(site.getPlatformAddress("log"), { outage: "none" });
         }
     });
 });
@@ -104,28 +106,28 @@
 }
 
 /** Publishes a change and prints how long it took until it was in force on every entry. */
-async function measure(proof: ProofSite, condition: string): Promise<void> {
+async function measurePropagation(proof: ProofSite, condition: string): Promise<void> {
     const startedAt = performance.now();
     const offset = await proof.site.publish([createPrice(`7.${Math.floor(startedAt)}`)]);
-    await proof.site.waitInForce(offset);
+    await proof.site.waitUntilApplied(offset);
     console.log(`in force on 3 entries, ${condition}: ${Math.round(performance.now() - startedAt)} ms`);
 }
 
 async function setPeerLinks(proof: ProofSite, entry: string, faults: object): Promise<void> {
     for (const other of entries) {
         if (other !== entry) {
-            await proof.site.setLink(entry, other, faults);
-            await proof.site.setLink(other, entry, faults);
+            await proof.site.setLinkFaults(entry, other, faults);
+            await proof.site.setLinkFaults(other, entry, faults);
         }
     }
 }
 
-function ask(proof: ProofSite, entry: string) {
+function requestChat(proof: ProofSite, entry: string) {
     return proof.caller.chat({
-        entry: proof.site.getEntryOrThrow(entry).callers,
+        entry: proof.site.getEntryOrThrow(entry).callerAddress,
         key: proof.key,
         text: "Which trays are ready?",
-        maximumTokens: 8,
-        boundMilliseconds: 5000,
+        maxTokens: 8,
+        timeoutMilliseconds: 5000,
     });
 }
--- a/test/proofs/configurationStart.test.ts
+++ b/test/proofs/configurationStart.test.ts
@@ -23,27 +23,27 @@
                 basedOn: count,
                 changes: [createPrice(`6.${count}`)],
             };
-            await appendPatiently(proof, publication);
+            await appendWithRetries(proof, publication);
         }
         const withdrawn = await site.publish([withdrawal]);
-        await site.waitInForce(withdrawn);
+        await site.waitUntilApplied(withdrawn);
         await Promise.all(entries.map(entry => site.getEntryOrThrow(entry).process.kill()));
         for (const entry of entries) {
-            await site.setLink(entry, "log", { delayMilliseconds: 400 });
+            await site.setLinkFaults(entry, "log", { delayMilliseconds: 400 });
         }
         await Promise.all(entries.map(entry => site.startEntry(entry)));
         const answered: (string | undefined)[] = [];
         await waitUntil(async () => {
-            const replies = await Promise.all(entries.map(entry => ask(proof, entry, "label-small")));
+            const replies = await Promise.all(entries.map(entry => requestChat(proof, entry, "label-small")));
             answered.push(...replies.map(reply => reply.version));
             const states = await Promise.all(entries.map(entry => site.getStatus(entry)));
             return states.every(state => state.configurationOffset > withdrawn);
-        }, { what: "all entries to have read the stream" });
+        }, { description: "all entries to have read the stream" });
         expect(answered.filter(version => version === "label-small@5")).toEqual([]);
     });
 });
 
-async function appendPatiently(
+async function appendWithRetries(
     proof: ProofSite,
     publication: Parameters<typeof createPublishRecord>[0],
 ): Promise<void> {
@@ -55,20 +55,20 @@
         catch {
             return false;
         }
-    }, { what: "the log to take a record" });
+    }, { description: "the log to take a record" });
 }
 
 function createPrice(price: string): Change {
     return { section: "version.label-large@3", key: "input_price", value: price };
 }
 
-function ask(proof: ProofSite, entry: string, model = "auto") {
+function requestChat(proof: ProofSite, entry: string, model = "auto") {
     return proof.caller.chat({
-        entry: proof.site.getEntryOrThrow(entry).callers,
+        entry: proof.site.getEntryOrThrow(entry).callerAddress,
         key: proof.key,
         model,
         text: "Which trays are ready?",
-        maximumTokens: 8,
-        boundMilliseconds: 5000,
+        maxTokens: 8,
+        timeoutMilliseconds: 5000,
     });
 }
--- a/test/proofs/configurationWatch.ts
+++ b/test/proofs/configurationWatch.ts
@@ -6,10 +6,10 @@
 /** Looks at entries again and again, and notes whatever went back: an offset, or a version that was withdrawn. */
 export class ConfigurationWatch {
     readonly #site: Site;
-    readonly #faults: string[] = [];
+    readonly #violations: string[] = [];
     readonly #offsets = new Map<string, number>();
     readonly #withdrawn = new Map<string, number>();
-    #isOver = false;
+    #isStopped = false;
     readonly #loop: Promise<void>;
 
     constructor(site: Site, entries: readonly string[]) {
@@ -18,23 +18,23 @@
     }
 
     /** Ends watching and returns what went back. */
-    async end(): Promise<readonly string[]> {
-        this.#isOver = true;
+    async stop(): Promise<readonly string[]> {
+        this.#isStopped = true;
         await this.#loop;
-        return this.#faults;
+        return this.#violations;
     }
 
     async #run(entries: readonly string[]): Promise<void> {
-        while (!this.#isOver) {
+        while (!this.#isStopped) {
             for (const entry of entries) {
-                await this.#look(entry);
+                await this.#check(entry);
             }
             // A test that fails never ends its watch; that must not keep the process alive.
             await sleep(pauseMilliseconds, undefined, { ref: false });
         }
     }
 
-    async #look(entry: string): Promise<void> {
+    async #check(entry: string): Promise<void> {
         const { process } = this.#site.getEntryOrThrow(entry);
         if (process.hasExited()) {
             return;
@@ -50,19 +50,19 @@
             return;
         }
         // A replaced process starts from nothing; it may not fall back afterwards.
-        const run = `${entry} ${process.getId()}`;
-        const before = this.#offsets.get(run) ?? 0;
-        if (status.configurationOffset < before) {
-            this.#faults.push(`${entry} went back from ${before} to ${status.configurationOffset}.`);
+        const processRun = `${entry} ${process.getId()}`;
+        const previousOffset = this.#offsets.get(processRun) ?? 0;
+        if (status.configurationOffset < previousOffset) {
+            this.#violations.push(`${entry} went back from ${previousOffset} to ${status.configurationOffset}.`);
         }
-        this.#offsets.set(run, Math.max(before, status.configurationOffset));
+        this.#offsets.set(processRun, Math.max(previousOffset, status.configurationOffset));
         for (const version of status.versions) {
-            const since = this.#withdrawn.get(version.id);
+            const withdrawnAt = this.#withdrawn.get(version.id);
             if (version.status === "withdrawn") {
-                this.#withdrawn.set(version.id, Math.min(since ?? Infinity, status.configurationOffset));
+                this.#withdrawn.set(version.id, Math.min(withdrawnAt ?? Infinity, status.configurationOffset));
             }
-            else if (since !== undefined && status.configurationOffset >= since) {
-                this.#faults.push(`${entry} shows ${version.id} as ${version.status} after its withdrawal.`);
+            else if (withdrawnAt !== undefined && status.configurationOffset >= withdrawnAt) {
+                this.#violations.push(`${entry} shows ${version.id} as ${version.status} after its withdrawal.`);
             }
         }
     }
--- a/test/proofs/fixtures.ts
+++ b/test/proofs/fixtures.ts
@@ -36,7 +36,7 @@
             entryCount: 3,
             runners: { name: "lm-pool", count: 3, settings: { stepMilliseconds: 5 } },
             services: { name: "label-app", count: 2 },
-            hasLinks: true,
+            hasProxiedLinks: true,
             ...changes,
         });
     });
@@ -57,22 +57,22 @@
  * @param proof - The site.
  * @param entry - Name of the entry.
  * @param idempotencyKey - The key.
- * @param boundMilliseconds - How long the caller waits.
+ * @param timeoutMilliseconds - How long the caller waits.
  */
 export async function print(
     proof: ProofSite,
     entry: string,
     idempotencyKey: string,
-    boundMilliseconds = 8000,
+    timeoutMilliseconds = 8000,
 ): Promise<KeyedCall> {
     const record = await proof.caller.callService({
-        entry: proof.site.getEntryOrThrow(entry).callers,
+        entry: proof.site.getEntryOrThrow(entry).callerAddress,
         key: proof.key,
         pool: "label-app",
         path: "/print",
         idempotencyKey,
         body: `label for ${idempotencyKey}`,
-        boundMilliseconds,
+        timeoutMilliseconds,
     });
     return { key: idempotencyKey, record };
 }
@@ -84,7 +84,7 @@
         const call = await print(proof, entry, key);
         calls.push(call);
         return call.record.outcome !== "not-run";
-    }, { what: `${entry} to take the call with the key ${key}` });
+    }, { description: `${entry} to take the call with the key ${key}` });
     return calls;
 }
 
@@ -93,7 +93,7 @@
     return waitUntil(async () => {
         const call = await print(proof, entry, key);
         return isFinal(call.record) ? call : undefined;
-    }, { what: `a final answer for the key ${key}` });
+    }, { description: `a final answer for the key ${key}` });
 }
 
 function isFinal(record: ServiceRecord): boolean {
--- a/test/proofs/leases.test.ts
+++ b/test/proofs/leases.test.ts
@@ -29,18 +29,18 @@
         site.getEntryOrThrow(first).process.freeze();
         await startRollout(proof, "paused");
         const second = await waitForHolder(proof, others);
-        await waitUntil(async () => (await judge(proof)).grants.some(grant => grant.rollout === "paused"), {
-            what: "a grant by the new holder",
+        await waitUntil(async () => (await readLeaseHistory(proof)).grants.some(grant => grant.rollout === "paused"), {
+            description: "a grant by the new holder",
         });
         const wokenAt = (await site.readStream("control")).length;
         site.getEntryOrThrow(first).process.wake();
         await waitUntil(async () => (await site.getStatus(first)).holdsLease === false, {
-            what: "the woken one to know",
+            description: "the woken one to know",
         });
         await site.waitUntilReady();
-        const judged = await judge(proof);
-        expect(isGrowing(judged.fences)).toEqual(true);
-        expect(judged.grants.filter(grant => grant.offset >= wokenAt && grant.writer === first)).toEqual([]);
+        const history = await readLeaseHistory(proof);
+        expect(isIncreasing(history.fencingTokens)).toEqual(true);
+        expect(history.grants.filter(grant => grant.offset >= wokenAt && grant.writer === first)).toEqual([]);
         expect(second === first).toEqual(false);
         await append(proof, rolloutRecordKinds.abort, { rollout: "paused", by: "test" });
     });
@@ -52,37 +52,39 @@
         const { site } = proof;
         const first = await waitForHolder(proof, entries);
         await startRollout(proof, "killed");
-        await waitUntil(async () => (await judge(proof)).grants.some(grant => grant.rollout === "killed"), {
-            what: "a first grant",
+        await waitUntil(async () => (await readLeaseHistory(proof)).grants.some(grant => grant.rollout === "killed"), {
+            description: "a first grant",
         });
-        const fence = Math.max(...(await judge(proof)).fences);
+        const fence = Math.max(...(await readLeaseHistory(proof)).fencingTokens);
         await site.getEntryOrThrow(first).process.kill();
         const others = entries.filter(entry => entry !== first);
         await waitForHolder(proof, others);
         await waitUntil(async () => {
-            await Promise.all(others.map(entry => ask(proof, entry)));
-            const judged = await judge(proof);
-            return judged.grants.some(grant => grant.rollout === "killed" && grant.fence > fence);
-        }, { what: "a grant by the next holder" });
+            await Promise.all(others.map(entry => requestChat(proof, entry)));
+            const judged = await readLeaseHistory(proof);
+            return judged.grants.some(grant => grant.rollout === "killed" && grant.fencingToken > fence);
+        }, { description: "a grant by the next holder" });
         await append(proof, rolloutRecordKinds.abort, { rollout: "killed", by: "test" });
         await site.startEntry(first);
         await site.waitUntilReady();
-        expect(isGrowing((await judge(proof)).fences)).toEqual(true);
+        expect(isIncreasing((await readLeaseHistory(proof)).fencingTokens)).toEqual(true);
     });
 
     // The log is away. Whoever believed that it holds the lease could not know of a taker, so nobody may hold it.
     it("is held by nobody while the log is away", async () => {
         const proof = getProof();
-        const before = Math.max(...(await judge(proof)).fences);
-        await setFaults(proof.site.getPlatform("log"), { outage: "drop" });
+        const before = Math.max(...(await readLeaseHistory(proof)).fencingTokens);
+        await setFaults(proof.site.getPlatformAddress("log"), { outage: "drop" });
         try {
-            await waitUntil(async () => (await getHolders(proof, entries)).length === 0, { what: "nobody to hold it" });
+            await waitUntil(async () => (await getHolders(proof, entries)).length === 0, {
+                description: "nobody to hold it",
+            });
         }
         finally {
-            await setFaults(proof.site.getPlatform("log"), { outage: "none" });
+            await setFaults(proof.site.getPlatformAddress("log"), { outage: "none" });
         }
         await waitForHolder(proof, entries);
-        expect(Math.max(...(await judge(proof)).fences) > before).toEqual(true);
+        expect(Math.max(...(await readLeaseHistory(proof)).fencingTokens) > before).toEqual(true);
     });
 
     // A cut lets bytes through one way only. An entry that is heard of by others must not be called dead by the one
@@ -91,24 +93,24 @@
         const proof = getProof();
         const { site } = proof;
         await site.waitUntilReady();
-        await site.setLink("entry-1", "entry-2", { oneWay: "to-target" });
-        await site.setLink("entry-2", "entry-1", { oneWay: "from-target" });
-        const falsely: string[] = [];
-        let looks = 0;
+        await site.setLinkFaults("entry-1", "entry-2", { oneWay: "to-target" });
+        await site.setLinkFaults("entry-2", "entry-1", { oneWay: "from-target" });
+        const falseReports: string[] = [];
+        let pollCount = 0;
         await waitUntil(async () => {
             for (const entry of entries) {
                 for (const member of (await site.getStatus(entry)).members) {
                     if (member.state === "dead") {
-                        falsely.push(`${entry} calls ${member.id} dead`);
+                        falseReports.push(`${entry} calls ${member.id} dead`);
                     }
                 }
             }
-            looks += 1;
-            return looks >= 200;
-        }, { what: "enough looks" });
-        expect(falsely).toEqual([]);
-        await site.setLink("entry-1", "entry-2", { oneWay: "none" });
-        await site.setLink("entry-2", "entry-1", { oneWay: "none" });
+            pollCount += 1;
+            return pollCount >= 200;
+        }, { description: "enough looks" });
+        expect(falseReports).toEqual([]);
+        await site.setLinkFaults("entry-1", "entry-2", { oneWay: "none" });
+        await site.setLinkFaults("entry-2", "entry-1", { oneWay: "none" });
         await site.waitUntilReady();
     });
 
@@ -120,62 +122,80 @@
         const checking = site.getUpstreamOrThrow("runner-1").getAddress();
         const obeying = site.getUpstreamOrThrow("runner-2").getAddress();
         await setFaults(obeying, { checksFencing: false });
-        const wanted = ["label-large@3", "label-medium@2", "label-small@5"];
+        const desired = ["label-large@3", "label-medium@2", "label-small@5"];
         const stale = ["label-large@3"];
         const present = createChannel(900);
         const former = createChannel(800);
         for (const engine of [checking, obeying]) {
-            const reached = await present.reconcile(reach(engine), { engine, versions: wanted, role: "serve" });
+            const reached = await present.reconcile(createEngineControl(engine), {
+                engine,
+                versions: desired,
+                role: "serve",
+            });
             expect(reached.isOk()).toEqual(true);
         }
-        const refused = await former.reconcile(reach(checking), { engine: checking, versions: stale, role: "serve" });
+        const refused = await former.reconcile(createEngineControl(checking), {
+            engine: checking,
+            versions: stale,
+            role: "serve",
+        });
         expect(refused.isErr() && refused.error.kind).toEqual("stale");
-        const obeyed = await former.reconcile(reach(obeying), { engine: obeying, versions: stale, role: "serve" });
+        const obeyed = await former.reconcile(createEngineControl(obeying), {
+            engine: obeying,
+            versions: stale,
+            role: "serve",
+        });
         expect(obeyed._unsafeUnwrap().versions).toEqual(stale);
         const before = (await readEngineRuns(site)).length;
         for (let round = 0; round < 5; round += 1) {
-            const records = await Promise.all(entries.map(entry => ask(proof, entry)));
+            const records = await Promise.all(entries.map(entry => requestChat(proof, entry)));
             expect(records.map(record => record.status)).toEqual([200, 200, 200]);
         }
         const runs = (await readEngineRuns(site)).filter(run => run.ran !== run.asked);
         expect([runs, (await readEngineRuns(site)).length > before]).toEqual([[], true]);
-        const mended = await present.reconcile(reach(obeying), { engine: obeying, versions: wanted, role: "serve" });
-        expect([...mended._unsafeUnwrap().versions].sort()).toEqual(wanted);
+        const mended = await present.reconcile(createEngineControl(obeying), {
+            engine: obeying,
+            versions: desired,
+            role: "serve",
+        });
+        expect([...mended._unsafeUnwrap().versions].sort()).toEqual(desired);
     });
 });
 
 interface Grant {
     readonly rollout: string;
-    readonly fence: number;
+    readonly fencingToken: number;
     readonly offset: number;
     readonly writer: string;
 }
 
 /** Folds the log's own record: the fences in their order, and the grants that were accepted. */
-async function judge(
+async function readLeaseHistory(
     proof: ProofSite,
-): Promise<{ readonly fences: readonly number[]; readonly grants: readonly Grant[]; }> {
+): Promise<{ readonly fencingTokens: readonly number[]; readonly grants: readonly Grant[]; }> {
     const leases = new LeaseFold();
-    const rollouts = new RolloutFold({ isCurrentFencingToken: fence => leases.isCurrentFencingToken(lease, fence) });
-    const fences: number[] = [];
+    const rollouts = new RolloutFold({
+        isCurrentFencingToken: fencingToken => leases.isCurrentFencingToken(lease, fencingToken),
+    });
+    const fencingTokens: number[] = [];
     const grants: Grant[] = [];
     leases.onChange(state => {
-        if (fences.at(-1) !== state.fence) {
-            fences.push(state.fence);
+        if (fencingTokens.at(-1) !== state.fence) {
+            fencingTokens.push(state.fence);
         }
     });
     for (const entry of await proof.site.readStream("control")) {
         leases.apply(entry);
         const decision = rollouts.apply(entry);
         if (entry.record.kind === rolloutRecordKinds.grant && decision?.accepted === true) {
-            const { rollout, fence } = entry.record.body as { rollout: string; fence: number; };
-            grants.push({ rollout, fence, offset: entry.offset, writer: entry.record.writer });
+            const { rollout, fence: fencingToken } = entry.record.body as { rollout: string; fence: number; };
+            grants.push({ rollout, fencingToken, offset: entry.offset, writer: entry.record.writer });
         }
     }
-    return { fences, grants };
+    return { fencingTokens, grants };
 }
 
-function isGrowing(numbers: readonly number[]): boolean {
+function isIncreasing(numbers: readonly number[]): boolean {
     return numbers.every((number, index) => index === 0 || number > numbers[index - 1]);
 }
 
@@ -190,7 +210,7 @@
 }
 
 function waitForHolder(proof: ProofSite, names: readonly string[]): Promise<string> {
-    return waitUntil(async () => (await getHolders(proof, names))[0], { what: "somebody to hold the lease" });
+    return waitUntil(async () => (await getHolders(proof, names))[0], { description: "somebody to hold the lease" });
 }
 
 async function append(proof: ProofSite, kind: string, body: object): Promise<void> {
@@ -209,23 +229,23 @@
     });
 }
 
-function ask(proof: ProofSite, entry: string) {
+function requestChat(proof: ProofSite, entry: string) {
     return proof.caller.chat({
-        entry: proof.site.getEntryOrThrow(entry).callers,
+        entry: proof.site.getEntryOrThrow(entry).callerAddress,
         key: getApiKey("banquet"),
         model: "label-small",
         text: "Which trays are ready?",
-        maximumTokens: 8,
-        boundMilliseconds: 5000,
+        maxTokens: 8,
+        timeoutMilliseconds: 5000,
     });
 }
 
-function createChannel(fence: number): OrderChannel {
+function createChannel(fencingToken: number): OrderChannel {
     const journal = new Journal({ process: "test", clock: systemClock, write: () => undefined });
-    return new OrderChannel({ getFencingToken: () => fence, clock: systemClock, journal });
+    return new OrderChannel({ getFencingToken: () => fencingToken, clock: systemClock, journal });
 }
 
-function reach(address: string): EngineControl {
+function createEngineControl(address: string): EngineControl {
     return {
         order: async order => {
             const reply = await call({ address, path: "/orders", method: "POST", body: order });
--- a/test/proofs/membershipChanges.test.ts
+++ b/test/proofs/membershipChanges.test.ts
@@ -12,10 +12,10 @@
 const oldPeerPort = 10_000 + process.pid % 20_000;
 
 describe("Membership", () => {
-    const getProof = useProofSite(network, { hasLinks: false });
-    const finishers: (() => unknown)[] = [];
+    const getProof = useProofSite(network, { hasProxiedLinks: false });
+    const cleanups: (() => unknown)[] = [];
     after(async () => {
-        for (const finish of finishers) {
+        for (const finish of cleanups) {
             await finish();
         }
     });
@@ -27,10 +27,10 @@
         const { site } = proof;
         const old = site.getEntryOrThrow("entry-3");
         const replaced = await site.replaceEntry("entry-3", "entry-4");
-        expect(replaced.callers).toEqual(old.callers);
+        expect(replaced.callerAddress).toEqual(old.callerAddress);
         await site.waitUntilReady();
         const offset = await site.publish([{ section: "version.label-large@3", key: "input_price", value: "9" }]);
-        await site.waitInForce(offset);
+        await site.waitUntilApplied(offset);
         for (const entry of ["entry-1", "entry-2", "entry-4"]) {
             const { members } = await site.getStatus(entry);
             expect(members.map(member => `${member.id} ${member.state}`).sort()).toEqual([
@@ -50,34 +50,34 @@
         const { site } = proof;
         const entries = site.getEntries().map(entry => entry.name);
         const vm = createOldVm();
-        finishers.push(...await startOldMember(site, vm));
-        const list = site.getPlatform("vm-list");
+        cleanups.push(...await startOldMember(site, vm));
+        const list = site.getPlatformAddress("vm-list");
         await callJson({ address: list, path: `/vms/${vm.id}`, method: "PUT", body: vm });
         await waitUntil(async () => {
             const states = await Promise.all(entries.map(entry => site.getStatus(entry)));
             return states.every(({ members }) =>
                 members.some(member => member.id === vm.id && member.state === "alive")
             );
-        }, { what: "all entries to know the old member" });
+        }, { description: "all entries to know the old member" });
         await waitUntil(async () => {
             const states = await Promise.all(entries.map(entry => site.getStatus(entry)));
             return states.every(state => !state.holdsLease);
-        }, { what: "leases to lapse, since they cannot be renewed" });
+        }, { description: "leases to lapse, since they cannot be renewed" });
         const before = await countRecords(site);
         for (const entry of entries) {
             const refused = await print(proof, entry, `mixed-${entry}`);
             expect([refused.record.status, refused.record.outcome]).toEqual([503, "not-run"]);
-            expect((await ask(proof, entry)).status).toEqual(200);
+            expect((await requestChat(proof, entry)).status).toEqual(200);
         }
         expect(await countRecords(site)).toEqual(before);
         await callJson({ address: list, path: `/vms/${vm.id}`, method: "DELETE" });
         for (const entry of entries) {
             await waitUntil(async () => (await print(proof, entry, `mixed-${entry}`)).record.status === 200, {
-                what: `${entry} to write again`,
+                description: `${entry} to write again`,
             });
         }
         await waitUntil(async () => (await site.readBills()).size >= entries.length, {
-            what: "the bills to be written",
+            description: "the bills to be written",
         });
     });
 });
@@ -112,7 +112,10 @@
     });
     const protocol = { oldest: 0, newest: 0 };
     const membership = new Membership({ self, gossip, clock: systemClock, journal, protocol });
-    const { vms } = await callJson<{ vms: readonly Vm[]; }>({ address: site.getPlatform("vm-list"), path: "/vms" });
+    const { vms } = await callJson<{ vms: readonly Vm[]; }>({
+        address: site.getPlatformAddress("vm-list"),
+        path: "/vms",
+    });
     membership.setVms([...vms, vm]);
     const server = new PeerServer({
         address: self.address,
@@ -141,16 +144,19 @@
 
 /** Counts the records that entries wrote into all streams. */
 async function countRecords(site: Site): Promise<number> {
-    const journal = await callJson<readonly object[]>({ address: site.getPlatform("log"), path: "/journal?from=0" });
+    const journal = await callJson<readonly object[]>({
+        address: site.getPlatformAddress("log"),
+        path: "/journal?from=0",
+    });
     return journal.length;
 }
 
-function ask(proof: ProofSite, entry: string) {
+function requestChat(proof: ProofSite, entry: string) {
     return proof.caller.chat({
-        entry: proof.site.getEntryOrThrow(entry).callers,
+        entry: proof.site.getEntryOrThrow(entry).callerAddress,
         key: getApiKey("commissary"),
         text: "Which trays are ready?",
-        maximumTokens: 8,
-        boundMilliseconds: 5000,
+        maxTokens: 8,
+        timeoutMilliseconds: 5000,
     });
 }
--- a/test/proofs/olderMember.test.ts
+++ b/test/proofs/olderMember.test.ts
@@ -16,19 +16,19 @@
         const section = "pool.lm-pool";
         const readable = await fetchState(proof, oldest);
         expect([readable.newer, readFormat(readable)]).toEqual([true, oldest]);
-        await proof.site.waitInForce(await proof.site.publish([{ section, key: "orders", value: "false" }]));
+        await proof.site.waitUntilApplied(await proof.site.publish([{ section, key: "orders", value: "false" }]));
         const withheld = await fetchState(proof, oldest);
         expect([withheld.newer, withheld.state.length]).toEqual([false, 0]);
         const newer = await fetchState(proof, undefined);
         expect([newer.newer, readFormat(newer)]).toEqual([true, oldest + 1]);
-        await proof.site.waitInForce(await proof.site.publish([{ section, key: "*" }]));
+        await proof.site.waitUntilApplied(await proof.site.publish([{ section, key: "*" }]));
         expect((await fetchState(proof, oldest)).newer).toEqual(true);
     });
 });
 
 /** Asks a real entry for its configuration, as a member that reads a protocol up to a version. */
 async function fetchState(proof: ProofSite, newestProtocol: number | undefined): Promise<FetchStateReply> {
-    const [address, port] = proof.site.getEntryOrThrow("entry-1").callers.split(":");
+    const [address, port] = proof.site.getEntryOrThrow("entry-1").callerAddress.split(":");
     const client = new PeerClient({ newestProtocol });
     const peer = { id: "entry-1", address, peerPort: Number(port) + 1 };
     const reply = await client.fetchState(peer, {
--- a/test/proofs/orders.test.ts
+++ b/test/proofs/orders.test.ts
@@ -17,21 +17,21 @@
 
 const entries = ["entry-1", "entry-2", "entry-3"];
 const runners = ["runner-1", "runner-2"];
-const large = "label-large@3";
-const small = "label-small@5";
-const next = "label-small@6";
-const medium = "label-medium@2";
+const largeVersion = "label-large@3";
+const smallVersion = "label-small@5";
+const candidateVersion = "label-small@6";
+const mediumVersion = "label-medium@2";
 
 const versions = metroManila.versions
-    .filter(version => version.id !== medium)
-    .map(version => version.id === next ? { ...version, expectedQuality: 0.8, quality: 0.8 } : version);
+    .filter(version => version.id !== mediumVersion)
+    .map(version => version.id === candidateVersion ? { ...version, expectedQuality: 0.8, quality: 0.8 } : version);
 
 describe("Orders to engines", () => {
     const getProof = useProofSite("127.63.11", {
         runners: {
             name: "lm-pool",
             count: 2,
-            settings: { stepMilliseconds: 5, versions: `${large},${small}`, loadMilliseconds: 300 },
+            settings: { stepMilliseconds: 5, versions: `${largeVersion},${smallVersion}`, loadMilliseconds: 300 },
         },
         versions,
         workspaces: metroManila.workspaces.filter(workspace => workspace.name === "commissary"),
@@ -43,11 +43,20 @@
     before(async () => {
         for (const runner of runners) {
             await setFaults(getAddress(getProof(), runner), {
-                weightStore: getProof().site.getPlatform("weight-store"),
+                weightStore: getProof().site.getPlatformAddress("weight-store"),
             });
         }
-        const all = [large, small, next, medium, "label-late@1", "label-half@1", "label-extra@1", "label-retired@1"];
-        await setFaults(getProof().site.getPlatform("weight-store"), { versions: all, readsPerSecond: 2 });
+        const all = [
+            largeVersion,
+            smallVersion,
+            candidateVersion,
+            mediumVersion,
+            "label-late@1",
+            "label-half@1",
+            "label-extra@1",
+            "label-retired@1",
+        ];
+        await setFaults(getProof().site.getPlatformAddress("weight-store"), { versions: all, readsPerSecond: 2 });
     });
 
     after(async () => {
@@ -61,24 +70,28 @@
     it("load a candidate that no runner has, and its roll-out waits until it is loaded", async () => {
         const proof = getProof();
         const { site } = proof;
-        await setFaults(site.getPlatform("weight-store"), { outage: "answer" });
+        await setFaults(site.getPlatformAddress("weight-store"), { outage: "answer" });
         await startRollout(proof, "unloaded");
-        const holder = await waitUntil(() => findWaiting(proof, "unloaded"), { what: "the roll-out to wait" });
-        await waitUntil(async () => (await countOrders(proof, next)) > 0, { what: "an order to load it" });
+        const holder = await waitUntil(() => findWaiting(proof, "unloaded"), { description: "the roll-out to wait" });
+        await waitUntil(async () => (await countOrders(proof, candidateVersion)) > 0, {
+            description: "an order to load it",
+        });
         const shown = await runCommand("rollout", "status", ...createFlags(proof));
         expect(shown.stdout).toInclude("waits until its candidate is loaded");
         for (const entry of entries) {
-            expect((await ask(proof, entry, "label-small")).version).toEqual(small);
+            expect((await requestChat(proof, entry, "label-small")).version).toEqual(smallVersion);
         }
         expect(await countGrants(proof)).toEqual(0);
-        await setFaults(site.getPlatform("weight-store"), { outage: "none" });
-        await waitForVersion(proof, next);
-        await waitUntil(async () => await countGrants(proof) > 0, { what: "a grant" });
+        await setFaults(site.getPlatformAddress("weight-store"), { outage: "none" });
+        await waitForVersion(proof, candidateVersion);
+        await waitUntil(async () => await countGrants(proof) > 0, { description: "a grant" });
         expect((await site.getStatus(holder)).rollouts.map(rollout => rollout.state)).toEqual(["active"]);
         await waitUntil(async () => {
-            const records = await Promise.all(entries.map((entry, index) => ask(proof, entry, "label-small", index)));
-            return records.some(record => record.version === next);
-        }, { what: "an answer of the candidate" });
+            const records = await Promise.all(
+                entries.map((entry, index) => requestChat(proof, entry, "label-small", index)),
+            );
+            return records.some(record => record.version === candidateVersion);
+        }, { description: "an answer of the candidate" });
         const upstreams = await runCommand("upstreams", ...createFlags(proof));
         expect(upstreams.stdout).toMatchRegex(/runner-1 .* yes +label-\S+, label-\S+, label-\S+ +as wanted/);
         expect(await findWrongAnswers(proof)).toEqual([]);
@@ -95,18 +108,18 @@
         for (const runner of runners) {
             await setFaults(getAddress(proof, runner), { version: retired, outputTokens: 400 });
         }
-        const chat = ask(proof, "entry-1", retired, 0, 400);
+        const chat = requestChat(proof, "entry-1", retired, 0, 400);
         const run = await waitUntil(
             async () =>
                 (await readEngineRuns(site)).find(other => other.ran === retired && other.outcome === "running"),
             {
-                what: "work on the version",
+                description: "work on the version",
             },
         );
         await site.publish([{ section: `version.${retired}`, key: "status", value: "withdrawn" }]);
         await waitForVersion(proof, retired, false);
         const record = await chat;
-        expect([record.status, record.isWhole]).toEqual([200, true]);
+        expect([record.status, record.isComplete]).toEqual([200, true]);
         const ended = (await readRuns(proof, run.runner)).find(other => other.id === run.id)?.endedAt ?? Infinity;
         const orders = await readOrders(proof, run.runner);
         const unloads = orders.filter(order => !order.versions.includes(retired) && order.time >= run.arrivedAt);
@@ -121,21 +134,27 @@
         const proof = getProof();
         const { site } = proof;
         await setFaults(getAddress(proof, "runner-2"), { checksFencing: false });
-        await setFaults(site.getPlatform("weight-store"), { readsPerSecond: 100 });
+        await setFaults(site.getPlatformAddress("weight-store"), { readsPerSecond: 100 });
         await publishPool(proof, { loads_at_a_time: "2" });
         const former = await findHolder(proof, entries);
         const { fence } = (await site.getStatus(former)).lease;
         site.getEntryOrThrow(former).process.freeze();
         const others = entries.filter(name => name !== former);
         await publishVersion(proof, "label-late@1", "withdrawn");
-        await publishVersion(proof, medium);
+        await publishVersion(proof, mediumVersion);
         await findHolder(proof, others);
-        await waitForVersion(proof, medium);
+        await waitForVersion(proof, mediumVersion);
         const load = startLoad(proof, others);
         for (const runner of runners) {
-            await sendOrder(proof, runner, { fence, versions: [large, small, "label-late@1"], role: "serve" });
+            await sendOrder(proof, runner, {
+                fence,
+                versions: [largeVersion, smallVersion, "label-late@1"],
+                role: "serve",
+            });
         }
-        const outcomes = await Promise.all(runners.map(async runner => findLate(await readOrders(proof, runner))));
+        const outcomes = await Promise.all(
+            runners.map(async runner => findLateOutcome(await readOrders(proof, runner))),
+        );
         expect(outcomes).toEqual(["refused", "followed"]);
         await waitForRepair(proof);
         site.getEntryOrThrow(former).process.wake();
@@ -143,8 +162,8 @@
         const records = await load.end();
         await waitForRepair(proof);
         expect(records.length > 0).toEqual(true);
-        expect(records.filter(record => record.version !== undefined && record.version !== medium)).toEqual([]);
-        expect(records.filter(record => record.text !== "" && !record.text.includes(medium))).toEqual([]);
+        expect(records.filter(record => record.version !== undefined && record.version !== mediumVersion)).toEqual([]);
+        expect(records.filter(record => record.text !== "" && !record.text.includes(mediumVersion))).toEqual([]);
         expect((await readEngineRuns(site)).filter(run => run.ran === "label-late@1")).toEqual([]);
     });
 
@@ -160,13 +179,13 @@
         const first = await waitUntil(async () => {
             const holder = await findHolder(proof, entries);
             return await countMissingLoads(proof, holder) === 0 ? holder : undefined;
-        }, { what: "all other versions to be loaded" });
+        }, { description: "all other versions to be loaded" });
         // No load ends before the holder has died, however slow the machine is.
-        await setFaults(site.getPlatform("weight-store"), { outage: "answer" });
+        await setFaults(site.getPlatformAddress("weight-store"), { outage: "answer" });
         await publishVersion(proof, "label-half@1");
-        await waitUntil(async () => (await countOrders(proof, "label-half@1")) > 0, { what: "the first load" });
+        await waitUntil(async () => (await countOrders(proof, "label-half@1")) > 0, { description: "the first load" });
         await site.getEntryOrThrow(first).process.kill();
-        await setFaults(site.getPlatform("weight-store"), { outage: "none" });
+        await setFaults(site.getPlatformAddress("weight-store"), { outage: "none" });
         await waitForVersion(proof, "label-half@1");
         const orders = (await Promise.all(runners.map(runner => readOrders(proof, runner)))).flat();
         const fences = new Set(
@@ -178,7 +197,7 @@
     });
 });
 
-interface OrderNote {
+interface OrderJournalEntry {
     readonly kind: string;
     readonly time: number;
     readonly fence: number;
@@ -186,7 +205,7 @@
     readonly outcome: string;
 }
 
-interface RunNote {
+interface RunJournalEntry {
     readonly kind: string;
     readonly id: string;
     readonly endedAt?: number;
@@ -204,12 +223,12 @@
     return proof.site.getUpstreamOrThrow(runner).getAddress();
 }
 
-async function readOrders(proof: ProofSite, runner: string): Promise<readonly OrderNote[]> {
-    return (await getJournal<OrderNote>(getAddress(proof, runner))).filter(note => note.kind === "order");
+async function readOrders(proof: ProofSite, runner: string): Promise<readonly OrderJournalEntry[]> {
+    return (await getJournal<OrderJournalEntry>(getAddress(proof, runner))).filter(note => note.kind === "order");
 }
 
-async function readRuns(proof: ProofSite, runner: string): Promise<readonly RunNote[]> {
-    return (await getJournal<RunNote>(getAddress(proof, runner))).filter(note => note.kind === "request");
+async function readRuns(proof: ProofSite, runner: string): Promise<readonly RunJournalEntry[]> {
+    return (await getJournal<RunJournalEntry>(getAddress(proof, runner))).filter(note => note.kind === "request");
 }
 
 async function countOrders(proof: ProofSite, version: string): Promise<number> {
@@ -218,33 +237,33 @@
 }
 
 /** Finds what became of an order that came after one with a newer fencing number. */
-function findLate(orders: readonly OrderNote[]): string | undefined {
-    let newest = -1;
+function findLateOutcome(orders: readonly OrderJournalEntry[]): string | undefined {
+    let maxFencingToken = -1;
     for (const { fence, outcome } of orders) {
-        if (fence < newest) {
+        if (fence < maxFencingToken) {
             return outcome;
         }
-        newest = fence;
+        maxFencingToken = fence;
     }
     return undefined;
 }
 
 /** Waits until every runner reports a version, or none does. */
-async function waitForVersion(proof: ProofSite, version: string, isWanted = true): Promise<void> {
+async function waitForVersion(proof: ProofSite, version: string, shouldBeLoaded = true): Promise<void> {
     for (const runner of runners) {
         await waitUntil(async () => {
             const report = await callJson<{ versions: string[]; }>({
                 address: getAddress(proof, runner),
                 path: "/load",
             });
-            return report.versions.includes(version) === isWanted;
-        }, { what: `${runner} to ${isWanted ? "load" : "unload"} ${version}` });
+            return report.versions.includes(version) === shouldBeLoaded;
+        }, { description: `${runner} to ${shouldBeLoaded ? "load" : "unload"} ${version}` });
     }
 }
 
 /** Waits until the version that serves is back everywhere, and the withdrawn one gone. */
 async function waitForRepair(proof: ProofSite): Promise<void> {
-    await waitForVersion(proof, medium);
+    await waitForVersion(proof, mediumVersion);
     await waitForVersion(proof, "label-late@1", false);
 }
 
@@ -256,12 +275,12 @@
             }
         }
         return undefined;
-    }, { what: "somebody to hold the lease" });
+    }, { description: "somebody to hold the lease" });
 }
 
 async function findWaiting(proof: ProofSite, rollout: string): Promise<string | undefined> {
     for (const name of entries) {
-        const address = proof.site.getEntryOrThrow(name).operators;
+        const address = proof.site.getEntryOrThrow(name).operatorAddress;
         const status = await callJson<WaitingStatus>({ address, path: "/status" });
         if (status.waitingRollouts.includes(rollout)) {
             return name;
@@ -272,7 +291,7 @@
 
 /** Counts the loads that a holder still has to order, or waits for. */
 async function countMissingLoads(proof: ProofSite, holder: string): Promise<number | undefined> {
-    const address = proof.site.getEntryOrThrow(holder).operators;
+    const address = proof.site.getEntryOrThrow(holder).operatorAddress;
     const { orders } = await callJson<OrdersStatus>({ address, path: "/status" });
     return orders.find(({ pool }) => pool === "lm-pool")?.missing;
 }
@@ -283,8 +302,8 @@
 }
 
 function createFlags(proof: ProofSite): readonly string[] {
-    const log = `http://${proof.site.getPlatform("log")}`;
-    return ["--log", log, "--vm-list", `http://${proof.site.getPlatform("vm-list")}`];
+    const log = `http://${proof.site.getPlatformAddress("log")}`;
+    return ["--log", log, "--vm-list", `http://${proof.site.getPlatformAddress("vm-list")}`];
 }
 
 async function sendOrder(proof: ProofSite, runner: string, order: object): Promise<void> {
@@ -304,7 +323,7 @@
 async function publishPool(proof: ProofSite, settings: Readonly<Record<string, string>>): Promise<void> {
     const section = "pool.lm-pool";
     const changes = Object.entries(settings).map(([key, value]) => ({ section, key, value }));
-    await proof.site.waitInForce(await proof.site.publish(changes));
+    await proof.site.waitUntilApplied(await proof.site.publish(changes));
 }
 
 async function startRollout(proof: ProofSite, rollout: string): Promise<void> {
@@ -316,8 +335,8 @@
         body: {
             rollout,
             model: "label-small",
-            candidate: next,
-            baseline: small,
+            candidate: candidateVersion,
+            baseline: smallVersion,
             stages: [0.5, 1],
             budget: [100, 400],
             startedBy: "test",
@@ -325,7 +344,7 @@
     });
 }
 
-function ask(
+function requestChat(
     proof: ProofSite,
     entry: string,
     model: string,
@@ -333,13 +352,13 @@
     maximumTokens = 8,
 ): Promise<ChatRecord> {
     return proof.caller.chat({
-        entry: proof.site.getEntryOrThrow(entry).callers,
+        entry: proof.site.getEntryOrThrow(entry).callerAddress,
         key: getApiKey("commissary"),
         session: `session-${entry}-${index}-${Math.random()}`,
         model,
         text: "Does the pastry hold sesame?",
-        maximumTokens,
-        boundMilliseconds: 8000,
+        maxTokens: maximumTokens,
+        timeoutMilliseconds: 8000,
     });
 }
 
@@ -349,15 +368,15 @@
     names: readonly string[],
 ): { readonly end: () => Promise<readonly ChatRecord[]>; } {
     const records: ChatRecord[] = [];
-    let isOver = false;
+    let isStopped = false;
     const loops = names.map(async name => {
-        while (!isOver) {
-            records.push(await ask(proof, name, medium));
+        while (!isStopped) {
+            records.push(await requestChat(proof, name, mediumVersion));
         }
     });
     return {
         end: async () => {
-            isOver = true;
+            isStopped = true;
             await Promise.all(loops);
             return records;
         },
--- a/test/proofs/shutdown.test.ts
+++ b/test/proofs/shutdown.test.ts
@@ -8,10 +8,10 @@
 import { fileURLToPath } from "node:url";
 import type { LedgerReport } from "../../src/bills/index.js";
 import {
-    AddressFollower,
+    AddressResolver,
     callJson,
     type EngineRun,
-    findUntoldErrors,
+    findUnreportedErrors,
     getJournal,
     type ProcessGroup,
     type RunningProcess,
@@ -21,53 +21,53 @@
     waitUntil,
     withProcesses,
 } from "../../src/testbench/index.js";
-import { expectBilledOnce, type Gone } from "./billingFixtures.js";
+import { expectBilledOnce, type StoppedUpstreamRuns } from "./billingFixtures.js";
 import { type ProofSite, useProofSite } from "./fixtures.js";
 
 const entries = ["entry-1", "entry-2", "entry-3"];
 const ledgerProgram = fileURLToPath(new URL("../../src/bills/ledgerMain.js", import.meta.url));
 const ledgerAddress = `127.62.2.250:${10_000 + process.pid % 20_000}`;
-const enoughChats = 40;
+const chatsPerStep = 40;
 
 describe("A graceful shutdown under load", () => {
     const getProof = useProofSite("127.62.2", {
-        hasLinks: false,
+        hasProxiedLinks: false,
         entrySettings: { timing: { peer_timeout_ms: "400", bill_flush_ms: "700" } },
     });
 
     function createTraffic(proof: ProofSite): Traffic {
-        const follower = new AddressFollower(proof.site.getEntries().map(entry => entry.callers));
+        const resolver = new AddressResolver(proof.site.getEntries().map(entry => entry.callerAddress));
         return new Traffic({
             caller: proof.caller,
             key: proof.key,
             pool: "label-app",
-            chatters: 9,
-            printers: 2,
-            getEntry: () => follower.getAddress(),
-            resumes: false,
+            chatCallers: 9,
+            printCallers: 2,
+            getEntry: () => resolver.getAddress(),
+            resumesBrokenAnswers: false,
         });
     }
 
     /** Does something while callers work, and judges what they met. */
-    async function underLoad(work: (proof: ProofSite) => Promise<Gone | void>): Promise<void> {
+    async function underLoad(action: (proof: ProofSite) => Promise<StoppedUpstreamRuns | void>): Promise<void> {
         const proof = getProof();
         const traffic = createTraffic(proof);
         traffic.start();
         await waitForChats(traffic);
-        let gone: Gone | void;
+        let stoppedRuns: StoppedUpstreamRuns | void;
         try {
-            gone = await work(proof);
+            stoppedRuns = await action(proof);
             await waitForChats(traffic);
         }
         finally {
             await traffic.stop();
         }
-        expect(findUntoldErrors(traffic.getChats(), traffic.getPrints())).toEqual([]);
+        expect(findUnreportedErrors(traffic.getChats(), traffic.getPrints())).toEqual([]);
         await expectBilledOnce(
             proof,
             traffic.getChats().map(({ record }) => record),
             traffic.getPrints().map(({ record }) => record),
-            gone ?? undefined,
+            stoppedRuns ?? undefined,
         );
     }
 
@@ -124,11 +124,13 @@
         const folder = mkdtempSync(join(tmpdir(), "rattanlock-ledger-"));
         await withProcesses(async group => {
             await underLoad(async ({ site }) => {
-                const start = () => startLedger(group, site.getPlatform("log"), join(folder, "bills.jsonl"));
+                const start = () => startLedger(group, site.getPlatformAddress("log"), join(folder, "bills.jsonl"));
                 for (let round = 0; round < 3; round += 1) {
                     const ledger = await start();
-                    await waitUntil(async () => (await readTotals()).requests > 0, { what: "bills in the ledger" });
-                    const unfinished = await beginRequest();
+                    await waitUntil(async () => (await readTotals()).requests > 0, {
+                        description: "bills in the ledger",
+                    });
+                    const unfinished = await startRequest();
                     ledger.signal("SIGTERM");
                     await waitForEvent(ledger, "process-stopping");
                     ledger.signal("SIGTERM");
@@ -138,7 +140,7 @@
                 await start();
             });
             const bills = await getProof().site.readBills();
-            await waitUntil(async () => (await readTotals()).requests === bills.size, { what: "all bills" });
+            await waitUntil(async () => (await readTotals()).requests === bills.size, { description: "all bills" });
             expect((await readTotals()).conflicts).toEqual(0);
         });
         rmSync(folder, { recursive: true });
@@ -172,7 +174,7 @@
             await waitForChats(traffic);
         }
         await traffic.stop();
-        expect(findUntoldErrors(traffic.getChats(), traffic.getPrints())).toEqual([]);
+        expect(findUnreportedErrors(traffic.getChats(), traffic.getPrints())).toEqual([]);
     });
 });
 
@@ -196,7 +198,7 @@
 }
 
 /** Begins a request to the ledger and does not finish it, so that the ledger's end takes a while. */
-async function beginRequest(): Promise<Socket> {
+async function startRequest(): Promise<Socket> {
     const [host, port] = ledgerAddress.split(":");
     const socket = connect({ host, port: Number(port) });
     socket.on("error", () => undefined);
@@ -210,22 +212,22 @@
 }
 
 async function waitForChats(traffic: Traffic): Promise<void> {
-    const wanted = traffic.getChats().length + enoughChats;
-    await waitUntil(() => traffic.getChats().length >= wanted, { what: `${enoughChats} more chats` });
+    const expectedCount = traffic.getChats().length + chatsPerStep;
+    await waitUntil(() => traffic.getChats().length >= expectedCount, { description: `${chatsPerStep} more chats` });
 }
 
 async function waitForEvent(process: RunningProcess, name: string): Promise<void> {
-    await waitUntil(() => process.getEvents().some(event => event.name === name), { what: `the event ${name}` });
+    await waitUntil(() => process.getEvents().some(event => event.name === name), { description: `the event ${name}` });
 }
 
 /** Waits until an upstream has had nothing new between two looks while others did. */
 async function waitUntilIdle(upstream: RunningProcess, name: string): Promise<void> {
-    let seen = -1;
-    let quietLooks = 0;
+    let lastLength = -1;
+    let idlePolls = 0;
     await waitUntil(async () => {
         const { length } = await callJson<readonly object[]>({ address: upstream.getAddress(), path: "/journal" });
-        quietLooks = length === seen ? quietLooks + 1 : 0;
-        seen = length;
-        return quietLooks > 30;
-    }, { what: `${name} to get nothing new` });
+        idlePolls = length === lastLength ? idlePolls + 1 : 0;
+        lastLength = length;
+        return idlePolls > 30;
+    }, { description: `${name} to get nothing new` });
 }
--- a/test/proofs/settledVersions.test.ts
+++ b/test/proofs/stableVersions.test.ts
@@ -17,10 +17,10 @@
 
 const entries = ["entry-1", "entry-2", "entry-3"];
 /** The entry that has nothing to compare a settled version with, and so cannot judge one. */
-const blindEntry = "entry-3";
+const entryWithoutHistory = "entry-3";
 const windowSeconds = 10;
 /** Ratings older than the window before a version turns bad; the test of versions needs a hundred. */
-const neededRatings = 130;
+const minRatings = 130;
 const concurrentCalls = 6;
 
 const medium = metroManila.versions[1];
@@ -42,7 +42,7 @@
             createWorkspace("banquet", "label-medium@2, label-medium@9, label-small"),
         ],
         entrySettings: { timing: { settled_window_s: String(windowSeconds) } },
-        singleEntrySettings: { [blindEntry]: { timing: { settled_window_s: "86400" } } },
+        perEntrySettings: { [entryWithoutHistory]: { timing: { settled_window_s: "86400" } } },
     });
 
     // An operator shortens the stages of a roll-out that is under way. If entries kept the rules of its start, callers would
@@ -54,12 +54,12 @@
         await startRollout(proof, rollout, "label-large@3", [0.5, 1]);
         const section = "rollout.label-large";
         const rules = [{ section, key: "stage_minimum_s", value: "1" }, { section, key: "missed_rate", value: "0.5" }];
-        await site.waitInForce(await site.publish(rules));
+        await site.waitUntilApplied(await site.publish(rules));
         await waitUntil(async () => {
-            await askEverywhere(proof, "label-large");
+            await requestEverywhere(proof, "label-large");
             const { rollouts } = await site.getStatus("entry-1");
             return rollouts.some(({ id, stage }) => id === rollout && stage === 1);
-        }, { what: "the second stage, sooner than the default of a minute allows" });
+        }, { description: "the second stage, sooner than the default of a minute allows" });
     });
 
     // A version was rolled out to everybody and served well. Then its answers turn bad, and kitchen staff read wrong
@@ -69,13 +69,13 @@
         const proof = getProof();
         await finishRollout(proof, "label-medium@8", "label-medium@2");
         await finishRollout(proof, "label-medium@9", "label-medium@8");
-        await serveWell(proof, "label-medium", "label-medium@9");
-        await turnBad(proof, "label-medium@9");
-        await askUntilHalted(proof, "label-medium", "label-medium@9");
+        await collectEarlierRatings(proof, "label-medium", "label-medium@9");
+        await degradeVersion(proof, "label-medium@9");
+        await requestUntilHalted(proof, "label-medium", "label-medium@9");
         const haltedAt = Date.now();
         for (const entry of entries) {
-            expect((await ask(proof, entry, "label-medium")).version).toEqual("label-medium@8");
-            expect((await ask(proof, entry, "label-medium", "banquet")).version).toEqual("label-medium@2");
+            expect((await requestChat(proof, entry, "label-medium")).version).toEqual("label-medium@8");
+            expect((await requestChat(proof, entry, "label-medium", "banquet")).version).toEqual("label-medium@2");
         }
         expect(await readLateRuns(proof, "label-medium@9", haltedAt)).toEqual([]);
     });
@@ -87,21 +87,21 @@
         const { site } = proof;
         const version = "label-small@7";
         await finishRollout(proof, version, "label-small@5");
-        await serveWell(proof, "label-small", version);
-        await setFaults(site.getPlatform("log"), { outage: "drop" });
+        await collectEarlierRatings(proof, "label-small", version);
+        await setFaults(site.getPlatformAddress("log"), { outage: "drop" });
         try {
-            await turnBad(proof, version);
-            await askUntilHalted(proof, "label-small", version);
+            await degradeVersion(proof, version);
+            await requestUntilHalted(proof, "label-small", version);
             const haltedAt = Date.now();
-            expect((await ask(proof, blindEntry, "label-small")).version).toEqual("label-small@5");
+            expect((await requestChat(proof, entryWithoutHistory, "label-small")).version).toEqual("label-small@5");
             expect(await readLateRuns(proof, version, haltedAt)).toEqual([]);
-            expect(await countEvents(proof, blindEntry, "version-halted", version)).toEqual(0);
-            expect(await countAtJudges(proof, "version-halted", version) > 0).toEqual(true);
+            expect(await countEvents(proof, entryWithoutHistory, "version-halted", version)).toEqual(0);
+            expect(await countAtEvaluators(proof, "version-halted", version) > 0).toEqual(true);
             // The entries that judge hold it back first, since that needs less evidence.
-            expect(await countAtJudges(proof, "version-held", version) > 0).toEqual(true);
+            expect(await countAtEvaluators(proof, "version-held", version) > 0).toEqual(true);
         }
         finally {
-            await setFaults(site.getPlatform("log"), { outage: "none" });
+            await setFaults(site.getPlatformAddress("log"), { outage: "none" });
         }
     });
 });
@@ -140,22 +140,22 @@
         return states.every(({ rollouts }) =>
             rollouts.some(({ id, state }) => id === candidate && state === "finished")
         );
-    }, { what: `the roll-out of ${candidate} to be finished everywhere` });
+    }, { description: `the roll-out of ${candidate} to be finished everywhere` });
 }
 
 /** Asks until the version has enough ratings that are older than the window. */
-async function serveWell(proof: ProofSite, model: string, version: string): Promise<void> {
+async function collectEarlierRatings(proof: ProofSite, model: string, version: string): Promise<void> {
     await waitUntil(async () => {
-        await askEverywhere(proof, model);
+        await requestEverywhere(proof, model);
         const ratings = await getJournal<{ readonly version: string; readonly time: number; }>(
-            proof.site.getPlatform("rating"),
+            proof.site.getPlatformAddress("rating"),
         );
         const since = Date.now() - 1.2 * windowSeconds * 1000;
-        return ratings.filter(rating => rating.version === version && rating.time < since).length >= neededRatings;
-    }, { what: `${version} to have been rated for a while`, boundMilliseconds: 60_000 });
+        return ratings.filter(rating => rating.version === version && rating.time < since).length >= minRatings;
+    }, { description: `${version} to have been rated for a while`, timeoutMilliseconds: 60_000 });
 }
 
-async function turnBad({ site }: ProofSite, version: string): Promise<void> {
+async function degradeVersion({ site }: ProofSite, version: string): Promise<void> {
     for (const [name, runner] of site.getUpstreams()) {
         if (name.startsWith("runner")) {
             await setFaults(runner.getAddress(), { version, "quality": 0.1, "class": "kitchen-query" });
@@ -163,45 +163,48 @@
     }
 }
 
-async function askUntilHalted(proof: ProofSite, model: string, version: string): Promise<void> {
+async function requestUntilHalted(proof: ProofSite, model: string, version: string): Promise<void> {
     await waitUntil(async () => {
-        await askEverywhere(proof, model);
+        await requestEverywhere(proof, model);
         const states = await Promise.all(entries.map(entry => proof.site.getStatus(entry)));
         return states.every(({ versions }) => versions.some(({ id, halted }) => id === version && halted));
-    }, { what: `the halt of ${version} to be known everywhere`, boundMilliseconds: 60_000 });
+    }, { description: `the halt of ${version} to be known everywhere`, timeoutMilliseconds: 60_000 });
 }
 
-async function askEverywhere(proof: ProofSite, model: string): Promise<void> {
-    const calls = Array.from({ length: concurrentCalls }, (...[, index]) => ask(proof, entries[index % 3], model));
+async function requestEverywhere(proof: ProofSite, model: string): Promise<void> {
+    const calls = Array.from(
+        { length: concurrentCalls },
+        (...[, index]) => requestChat(proof, entries[index % 3], model),
+    );
     await Promise.all(calls);
 }
 
-function ask(proof: ProofSite, entry: string, model: string, workspace = "commissary"): Promise<ChatRecord> {
+function requestChat(proof: ProofSite, entry: string, model: string, workspace = "commissary"): Promise<ChatRecord> {
     return proof.caller.chat({
-        entry: proof.site.getEntryOrThrow(entry).callers,
+        entry: proof.site.getEntryOrThrow(entry).callerAddress,
         key: getApiKey(workspace),
         model,
         text: "Does the pastry hold sesame?",
-        maximumTokens: 8,
-        boundMilliseconds: 8000,
+        maxTokens: 8,
+        timeoutMilliseconds: 8000,
     });
 }
 
-async function readLateRuns({ site }: ProofSite, version: string, since: number): Promise<readonly unknown[]> {
-    return (await readEngineRuns(site)).filter(run => run.asked === version && run.arrivedAt > since);
+async function readLateRuns({ site }: ProofSite, version: string, startedAt: number): Promise<readonly unknown[]> {
+    return (await readEngineRuns(site)).filter(run => run.asked === version && run.arrivedAt > startedAt);
 }
 
 /** Counts what an entry has written about a version. */
 async function countEvents({ site }: ProofSite, entry: string, name: string, version: string): Promise<number> {
-    const { operators } = site.getEntryOrThrow(entry);
-    const lines = await callJson<readonly EventLine[]>({ address: operators, path: "/events" });
+    const { operatorAddress } = site.getEntryOrThrow(entry);
+    const lines = await callJson<readonly EventLine[]>({ address: operatorAddress, path: "/events" });
     return lines.filter(line => line.name === name && line.version === version).length;
 }
 
 /** Counts what the entries that can judge have written about a version. */
-async function countAtJudges(proof: ProofSite, name: string, version: string): Promise<number> {
+async function countAtEvaluators(proof: ProofSite, name: string, version: string): Promise<number> {
     let count = 0;
-    for (const entry of entries.filter(other => other !== blindEntry)) {
+    for (const entry of entries.filter(other => other !== entryWithoutHistory)) {
         count += await countEvents(proof, entry, name, version);
     }
     return count;
--- a/test/proofs/upstreamsAndHalts.test.ts
+++ b/test/proofs/upstreamsAndHalts.test.ts
@@ -45,14 +45,14 @@
             return states.every(({ rollouts }) =>
                 rollouts.some(other => other.id === id && other.state === "finished")
             );
-        }, { what: "the roll-out to be finished everywhere" });
+        }, { description: "the roll-out to be finished everywhere" });
         for (const entry of entries) {
-            expect((await ask(proof, entry, "label-medium")).version).toEqual("label-medium@9");
+            expect((await requestChat(proof, entry, "label-medium")).version).toEqual("label-medium@9");
         }
         const draining = [{ section: "version.label-medium@9", key: "status", value: "draining" }];
-        await site.waitInForce(await site.publish(draining));
+        await site.waitUntilApplied(await site.publish(draining));
         for (const entry of entries) {
-            expect((await ask(proof, entry, "label-medium")).version).toEqual("label-medium@2");
+            expect((await requestChat(proof, entry, "label-medium")).version).toEqual("label-medium@2");
         }
     });
 
@@ -61,7 +61,9 @@
     it("stops on a version that turns bad, at all entries, while the log is away", async () => {
         const proof = getProof();
         const { site } = proof;
-        await Promise.all(Array.from({ length: 60 }, (_, index) => ask(proof, entries[index % 3], "label-small")));
+        await Promise.all(
+            Array.from({ length: 60 }, (_, index) => requestChat(proof, entries[index % 3], "label-small")),
+        );
         await append(proof, rolloutRecordKinds.start, {
             rollout: "bad",
             model: "label-small",
@@ -82,21 +84,21 @@
                     record.kind === "rollout-grant" && (record.body as { rollout: string; }).rollout === "bad"
                 ),
             {
-                what: "a first grant",
+                description: "a first grant",
             },
         );
-        await setFaults(site.getPlatform("log"), { outage: "drop" });
+        await setFaults(site.getPlatformAddress("log"), { outage: "drop" });
         try {
             await waitUntil(async () => {
-                await Promise.all(entries.map(entry => ask(proof, entry, "label-small")));
+                await Promise.all(entries.map(entry => requestChat(proof, entry, "label-small")));
                 const states = await Promise.all(entries.map(entry => site.getStatus(entry)));
                 return states.every(({ versions }) => versions.some(({ id, halted }) => id === candidate && halted));
-            }, { what: "the halt to be known everywhere" });
+            }, { description: "the halt to be known everywhere" });
             const haltedAt = Date.now();
             for (const entry of entries) {
-                const record = await ask(proof, entry, "label-small");
+                const record = await requestChat(proof, entry, "label-small");
                 expect([record.status, record.version]).toEqual([200, "label-small@5"]);
-                expect((await ask(proof, entry, candidate)).outcome).toEqual("not-run");
+                expect((await requestChat(proof, entry, candidate)).outcome).toEqual("not-run");
             }
             const late = (await readEngineRuns(site)).filter(run =>
                 run.asked === candidate && run.arrivedAt > haltedAt
@@ -104,10 +106,10 @@
             expect(late).toEqual([]);
         }
         finally {
-            await setFaults(site.getPlatform("log"), { outage: "none" });
+            await setFaults(site.getPlatformAddress("log"), { outage: "none" });
         }
         await waitUntil(async () => (await site.readStream("control")).some(({ record }) => record.kind === "halt"), {
-            what: "the halt to be written once the log is back",
+            description: "the halt to be written once the log is back",
         });
     });
 
@@ -117,10 +119,10 @@
         const { site } = proof;
         const startedAt = Date.now();
         await site.setVmState("runner-1", "leaving");
-        await waitUntilGone(proof, "runner-1");
+        await waitUntilRemoved(proof, "runner-1");
         const knownAt = Date.now();
         for (let round = 0; round < 10; round += 1) {
-            await Promise.all(entries.map(entry => askUntilServed(proof, entry)));
+            await Promise.all(entries.map(entry => requestUntilServed(proof, entry)));
         }
         const runs = (await readEngineRuns(site)).filter(run => run.runner === "runner-1");
         expect(runs.filter(run => run.arrivedAt > knownAt)).toEqual([]);
@@ -132,15 +134,15 @@
     it("stops on an upstream that says so itself, also at an entry that hears of it by gossip only", async () => {
         const proof = getProof();
         const { site } = proof;
-        await site.setLink("entry-3", "runner-2", { freeze: true });
+        await site.setLinkFaults("entry-3", "runner-2", { freeze: true });
         const startedAt = Date.now();
         await setFaults(site.getUpstreamOrThrow("runner-2").getAddress(), { leaving: true });
-        await waitUntilGone(proof, "runner-2");
+        await waitUntilRemoved(proof, "runner-2");
         console.log(`leaving by its own report and gossip: known to 3 entries after ${Date.now() - startedAt} ms`);
         const before = await readDispatches(proof, "runner-2");
-        await site.setLink("entry-3", "runner-2", { freeze: false });
+        await site.setLinkFaults("entry-3", "runner-2", { freeze: false });
         for (let round = 0; round < 10; round += 1) {
-            await Promise.all(entries.map(entry => askUntilServed(proof, entry)));
+            await Promise.all(entries.map(entry => requestUntilServed(proof, entry)));
         }
         expect(await readDispatches(proof, "runner-2")).toEqual(before);
     });
@@ -150,14 +152,14 @@
     await proof.site.append("control", { id: `${kind}-${Math.random()}`, kind, format: 1, writer: "test", body });
 }
 
-function ask(proof: ProofSite, entry: string, model: string): Promise<ChatRecord> {
+function requestChat(proof: ProofSite, entry: string, model: string): Promise<ChatRecord> {
     return proof.caller.chat({
-        entry: proof.site.getEntryOrThrow(entry).callers,
+        entry: proof.site.getEntryOrThrow(entry).callerAddress,
         key: getApiKey("commissary"),
         model,
         text: "Does the pastry hold sesame?",
-        maximumTokens: 8,
-        boundMilliseconds: 8000,
+        maxTokens: 8,
+        timeoutMilliseconds: 8000,
     });
 }
 
@@ -165,24 +167,24 @@
  * Asks as a caller does: again while the entry says that nothing ran and when to come back, as it may on a busy machine.
  * Any other refusal fails the test.
  */
-async function askUntilServed(proof: ProofSite, entry: string): Promise<void> {
+async function requestUntilServed(proof: ProofSite, entry: string): Promise<void> {
     let problem: string | undefined;
     await waitUntil(async () => {
-        const record = await ask(proof, entry, "auto");
+        const record = await requestChat(proof, entry, "auto");
         if (record.status === 200) {
             return true;
         }
         problem = record.problem;
         expect([record.outcome, record.retryAfterSeconds !== undefined]).toEqual(["not-run", true]);
         return false;
-    }, { what: `an answer of ${entry}`, describe: () => String(problem) });
+    }, { description: `an answer of ${entry}`, describeState: () => String(problem) });
 }
 
-async function waitUntilGone(proof: ProofSite, runner: string): Promise<void> {
+async function waitUntilRemoved(proof: ProofSite, runner: string): Promise<void> {
     await waitUntil(async () => {
         const states = await Promise.all(entries.map(entry => proof.site.getStatus(entry)));
         return states.every(({ upstreams }) => upstreams.every(({ id }) => id !== runner));
-    }, { what: `all entries to know that ${runner} leaves` });
+    }, { description: `all entries to know that ${runner} leaves` });
 }
 
 /** Counts how often entries sent work to a runner. */
@@ -190,7 +192,7 @@
     let count = 0;
     for (const entry of entries) {
         const lines = await callJson<readonly EventLine[]>({
-            address: proof.site.getEntryOrThrow(entry).operators,
+            address: proof.site.getEntryOrThrow(entry).operatorAddress,
             path: "/events",
         });
         count += lines.filter(line => line.name === "request-dispatched" && line.upstream === runner).length;
