--- a/test/proofs/versions.test.ts
+++ b/test/proofs/versions.test.ts
@@ -12,8 +12,8 @@
 import { type ProofSite, useProofSite } from "./fixtures.js";
 
 const entries = ["entry-1", "entry-2", "entry-3"];
-const small = "label-small@5";
-const longestLoadMilliseconds = 20_000;
+const smallVersion = "label-small@5";
+const maxLoadMilliseconds = 20_000;
 
 describe("A version", () => {
     const getProof = useProofSite("127.63.2");
@@ -23,16 +23,20 @@
     it("that was not asked for never answers a caller", async () => {
         const proof = getProof();
         const runners = getRunners(proof);
-        const asks: Promise<ChatRecord>[] = [];
-        await setFaults(runners[0], { runsInstead: { [small]: "label-small@6" } });
+        const requests: Promise<ChatRecord>[] = [];
+        await setFaults(runners[0], { runsInstead: { [smallVersion]: "label-small@6" } });
         for (let index = 0; index < 12; index += 1) {
-            asks.push(ask(proof, { entry: entries[index % 3], model: small, streamed: index % 2 === 0 }));
+            requests.push(
+                requestChat(proof, { entry: entries[index % 3], model: smallVersion, streamed: index % 2 === 0 }),
+            );
         }
-        const some = await Promise.all(asks);
+        const some = await Promise.all(requests);
         for (const runner of runners) {
-            await setFaults(runner, { runsInstead: { [small]: "label-small@6" } });
+            await setFaults(runner, { runsInstead: { [smallVersion]: "label-small@6" } });
         }
-        const none = await Promise.all(entries.map(entry => ask(proof, { entry, model: small, streamed: true })));
+        const none = await Promise.all(
+            entries.map(entry => requestChat(proof, { entry, model: smallVersion, streamed: true })),
+        );
         for (const runner of runners) {
             await setFaults(runner, { runsInstead: {} });
         }
@@ -51,7 +55,9 @@
         for (let round = 0; round < 8; round += 1) {
             const session = `race-${round}`;
             const records = await Promise.all(
-                entries.map((entry, index) => ask(proof, { entry, session, model: models[(index + round) % 3] })),
+                entries.map((entry, index) =>
+                    requestChat(proof, { entry, session, model: models[(index + round) % 3] })
+                ),
             );
             const found = new Set(records.filter(record => record.status === 200).map(record => record.version));
             expect([records.every(record => record.status === 200), found.size]).toEqual([true, 1]);
@@ -64,14 +70,14 @@
         const proof = getProof();
         const { site } = proof;
         await setRunnerLinks(proof, "entry-1", { freeze: true });
-        const first = ask(proof, { entry: "entry-1", session: "orphan", model: "label-medium" });
-        await waitUntil(() => hasPin(proof, "orphan"), { what: "the pin to be in the log" });
+        const first = requestChat(proof, { entry: "entry-1", session: "orphan", model: "label-medium" });
+        await waitUntil(() => hasPin(proof, "orphan"), { description: "the pin to be in the log" });
         await site.getEntryOrThrow("entry-1").process.kill();
         expect((await first).status).toEqual(0);
         const second = await waitUntil(async () => {
-            const record = await ask(proof, { entry: "entry-2", session: "orphan", model: "label-large" });
+            const record = await requestChat(proof, { entry: "entry-2", session: "orphan", model: "label-large" });
             return record.status === 200 ? record : undefined;
-        }, { what: "an answer from entry-2" });
+        }, { description: "an answer from entry-2" });
         expect(second.version).toEqual("label-medium@2");
         await setRunnerLinks(proof, "entry-1", { freeze: false });
         await site.startEntry("entry-1");
@@ -84,20 +90,25 @@
         const proof = getProof();
         const { site } = proof;
         const session = "before-draining";
-        const first = await ask(proof, { entry: "entry-1", session, model: "label-medium" });
+        const first = await requestChat(proof, { entry: "entry-1", session, model: "label-medium" });
         const offset = await site.publish([{ section: "version.label-medium@2", key: "status", value: "draining" }]);
-        await site.waitInForce(offset);
+        await site.waitUntilApplied(offset);
         for (const entry of entries) {
-            const byPin = await ask(proof, { entry, session, model: "auto" });
-            const byToken = await ask(proof, { entry, session, model: "auto", sessionToken: first.sessionToken });
+            const byPin = await requestChat(proof, { entry, session, model: "auto" });
+            const byToken = await requestChat(proof, {
+                entry,
+                session,
+                model: "auto",
+                sessionToken: first.sessionToken,
+            });
             expect([byPin.version, byToken.version]).toEqual(["label-medium@2", "label-medium@2"]);
-            const other = await ask(proof, { entry, session: `new-${entry}`, model: "auto" });
+            const other = await requestChat(proof, { entry, session: `new-${entry}`, model: "auto" });
             expect([other.status, other.version === "label-medium@2"]).toEqual([200, false]);
-            const named = await ask(proof, { entry, session: `named-${entry}`, model: "label-medium" });
+            const named = await requestChat(proof, { entry, session: `named-${entry}`, model: "label-medium" });
             expect([named.status, named.outcome]).toEqual([503, "not-run"]);
         }
         const back = await site.publish([{ section: "version.label-medium@2", key: "status", value: "serving" }]);
-        await site.waitInForce(back);
+        await site.waitUntilApplied(back);
     });
 
     // A version turns bad and is withdrawn while callers keep on asking, one entry cannot see the log, and requests
@@ -105,24 +116,24 @@
     it("that is withdrawn gets no new work once entries know, and its sessions end with a refusal", async () => {
         const proof = getProof();
         const { site } = proof;
-        const pinned = await ask(proof, { entry: "entry-1", session: "bound", model: "label-small" });
-        expect(pinned.version).toEqual(small);
-        await site.setLink("entry-3", "log", { cut: true });
+        const pinned = await requestChat(proof, { entry: "entry-1", session: "bound", model: "label-small" });
+        expect(pinned.version).toEqual(smallVersion);
+        await site.setLinkFaults("entry-3", "log", { cut: true });
         const load = startLoad(proof);
-        await waitUntil(async () => (await countRuns(proof)) >= 10, { what: "work on the version" });
+        await waitUntil(async () => (await countRuns(proof)) >= 10, { description: "work on the version" });
         const startedAt = Date.now();
-        const offset = await site.publish([{ section: `version.${small}`, key: "status", value: "withdrawn" }]);
-        await site.waitInForce(offset);
+        const offset = await site.publish([{ section: `version.${smallVersion}`, key: "status", value: "withdrawn" }]);
+        await site.waitUntilApplied(offset);
         const inForceAt = Date.now();
         for (const entry of entries) {
-            const byPin = await ask(proof, { entry, session: "bound" });
-            const byToken = await ask(proof, { entry, session: "bound", sessionToken: pinned.sessionToken });
+            const byPin = await requestChat(proof, { entry, session: "bound" });
+            const byToken = await requestChat(proof, { entry, session: "bound", sessionToken: pinned.sessionToken });
             expect([byPin.status, byPin.outcome, byPin.text]).toEqual([410, "not-run", ""]);
             expect([byToken.status, byToken.outcome, byToken.text]).toEqual([410, "not-run", ""]);
         }
         const records = await load.end();
-        await site.setLink("entry-3", "log", { cut: false });
-        const runs = (await readEngineRuns(site)).filter(run => run.ran === small);
+        await site.setLinkFaults("entry-3", "log", { cut: false });
+        const runs = (await readEngineRuns(site)).filter(run => run.ran === smallVersion);
         const last = Math.max(...runs.map(run => run.arrivedAt));
         console.log(
             `last new work on a withdrawn version ${last - startedAt} ms after the change, in force everywhere after ${
@@ -142,14 +153,14 @@
     readonly streamed?: boolean;
 }
 
-function ask(proof: ProofSite, question: Question): Promise<ChatRecord> {
+function requestChat(proof: ProofSite, question: Question): Promise<ChatRecord> {
     return proof.caller.chat({
         ...question,
-        entry: proof.site.getEntryOrThrow(question.entry).callers,
+        entry: proof.site.getEntryOrThrow(question.entry).callerAddress,
         key: getApiKey("commissary"),
         text: "Does the pastry hold sesame?",
-        maximumTokens: 20,
-        boundMilliseconds: 8000,
+        maxTokens: 20,
+        timeoutMilliseconds: 8000,
     });
 }
 
@@ -162,7 +173,7 @@
 async function setRunnerLinks(proof: ProofSite, entry: string, faults: object): Promise<void> {
     for (const name of proof.site.getUpstreams().keys()) {
         if (name.startsWith("runner")) {
-            await proof.site.setLink(entry, name, faults);
+            await proof.site.setLinkFaults(entry, name, faults);
         }
     }
 }
@@ -170,7 +181,7 @@
 async function hasPin(proof: ProofSite, session: string): Promise<boolean> {
     for (let partition = 0; partition < 8; partition += 1) {
         const page = await callJson<object>({
-            address: proof.site.getPlatform("log"),
+            address: proof.site.getPlatformAddress("log"),
             path: `/streams/claims-${partition}?from=0&limit=500`,
         });
         if (JSON.stringify(page).includes(`/${session}"`)) {
@@ -181,20 +192,20 @@
 }
 
 async function countRuns(proof: ProofSite): Promise<number> {
-    return (await readEngineRuns(proof.site)).filter(run => run.ran === small).length;
+    return (await readEngineRuns(proof.site)).filter(run => run.ran === smallVersion).length;
 }
 
 /** Asks for the version at all entries, with more requests at a time than run at once, until it is ended. */
 function startLoad(proof: ProofSite): { readonly end: () => Promise<readonly ChatRecord[]>; } {
     const records: ChatRecord[] = [];
-    let isOver = false;
+    let isStopped = false;
     // A test that fails before it ends the load must not keep the process busy for ever.
-    setTimeout(() => isOver = true, longestLoadMilliseconds).unref();
+    setTimeout(() => isStopped = true, maxLoadMilliseconds).unref();
     const loops: Promise<void>[] = [];
     for (let index = 0; index < 90; index += 1) {
         loops.push((async () => {
-            while (!isOver) {
-                const record = await ask(proof, { entry: entries[index % 3], model: small });
+            while (!isStopped) {
+                const record = await requestChat(proof, { entry: entries[index % 3], model: smallVersion });
                 records.push(record);
                 if (record.status !== 200) {
                     await new Promise(resolve => setTimeout(resolve, 100));
@@ -204,7 +215,7 @@
     }
     return {
         end: async () => {
-            isOver = true;
+            isStopped = true;
             await Promise.all(loops);
             return records;
         },
@@ -213,12 +224,12 @@
 
 /** Finds requests that were called "not run" and ran. */
 function findFalseRefusals(records: readonly ChatRecord[], runs: readonly EngineRun[]): readonly string[] {
-    const ran = new Set(runs.map(run => run.id.split(".")[0]));
-    const faults: string[] = [];
+    const executedRequestIds = new Set(runs.map(run => run.id.split(".")[0]));
+    const falseRefusals: string[] = [];
     for (const { outcome, requestId } of records) {
-        if (outcome === "not-run" && requestId !== undefined && ran.has(requestId)) {
-            faults.push(requestId);
+        if (outcome === "not-run" && requestId !== undefined && executedRequestIds.has(requestId)) {
+            falseRefusals.push(requestId);
         }
     }
-    return faults;
+    return falseRefusals;
 }
--- a/test/proofs/withdrawalAtDispatch.test.ts
+++ b/test/proofs/withdrawalAtDispatch.test.ts
@@ -7,7 +7,7 @@
 
 const entry = "entry-3";
 const collectors = ["entry-1", "entry-2"];
-const small = "label-small@5";
+const smallVersion = "label-small@5";
 const sessionCount = 16;
 
 describe("A request that waits between its plan and its dispatch", () => {
@@ -18,7 +18,9 @@
     // it, and a cook would get a bad label after the withdrawal is in force.
     it("does not run on a version that was withdrawn meanwhile", async () => {
         const proof = getProof();
-        const round = await waitUntil(() => withdrawWhileWaiting(proof), { what: "a request held back until then" });
+        const round = await waitUntil(() => withdrawWhileWaiting(proof), {
+            description: "a request held back until then",
+        });
         expect(await findLateDispatches(proof, round.offset)).toEqual([]);
         const ran = new Set((await readEngineRuns(proof.site)).map(run => run.id.split(".")[0]));
         const refused = round.records.filter(record => record.status !== 200);
@@ -28,35 +30,37 @@
     });
 });
 
-interface Round {
+interface WithdrawalRound {
     /** Where the withdrawal stands in the log. */
     readonly offset: number;
     readonly records: readonly ChatRecord[];
 }
 
 /** Withdraws the version while requests wait for their pins; undefined when none was still waiting by then. */
-async function withdrawWhileWaiting(proof: ProofSite): Promise<Round | undefined> {
+async function withdrawWhileWaiting(proof: ProofSite): Promise<WithdrawalRound | undefined> {
     const { site } = proof;
-    await site.waitInForce(await site.publish(createStatus("serving")));
+    await site.waitUntilApplied(await site.publish(createStatus("serving")));
     for (const collector of collectors) {
-        await site.setLink(collector, "log", { freeze: true });
+        await site.setLinkFaults(collector, "log", { freeze: true });
     }
-    const held = new Set<number>();
-    const asks: Promise<ChatRecord>[] = [];
+    const waitingRequests = new Set<number>();
+    const requests: Promise<ChatRecord>[] = [];
     for (let index = 0; index < sessionCount; index += 1) {
-        held.add(index);
-        asks.push(ask(proof, `held-${Math.random()}`).finally(() => held.delete(index)));
+        waitingRequests.add(index);
+        requests.push(requestChat(proof, `held-${Math.random()}`).finally(() => waitingRequests.delete(index)));
     }
-    await waitUntil(async () => (await countRunning(proof)) >= held.size, { what: "all requests to be let in" });
+    await waitUntil(async () => (await countRunning(proof)) >= waitingRequests.size, {
+        description: "all requests to be let in",
+    });
     const offset = await site.publish(createStatus("withdrawn"));
-    await site.waitInForce(offset, [entry]);
-    const heldCount = held.size;
+    await site.waitUntilApplied(offset, [entry]);
+    const waitingCount = waitingRequests.size;
     for (const collector of collectors) {
-        await site.setLink(collector, "log", { freeze: false });
+        await site.setLinkFaults(collector, "log", { freeze: false });
     }
-    const records = await Promise.all(asks);
-    await site.waitInForce(offset);
-    return heldCount > 0 ? { offset, records } : undefined;
+    const records = await Promise.all(requests);
+    await site.waitUntilApplied(offset);
+    return waitingCount > 0 ? { offset, records } : undefined;
 }
 
 /**
@@ -64,35 +68,35 @@
  * own events tells; by the engines' clocks a request that was on its way at that moment would look late.
  */
 async function findLateDispatches(proof: ProofSite, offset: number): Promise<readonly EventLine[]> {
-    const address = proof.site.getEntryOrThrow(entry).operators;
+    const address = proof.site.getEntryOrThrow(entry).operatorAddress;
     const lines = await callJson<readonly EventLine[]>({ address, path: "/events" });
     const inForce = lines.findIndex(line =>
         line.name === "configuration-accepted" && line.offset === offset
         || line.name === "configuration-offered" && Number(line.offset) > offset
     );
     expect(inForce >= 0).toEqual(true);
-    return lines.slice(inForce).filter(line => line.name === "request-dispatched" && line.version === small);
+    return lines.slice(inForce).filter(line => line.name === "request-dispatched" && line.version === smallVersion);
 }
 
 function createStatus(value: string): readonly Change[] {
-    return [{ section: `version.${small}`, key: "status", value }];
+    return [{ section: `version.${smallVersion}`, key: "status", value }];
 }
 
 /** Counts the requests that the entry has let in and not answered yet. */
 async function countRunning(proof: ProofSite): Promise<number> {
-    const address = proof.site.getEntryOrThrow(entry).operators;
+    const address = proof.site.getEntryOrThrow(entry).operatorAddress;
     const status = await callJson<{ limits: { running: number; }; }>({ address, path: "/status" });
     return status.limits.running;
 }
 
-function ask(proof: ProofSite, session: string): Promise<ChatRecord> {
+function requestChat(proof: ProofSite, session: string): Promise<ChatRecord> {
     return proof.caller.chat({
-        entry: proof.site.getEntryOrThrow(entry).callers,
+        entry: proof.site.getEntryOrThrow(entry).callerAddress,
         key: getApiKey("commissary"),
         session,
         model: "label-small",
         text: "Does the pastry hold sesame?",
-        maximumTokens: 8,
-        boundMilliseconds: 20_000,
+        maxTokens: 8,
+        timeoutMilliseconds: 20_000,
     });
 }
--- a/test/rollouts/rolloutEnd.test.ts
+++ b/test/rollouts/rolloutEnd.test.ts
@@ -1,7 +1,7 @@
 import { expect } from "earl";
 import fc from "fast-check";
 import { describe, it } from "node:test";
-import { nextReadMilliseconds, RolloutFleet } from "../fixtures/rolloutFleet.js";
+import { rereadDelayMilliseconds, RolloutFleet } from "../fixtures/rolloutFleet.js";
 
 const durationMilliseconds = 6_000;
 /** After its time is over a roll-out has to end within this, as long as one node lives and reaches the store. */
@@ -19,13 +19,13 @@
         nodes,
         seed,
         requestsPerSecond: 20,
-        mostHearingMilliseconds,
-        unsteadyShare,
+        maxDeliveryMilliseconds: mostHearingMilliseconds,
+        unreliableDeliveryShare: unsteadyShare,
         sessionMilliseconds: 5_000,
         durationMilliseconds,
     });
     await fleet.run(1_000);
-    fleet.order();
+    fleet.orderRollout();
     return fleet;
 }
 
@@ -77,7 +77,7 @@
                             fleet.kill(index);
                         }
                     }
-                    const lateMilliseconds = unsteadyShare === 0 ? 0 : maxRecords * nextReadMilliseconds;
+                    const lateMilliseconds = unsteadyShare === 0 ? 0 : maxRecords * rereadDelayMilliseconds;
                     await fleet.run(
                         Math.max(0, durationMilliseconds + completionSlackMilliseconds + lateMilliseconds - elapsed),
                     );
--- a/test/rollouts/sessionVersions.test.ts
+++ b/test/rollouts/sessionVersions.test.ts
@@ -9,12 +9,12 @@
         nodes,
         seed,
         requestsPerSecond,
-        mostHearingMilliseconds: 100,
+        maxDeliveryMilliseconds: 100,
         sessionMilliseconds: 8_500,
         durationMilliseconds,
     });
     await fleet.run(15_000);
-    fleet.order();
+    fleet.orderRollout();
     await fleet.run(durationMilliseconds);
     return fleet;
 }
--- a/test/scenario/readScenario.test.ts
+++ b/test/scenario/readScenario.test.ts
@@ -11,14 +11,14 @@
         ]);
     });
 
-    const wrong = [
+    const invalidLines = [
         { line: "sent r to=entry-1", says: "There is no verb \"sent\". Begin the line with one of set, start, send" },
         { line: "send r", says: "The option \"to\" is missing. Write: send NAME to=PROCESS" },
         { line: "send r to=a colour=red", says: "The option \"colour\" is unknown here. Write: send" },
         { line: "set version", says: "1 words after the verb are too few or too many. Write: set NAME VALUE" },
         { line: "kill a b", says: "Write: kill NAME" },
     ];
-    for (const { line, says } of wrong) {
+    for (const { line, says } of invalidLines) {
         it(`names the remedy for "${line}"`, () => {
             const { message } = readScenario(`set a b\n${line}`, verbs)._unsafeUnwrapErr();
             expect(message).toInclude(`Line 2, "${line}": `);
--- a/test/scenario/runScenario.test.ts
+++ b/test/scenario/runScenario.test.ts
@@ -21,7 +21,7 @@
     after(() => group.killAll());
 
     // Each of these looks like a success to a runner that forgets to check, so each has to be told apart from one.
-    const untrue = [
+    const failingSteps = [
         { step: "expect reply r status=503", found: "status is 200, not 503" },
         { step: "expect reply r version=plan@2", found: "version is plan@1, not plan@2" },
         { step: "expect reply other status=200", found: "No request \"other\" was sent" },
@@ -34,7 +34,7 @@
         { step: "freeze nobody", found: "There is no process \"nobody\"" },
         { step: "start runner", found: "runner still runs. Stop or kill it first" },
     ];
-    for (const { step, found } of untrue) {
+    for (const { step, found } of failingSteps) {
         it(`fails at "${step}"`, async () => {
             const text = `send r to=runner model=plan@1\nwait-until reply r status=200\n${step}\n`;
             const { message } = (await runScenario(text, site))._unsafeUnwrapErr();
--- a/test/soak/soak.test.ts
+++ b/test/soak/soak.test.ts
@@ -11,9 +11,9 @@
     for (const { seed, prefix } of [{ seed: 1, prefix: "127.62.21" }, { seed: 4, prefix: "127.62.22" }]) {
         it(`keeps every promise under the faults of seed ${seed}`, async () => {
             const result = await runSoak({ seed, milliseconds, prefix });
-            const timeLine = result.faults.length === 0 ? [] : result.timeLine;
-            expect([...result.faults, ...timeLine]).toEqual([]);
-            expect([result.injected >= 2, result.wholeAnswers > 0]).toEqual([true, true]);
+            const timeLine = result.violations.length === 0 ? [] : result.timeLine;
+            expect([...result.violations, ...timeLine]).toEqual([]);
+            expect([result.injectedFaults >= 2, result.completeAnswers > 0]).toEqual([true, true]);
         });
     }
 });
--- a/test/standins/engine/modelEngine.test.ts
+++ b/test/standins/engine/modelEngine.test.ts
@@ -46,7 +46,7 @@
         await engine.stop();
     });
 
-    function ask(question: Question): Promise<Reply> {
+    function requestChat(question: Question): Promise<Reply> {
         const { id, version = "plan@1", content = "hello", stream = false, tokens = 8, priority = 1 } = question;
         return call({
             address,
@@ -61,16 +61,16 @@
         });
     }
 
-    async function askText(question: Question): Promise<string> {
-        return (JSON.parse((await ask(question)).text) as Completion).choices[0].message.content;
+    async function requestText(question: Question): Promise<string> {
+        return (JSON.parse((await requestChat(question)).text) as Completion).choices[0].message.content;
     }
 
-    async function getNote(id: string): Promise<RunNote | undefined> {
+    async function getJournalEntry(id: string): Promise<RunNote | undefined> {
         return (await getJournal<RunNote>(address)).find(note => note.id === id);
     }
 
-    function order(fence: number, versions: readonly string[]): Promise<Reply> {
-        return call({ address, path: "/orders", method: "POST", body: { fence, versions } });
+    function sendOrder(fencingToken: number, versions: readonly string[]): Promise<Reply> {
+        return call({ address, path: "/orders", method: "POST", body: { fence: fencingToken, versions } });
     }
 
     async function getLoad(): Promise<LoadReport> {
@@ -79,17 +79,17 @@
 
     describe("answers", () => {
         it("name their request and version and are the same each time", async () => {
-            const text = await askText({ id: "r1" });
+            const text = await requestText({ id: "r1" });
             expect(text.startsWith("answer r1 by plan@1:")).toEqual(true);
-            expect(await askText({ id: "r1" })).toEqual(text);
-            expect((await getNote("r1"))?.answerHash).toEqual(getAnswerHash(text));
+            expect(await requestText({ id: "r1" })).toEqual(text);
+            expect((await getJournalEntry("r1"))?.answerHash).toEqual(getAnswerHash(text));
         });
 
         // A version turns bad for one class of request while it serves; its callers get worse answers from then on.
         it("get worse when a version turns bad", async () => {
             await setFaults(address, { version: "plan@2", quality: 0.1, class: "wear-tag" });
             const getQuality = async (requestClass: string): Promise<number> => {
-                const text = await askText({ id: requestClass, version: "plan@2", requestClass });
+                const text = await requestText({ id: requestClass, version: "plan@2", requestClass });
                 return Number(/quality (\S+)\]$/.exec(text)?.[1]);
             };
             expect(await getQuality("wear-tag")).toBeLessThan(0.3);
@@ -98,21 +98,21 @@
 
         it("fail at the version's error rate", async () => {
             await setFaults(address, { version: "plan@2", errorRate: 1 });
-            expect((await ask({ id: "r", version: "plan@2" })).status).toEqual(500);
-            expect((await ask({ id: "r", version: "plan@1" })).status).toEqual(200);
+            expect((await requestChat({ id: "r", version: "plan@2" })).status).toEqual(500);
+            expect((await requestChat({ id: "r", version: "plan@1" })).status).toEqual(200);
         });
 
         it("name the version that runs in truth", async () => {
             await setFaults(address, { runsInstead: { "plan@1": "plan@2" } });
-            const reply = await ask({ id: "r" });
+            const reply = await requestChat({ id: "r" });
             expect(reply.headers["x-model-version"]).toEqual("plan@2");
-            expect((await getNote("r"))?.ran).toEqual("plan@2");
+            expect((await getJournalEntry("r"))?.ran).toEqual("plan@2");
         });
     });
 
     describe("streams", () => {
         it("are taken up again after an event", async () => {
-            const whole = (await ask({ id: "r", stream: true })).text;
+            const whole = (await requestChat({ id: "r", stream: true })).text;
             const rest = await call({ address, path: "/streams/r", headers: { "Last-Event-ID": "4" } });
             expect(rest.text.startsWith("id: 5\n")).toEqual(true);
             expect(whole.endsWith(rest.text)).toEqual(true);
@@ -121,19 +121,23 @@
 
         it("are forgotten after their time", async () => {
             await setFaults(address, { keepMilliseconds: 0 });
-            await ask({ id: "r", stream: true });
-            await waitUntil(async () => (await call({ address, path: "/streams/r" })).status === 404, { what: "404" });
+            await requestChat({ id: "r", stream: true });
+            await waitUntil(async () => (await call({ address, path: "/streams/r" })).status === 404, {
+                description: "404",
+            });
         });
 
         // The caller has left and its entry cancels: the engine stops, and whoever still reads sees the stream break off.
         it("break off when they are cancelled", async () => {
-            const reply = ask({ id: "r", stream: true, tokens: 100_000 });
-            await waitUntil(async () => (await getNote("r"))?.outcome === "running", { what: "the run to start" });
+            const reply = requestChat({ id: "r", stream: true, tokens: 100_000 });
+            await waitUntil(async () => (await getJournalEntry("r"))?.outcome === "running", {
+                description: "the run to start",
+            });
             await setFaults(address, { frozen: true });
             await call({ address, path: "/streams/r", method: "DELETE" });
             const ended = await reply.then(({ status }) => status === 499, () => true);
             expect(ended).toEqual(true);
-            expect((await getNote("r"))?.outcome).toEqual("cancelled");
+            expect((await getJournalEntry("r"))?.outcome).toEqual("cancelled");
             expect((await getLoad()).running).toEqual(0);
         });
     });
@@ -141,23 +145,26 @@
     describe("queue", () => {
         it("admits the most urgent first, and refuses what finds it full", async () => {
             await setFaults(address, { maximumRunning: 1, maximumWaiting: 2, frozen: true });
-            const replies = [ask({ id: "late", priority: 5 })];
-            await waitUntil(() => getNote("late"), { what: "the first request" });
-            replies.push(ask({ id: "urgent", priority: 0 }));
-            await waitUntil(() => getNote("urgent"), { what: "the second request" });
-            const refused = await ask({ id: "refused" });
+            const replies = [requestChat({ id: "late", priority: 5 })];
+            await waitUntil(() => getJournalEntry("late"), { description: "the first request" });
+            replies.push(requestChat({ id: "urgent", priority: 0 }));
+            await waitUntil(() => getJournalEntry("urgent"), { description: "the second request" });
+            const refused = await requestChat({ id: "refused" });
             expect([refused.status, refused.headers["retry-after"]]).toEqual([429, "1"]);
             expect((await getLoad()).waiting).toEqual(2);
             await setFaults(address, { frozen: false });
             await Promise.all(replies);
-            const ends = [(await getNote("urgent"))?.endedAt ?? 0, (await getNote("late"))?.startedAt ?? 0];
+            const ends = [
+                (await getJournalEntry("urgent"))?.endedAt ?? 0,
+                (await getJournalEntry("late"))?.startedAt ?? 0,
+            ];
             expect(ends[0] <= ends[1]).toEqual(true);
-            expect(await getNote("refused")).toEqual(undefined);
+            expect(await getJournalEntry("refused")).toEqual(undefined);
         });
 
         it("refuses new work while the engine is leaving", async () => {
             await setFaults(address, { leaving: true });
-            expect((await ask({ id: "r" })).status).toEqual(409);
+            expect((await requestChat({ id: "r" })).status).toEqual(409);
             expect((await getLoad()).leaving).toEqual(true);
         });
 
@@ -175,13 +182,13 @@
         }
 
         async function getCached(id: string): Promise<number> {
-            return ((await getNote(id))?.cachedTokens) ?? -1;
+            return ((await getJournalEntry(id))?.cachedTokens) ?? -1;
         }
 
         it("serves a prompt's blocks to the same version only, and publishes them", async () => {
-            await ask({ id: "first", content });
-            await ask({ id: "again", content });
-            await ask({ id: "other", content, version: "plan@2" });
+            await requestChat({ id: "first", content });
+            await requestChat({ id: "again", content });
+            await requestChat({ id: "other", content, version: "plan@2" });
             expect([await getCached("first"), await getCached("again"), await getCached("other")]).toEqual([0, 256, 0]);
             const { h64ToString } = await xxhash();
             const blocks = (await getEvents()).filter(event => event.version === "plan@1").map(event => event.block);
@@ -193,25 +200,25 @@
         // Memory runs out: blocks leave, and of the events that tell so some never come.
         it("gives blocks up in limited memory, with gaps in its events", async () => {
             await setFaults(address, { cacheBlocks: 2 });
-            await ask({ id: "first", content });
-            await ask({ id: "second", content: "y".repeat(1100) });
-            await ask({ id: "again", content });
+            await requestChat({ id: "first", content });
+            await requestChat({ id: "second", content: "y".repeat(1100) });
+            await requestChat({ id: "again", content });
             expect(await getCached("again")).toEqual(0);
             expect((await getEvents()).filter(event => event.kind === "removed").length).toEqual(4);
             await setFaults(address, { cacheEventLossProbability: 1 });
             const count = (await getEvents()).length;
-            await ask({ id: "third", content: "z".repeat(1100) });
+            await requestChat({ id: "third", content: "z".repeat(1100) });
             expect((await getEvents()).length).toEqual(count);
         });
 
         it("is exported and imported", async () => {
-            await ask({ id: "first", content });
+            await requestChat({ id: "first", content });
             const exported = await callJson<object>({ address, path: "/kv/first" });
             await setFaults(address, { cacheBlocks: 0 });
-            await ask({ id: "emptying", content: "y".repeat(600) });
+            await requestChat({ id: "emptying", content: "y".repeat(600) });
             await setFaults(address, { cacheBlocks: 9 });
             await call({ address, path: "/kv/first", method: "PUT", body: exported });
-            await ask({ id: "again", content });
+            await requestChat({ id: "again", content });
             expect(await getCached("again")).toEqual(256);
         });
     });
@@ -219,26 +226,28 @@
     describe("orders", () => {
         // A lease holder that was paused wakes up and sends an order that a newer holder has overtaken.
         it("are refused with an old fence", async () => {
-            expect((await order(5, ["plan@3"])).status).toEqual(200);
-            await waitUntil(async () => (await getLoad()).versions.includes("plan@3"), { what: "plan@3 to be loaded" });
-            expect((await order(4, ["plan@1"])).status).toEqual(409);
+            expect((await sendOrder(5, ["plan@3"])).status).toEqual(200);
+            await waitUntil(async () => (await getLoad()).versions.includes("plan@3"), {
+                description: "plan@3 to be loaded",
+            });
+            expect((await sendOrder(4, ["plan@1"])).status).toEqual(409);
             expect((await getLoad()).versions).toEqual(["plan@3"]);
-            expect((await ask({ id: "r", version: "plan@1" })).status).toEqual(404);
+            expect((await requestChat({ id: "r", version: "plan@1" })).status).toEqual(404);
         });
 
         // The same late order meets an engine that does not look at the fence: it takes effect.
         it("take effect with an old fence where the engine does not check", async () => {
             await setFaults(address, { checksFencing: false });
-            await order(5, ["plan@2"]);
-            await order(4, ["plan@1"]);
+            await sendOrder(5, ["plan@2"]);
+            await sendOrder(4, ["plan@1"]);
             await waitUntil(async () => (await getLoad()).versions.join() === "plan@1", {
-                what: "the old order's versions",
+                description: "the old order's versions",
             });
         });
 
         it("are answered and ignored by a broken engine", async () => {
             await setFaults(address, { ignoreOrders: true });
-            expect((await order(5, ["plan@3"])).status).toEqual(200);
+            expect((await sendOrder(5, ["plan@3"])).status).toEqual(200);
             expect((await getLoad()).versions).toEqual(["plan@1", "plan@2"]);
         });
     });
--- a/test/standins/plainService.test.ts
+++ b/test/standins/plainService.test.ts
@@ -16,7 +16,7 @@
 
     function book(key: string): Promise<Reply> {
         const headers = { "Idempotency-Key": key, "X-Request-Id": `request-${key}` };
-        return call({ address, path: "/bookings", method: "POST", headers, body: {}, boundMilliseconds: 300 });
+        return call({ address, path: "/bookings", method: "POST", headers, body: {}, timeoutMilliseconds: 300 });
     }
 
     async function getKeys(): Promise<readonly unknown[]> {
--- a/test/standins/platform.test.ts
+++ b/test/standins/platform.test.ts
@@ -4,11 +4,11 @@
 import { call, callJson, setFaults, waitUntil } from "../../src/testbench/index.js";
 import type { Vm } from "../../src/world/index.js";
 
-async function withStandin(kind: string, settings: object, work: (address: string) => Promise<void>): Promise<void> {
+async function withStandin(kind: string, settings: object, test: (address: string) => Promise<void>): Promise<void> {
     const standin = createStandin(kind, { host: "127.10.3.1", port: 0 }, settings);
     const address = formatAddress(await standin.start());
     try {
-        await work(address);
+        await test(address);
     }
     finally {
         await standin.stop();
@@ -32,10 +32,10 @@
             expect(await getStates(address)).toEqual("a live");
             await setFaults(address, { lagMilliseconds: 1 });
             await waitUntil(async () => await getStates(address) === "a leaving, b live", {
-                what: "the list to follow",
+                description: "the list to follow",
             });
             await callJson({ address, path: "/vms/a", method: "DELETE" });
-            await waitUntil(async () => await getStates(address) === "b live", { what: "the VM to be gone" });
+            await waitUntil(async () => await getStates(address) === "b live", { description: "the VM to be gone" });
         });
     });
 });
--- a/test/standins/proxy/faultProxy.test.ts
+++ b/test/standins/proxy/faultProxy.test.ts
@@ -61,7 +61,7 @@
 
     async function exchange(client: Client, text: string): Promise<void> {
         client.socket.write(text);
-        await waitUntil(() => client.getReceived().endsWith(text), { what: `${text} to come back` });
+        await waitUntil(() => client.getReceived().endsWith(text), { description: `${text} to come back` });
     }
 
     it("carries bytes both ways when nothing is wrong", async () => {
@@ -80,8 +80,8 @@
         const client = open();
         await exchange(client, "hello");
         await setFaults(control, { route: "echo", cut: true });
-        await waitUntil(client.isClosed, { what: "the open connection to break" });
-        await waitUntil(open().isClosed, { what: "the new connection to be refused" });
+        await waitUntil(client.isClosed, { description: "the open connection to break" });
+        await waitUntil(open().isClosed, { description: "the new connection to be refused" });
         await setFaults(control, { route: "echo", cut: false });
         await exchange(open(), "again");
     });
@@ -96,7 +96,7 @@
         await exchange(openOther(), "other");
         expect([arrived, client.getReceived()]).toEqual(["a", "a"]);
         await setFaults(control, { route: "echo", freeze: false });
-        await waitUntil(() => client.getReceived() === "abc", { what: "the held bytes" });
+        await waitUntil(() => client.getReceived() === "abc", { description: "the held bytes" });
     });
 
     // One direction is lost, as with a broken firewall rule: the target works, and its answers never arrive.
@@ -104,11 +104,11 @@
         await setFaults(control, { route: "echo", oneWay: "from-target" });
         const client = open();
         client.socket.write("hello");
-        await waitUntil(() => arrived === "hello", { what: "the target to receive" });
+        await waitUntil(() => arrived === "hello", { description: "the target to receive" });
         await exchange(openOther(), "other");
         expect(client.getReceived()).toEqual("");
         await setFaults(control, { route: "echo", oneWay: "none" });
-        await waitUntil(client.isClosed, { what: "the connection with a hole to break" });
+        await waitUntil(client.isClosed, { description: "the connection with a hole to break" });
     });
 
     // The other side is gone without a word: the connection stays open and nothing arrives.
@@ -122,12 +122,12 @@
 
     // The connection breaks in the middle of an answer: the caller holds a part of it.
     it("breaks a connection after so many bytes", async () => {
-        const known = open();
-        await exchange(known, "before");
+        const existing = open();
+        await exchange(existing, "before");
         await setFaults(control, { route: "echo", cutAfterBytes: 3 });
-        for (const client of [known, open()]) {
+        for (const client of [existing, open()]) {
             client.socket.write("hello");
-            await waitUntil(client.isClosed, { what: "the connection to break" });
+            await waitUntil(client.isClosed, { description: "the connection to break" });
             expect(client.getReceived().replace("before", "")).toEqual("hel");
         }
     });
--- a/test/standins/proxy/resetSocket.test.ts
+++ b/test/standins/proxy/resetSocket.test.ts
@@ -4,49 +4,49 @@
 import { resetSocket } from "../../../src/standins/proxy/resetSocket.js";
 
 const host = "127.50.17.1";
-const boundMilliseconds = 2_000;
-const finishers: (() => void)[] = [];
+const timeoutMilliseconds = 2_000;
+const cleanups: (() => void)[] = [];
 
 /** Opens a connection whose far side reads nothing; returns the near side. */
-async function open(): Promise<Socket> {
+async function openConnection(): Promise<Socket> {
     const server = createServer({ allowHalfOpen: true }, socket => {
         socket.pause();
         socket.on("error", () => {
             // The reset that is tested.
         });
-        finishers.push(() => socket.destroy());
+        cleanups.push(() => socket.destroy());
     });
     await new Promise<void>(resolve => server.listen(0, host, resolve));
     const { port } = server.address() as AddressInfo;
     const socket = connect({ port, host, allowHalfOpen: true });
     await new Promise<void>(resolve => socket.once("connect", resolve));
-    finishers.push(() => server.close());
+    cleanups.push(() => server.close());
     return socket;
 }
 
 /** Tells whether a socket closes within a bound, and without an error. */
-function closes(socket: Socket): Promise<boolean> {
+function closesCleanly(socket: Socket): Promise<boolean> {
     return new Promise(resolve => {
-        const timer = setTimeout(() => resolve(false), boundMilliseconds);
-        const settle = (isClosed: boolean): void => {
+        const timer = setTimeout(() => resolve(false), timeoutMilliseconds);
+        const resolveOnce = (isClosed: boolean): void => {
             clearTimeout(timer);
             resolve(isClosed);
         };
-        socket.once("error", () => settle(false));
-        socket.once("close", () => settle(true));
+        socket.once("error", () => resolveOnce(false));
+        socket.once("close", () => resolveOnce(true));
     });
 }
 
 describe("resetSocket", () => {
     afterEach(() => {
-        for (const finish of finishers.splice(0).reverse()) {
-            finish();
+        for (const cleanup of cleanups.splice(0).reverse()) {
+            cleanup();
         }
     });
 
     it("closes an open connection", async () => {
-        const socket = await open();
-        const closed = closes(socket);
+        const socket = await openConnection();
+        const closed = closesCleanly(socket);
         resetSocket(socket);
         expect(await closed).toEqual(true);
     });
@@ -54,8 +54,8 @@
     // A connection is broken just as its end goes out. The handle was never closed, and the process that ran the proxy spun in its own
     // exit: a run of tests that had passed did not end.
     it("closes a connection whose end is on its way", async () => {
-        const socket = await open();
-        const closed = closes(socket);
+        const socket = await openConnection();
+        const closed = closesCleanly(socket);
         socket.write("a few bytes");
         socket.end();
         resetSocket(socket);
@@ -63,8 +63,8 @@
     });
 
     it("closes a connection whose bytes nobody takes", async () => {
-        const socket = await open();
-        const closed = closes(socket);
+        const socket = await openConnection();
+        const closed = closesCleanly(socket);
         socket.write(Buffer.alloc(20_000_000));
         socket.end();
         resetSocket(socket);
--- a/test/testbench/endWithParent.test.ts
+++ b/test/testbench/endWithParent.test.ts
@@ -34,7 +34,7 @@
         const [line] = await once(createInterface({ input: parent.stdout }), "line") as [string];
         parent.kill("SIGTERM");
         await once(parent, "exit");
-        await waitUntil(() => !isAlive(Number(line)), { what: "the child's end" });
+        await waitUntil(() => !isAlive(Number(line)), { description: "the child's end" });
         expect(isAlive(Number(line))).toEqual(false);
     });
 });
--- a/test/testbench/processGroup.test.ts
+++ b/test/testbench/processGroup.test.ts
@@ -29,14 +29,14 @@
     }
 
     it("ends its processes when the work fails", async () => {
-        let left: RunningProcess | undefined;
+        let standin: RunningProcess | undefined;
         const failing = withProcesses(async group => {
-            left = await group.startStandin("log", addresses.next());
-            left.freeze();
+            standin = await group.startStandin("log", addresses.next());
+            standin.freeze();
             throw new Error("the work failed");
         });
         await expect(failing).toBeRejectedWith("the work failed");
-        expect(left?.hasExited()).toEqual(true);
+        expect(standin?.hasExited()).toEqual(true);
     });
 
     it("says what a process wrote that does not become ready", async () => {
@@ -51,10 +51,10 @@
             const standin = await group.startStandin("log", addresses.next());
             const address = standin.getAddress();
             standin.freeze();
-            await expect(call({ address, path: "/faults", boundMilliseconds: 200 })).toBeRejected();
+            await expect(call({ address, path: "/faults", timeoutMilliseconds: 200 })).toBeRejected();
             standin.wake();
             await waitUntil(() => setFaults(address, {}).then(() => true, () => false), {
-                what: "the process to go on",
+                description: "the process to go on",
             });
         });
     });
@@ -62,7 +62,7 @@
 
 describe("waitUntil", () => {
     it("names what it waited for in vain", async () => {
-        const waiting = waitUntil(() => false, { what: "the tide", boundMilliseconds: 30 });
+        const waiting = waitUntil(() => false, { description: "the tide", timeoutMilliseconds: 30 });
         await expect(waiting).toBeRejectedWith("for the tide");
     });
 });
