--- a/test/load/loadClient.test.ts
+++ b/test/load/loadClient.test.ts
@@ -51,7 +51,7 @@
         expect(pauses).toEqual([2000]);
         expect(record).toEqual(expect.subset({
             end: "answered",
-            tries: 2,
+            attempts: 2,
             firstTokenMilliseconds: 2010,
             milliseconds: 2017,
             gaps: [7],
@@ -73,12 +73,12 @@
 
     it("gives up after as many tries as it may make", async () => {
         const { send } = createClient({ chat: async () => createRefusal(1) }, 2);
-        expect(await send(createArrival())).toEqual(expect.subset({ end: "refused", tries: 2, outcome: "not-run" }));
+        expect(await send(createArrival())).toEqual(expect.subset({ end: "refused", attempts: 2, outcome: "not-run" }));
     });
 
     it("does not repeat a chat completion of which the site does not say that it was not run", async () => {
         const { send } = createClient({ chat: async () => ({ ...createRefusal(1), outcome: "unknown" }) });
-        expect(await send(createArrival())).toEqual(expect.subset({ end: "refused", tries: 1 }));
+        expect(await send(createArrival())).toEqual(expect.subset({ end: "refused", attempts: 1 }));
     });
 
     // The connection breaks while a label is printed, and nobody knows whether it was. A second try under another key would
@@ -92,7 +92,7 @@
             },
         });
         expect(await send(createArrival({ work: print, number: 9 }))).toEqual(
-            expect.subset({ end: "answered", tries: 2 }),
+            expect.subset({ end: "answered", attempts: 2 }),
         );
         expect(requests.map(ask => ask.idempotencyKey)).toEqual(["run-9", "run-9"]);
     });
@@ -121,7 +121,7 @@
         const { send } = createClient({
             chat: async () => createAnswer({ isComplete: false, resumeToken: "token" }),
         });
-        expect(await send(createArrival())).toEqual(expect.subset({ end: "answered", tries: 1 }));
+        expect(await send(createArrival())).toEqual(expect.subset({ end: "answered", attempts: 1 }));
     });
 
     it("calls an answer broken that nobody can complete", async () => {
@@ -131,6 +131,6 @@
 
     it("counts a request as failed when no entry tells the addresses", async () => {
         const { send } = createClient({ getAddress: () => Promise.reject(new Error("none")) });
-        expect(await send(createArrival())).toEqual(expect.subset({ end: "failed", status: 0, tries: 3 }));
+        expect(await send(createArrival())).toEqual(expect.subset({ end: "failed", status: 0, attempts: 3 }));
     });
 });
