--- a/src/decisions/dispatch/averageLoad.ts
+++ b/src/decisions/dispatch/averageLoad.ts
@@ -1,19 +1,19 @@
 /**
- * How crowded the upstreams of a pool usually are with requests of other nodes.
+ * Average load that other nodes put on the upstreams of a pool.
  */
 
-/** Weight of the newest report: about the last twenty count. */
+/** Weight of the latest report in the moving average, which spans about the last twenty reports. */
 const reportWeight = 0.05;
 
-/** Learns the usual load of one pool from what its upstreams report. */
+/** Averages the load that the upstreams of one pool report. */
 export class AverageLoad {
-    /** In parts of an upstream's slots. */
+    /** As a share of an upstream's slots. */
     #load: number | undefined;
 
     /**
-     * Notes a report.
+     * Adds a report to the average.
      * @param otherRequests - Requests of other nodes at the upstream.
-     * @param slots - Its slots.
+     * @param slots - Number of slots of the upstream.
      */
     add(otherRequests: number, slots: number): void {
         const load = otherRequests / slots;
@@ -21,8 +21,8 @@
     }
 
     /**
-     * Returns the requests of other nodes that an upstream usually has; none before the first report.
-     * @param slots - Its slots.
+     * Returns the average number of requests of other nodes at an upstream; 0 before the first report.
+     * @param slots - Number of slots of the upstream.
      */
     getOtherRequests(slots: number): number {
         return (this.#load ?? 0) * slots;
--- a/src/decisions/dispatch/index.ts
+++ b/src/decisions/dispatch/index.ts
@@ -1,4 +1,4 @@
-/** Which registered upstream gets a request, and what is learned of it. */
+/** Selection of a registered upstream for a request, and the statistics that it is based on. */
 export { getUnitRank } from "../placement/rendezvous.js";
 export type {
     PromptDescription as PromptLoad,
--- a/src/decisions/dispatch/pick.ts
+++ b/src/decisions/dispatch/pick.ts
@@ -1,42 +1,42 @@
 /**
- * What an upstream is picked for, and what is expected of the one that was picked.
+ * Input and result of the selection of an upstream.
  */
 import type { RegisteredUpstream } from "../../fleet/index.js";
 
-/** What is known of a prompt, for the choice of its runner. */
+/** Properties of a prompt that the selection of a runner depends on. */
 export interface PromptDescription {
     readonly model: string | undefined;
     readonly tokens: number;
-    /** Bytes of the request. */
+    /** Size of the request in bytes. */
     readonly bytes: number;
-    /** Tokens of the parts that other requests share. */
+    /** Tokens in the parts of the prompt that other requests share. */
     readonly sharedTokens: number;
-    /** Requests with the same key share those parts. */
+    /** Key of the shared parts: requests with the same key share them. */
     readonly sharedKey: string;
 }
 
-/** What an upstream is chosen for. */
+/** Options of the selection of an upstream. */
 export interface UpstreamPickOptions {
     readonly pool: string;
-    /** The upstreams that may serve it. */
+    /** Upstreams that can serve the request. */
     readonly candidates: readonly RegisteredUpstream[];
-    /** Identifiers that were tried in vain. */
+    /** Identifiers of the upstreams on which an attempt has already failed. */
     readonly excluded: ReadonlySet<string>;
-    /** Undefined for plain services. */
+    /** The prompt; undefined for plain services. */
     readonly prompt: PromptDescription | undefined;
 }
 
-/** An upstream that was picked. */
+/** Represents a selected upstream and the estimates that it was selected by. */
 export interface UpstreamPick {
     readonly upstream: RegisteredUpstream;
-    /** For logs. */
+    /** Reason of the selection, for logs. */
     readonly reason: "least-wait" | "least-loaded" | "ejected";
-    /** Requests expected to be there, in parts of its slots. */
+    /** Expected requests at the upstream, as a share of its slots. */
     readonly load: number;
-    /** Expected time to the head of the answer, in milliseconds. */
+    /** Expected time to the response head, in milliseconds. */
     readonly expectedMilliseconds: number;
-    /** Expected time to read the prompt there, in milliseconds. */
+    /** Expected prefill time at the upstream, in milliseconds. */
     readonly prefillMilliseconds: number;
-    /** Tokens that are likely to be read there: all but those that it holds. */
+    /** Expected tokens that are not in the upstream's prefix cache and have to be prefilled. */
     readonly uncachedTokens: number;
 }
--- a/src/decisions/dispatch/prefillRate.ts
+++ b/src/decisions/dispatch/prefillRate.ts
@@ -1,28 +1,29 @@
 /**
- * How long models take to read prompts, learned from answers.
+ * Prefill rates of models, estimated from measured response times.
  */
 
-/** Until a model has answered, it is taken to read as fast as this, in milliseconds a token. */
+/** Prefill rate that is assumed until a model has answered, in milliseconds per token. */
 const initialMillisecondsPerToken = 0.012;
-/** Time to the head of an answer that does not depend on the prompt, in milliseconds. */
-const headMilliseconds = 60;
-/** Shorter prompts say little: their time is mostly the rest. */
-const minTokens = 400;
+/** Part of the time to the response head that does not depend on the prompt, in milliseconds. */
+const fixedHeadMilliseconds = 60;
+/** Shorter prompts are ignored: most of their response time is not prefill. */
+const minSampleTokens = 400;
 /**
- * By how much one answer moves a pace, as a part of it: much for the first answers, since a node meets few of the longest prompts,
- * and little later. Moves up and down alike settle at the median, which single waits behind other work do not move.
+ * Relative step by which one answer changes a rate. The first answers change it a lot, since a node receives few of the longest
+ * prompts; later ones change it little. Equal steps up and down converge to the median, so that single prompts that were queued
+ * behind other work do not distort the rate.
  */
-const initialStep = 0.5;
-const minStep = 0.04;
+const initialRelativeStep = 0.5;
+const minRelativeStep = 0.04;
 
-/** What one answer tells of a model. */
+/** Represents the measured response time of one prompt. */
 export interface PrefillSample {
     readonly model: string | undefined;
-    /** Tokens that it is likely to have read. */
+    /** Estimated number of prefilled tokens. */
     readonly tokens: number;
-    /** Time to the head of its answer. */
-    readonly fixedHeadMilliseconds: number;
-    /** Time that the prompt was expected to wait before it was read. */
+    /** Measured time to the response head. */
+    readonly headMilliseconds: number;
+    /** Expected queueing time before the prefill. */
     readonly waitingMilliseconds: number;
 }
 
@@ -32,33 +33,34 @@
 }
 
 /**
- * Learns the pace of each model, for prompts of each size apart, since the time to read grows faster than the prompt: by one pace for
- * all, the longest prompts are expected too soon, sent on to the largest model, and come late.
+ * Estimates the prefill rate of each model, separately for each prompt size, since prefill time grows faster than the prompt. With one
+ * rate for all sizes, the time of the longest prompts would be underestimated: they would be escalated to the largest model, and their
+ * answers would miss the objective.
  */
 export class PrefillRate {
-    /** By model, then by the binary logarithm of the tokens. */
+    /** By model, then by size class: the binary logarithm of the tokens. */
     readonly #rates = new Map<string, Map<number, RateEstimate>>();
 
     /**
-     * Notes an answer.
-     * @param sample - The answer.
+     * Adds a measured response time.
+     * @param sample - The measurement.
      */
     add(sample: PrefillSample): void {
         const { model, tokens } = sample;
-        if (tokens < minTokens) {
+        if (tokens < minSampleTokens) {
             return;
         }
-        const prefill = Math.max(0, sample.fixedHeadMilliseconds - sample.waitingMilliseconds - headMilliseconds);
+        const prefill = Math.max(0, sample.headMilliseconds - sample.waitingMilliseconds - fixedHeadMilliseconds);
         const rate = this.#getOrAddRate(model ?? "", getSizeClass(tokens));
-        const step = Math.max(minStep, initialStep / (1 + rate.answers));
+        const step = Math.max(minRelativeStep, initialRelativeStep / (1 + rate.answers));
         rate.millisecondsPerToken *= prefill / tokens > rate.millisecondsPerToken ? 1 + step : 1 / (1 + step);
         rate.answers += 1;
     }
 
     /**
-     * Returns the time that a model takes to read tokens, in milliseconds.
-     * @param model - The model; undefined for one that is not known.
-     * @param tokens - How many.
+     * Returns the expected prefill time of a model, in milliseconds.
+     * @param model - The model; undefined when it is not known.
+     * @param tokens - Number of tokens to prefill.
      */
     getPrefillMilliseconds(model: string | undefined, tokens: number): number {
         return tokens * this.#findNearestRate(model ?? "", getSizeClass(tokens));
@@ -75,7 +77,7 @@
         return rate;
     }
 
-    /** Takes the pace of the next size for which there is one, smaller ones first. */
+    /** Returns the rate of the nearest size class that has one. Larger classes count twice as far away as smaller ones. */
     #findNearestRate(model: string, sizeClass: number): number {
         let best = initialMillisecondsPerToken;
         let bestDistance = Number.POSITIVE_INFINITY;
--- a/src/decisions/dispatch/promptHolders.ts
+++ b/src/decisions/dispatch/promptHolders.ts
@@ -1,30 +1,31 @@
 /**
- * Which runners are likely to hold the shared parts of a prompt: the same ones on every node, without asking each other.
+ * Runners that are likely to have the shared parts of a prompt in their prefix cache. All nodes compute the same ones, without
+ * communication.
  */
 import { createHash } from "node:crypto";
 import type { RegisteredUpstream } from "../../fleet/index.js";
 
-/** Points of a runner; with fewer, some runners would hold several times as many prompts as others. */
+/** Hash points per runner. With fewer, some runners would hold several times as many prompts as others. */
 const pointsPerRunner = 16;
 const pointBytes = 4;
 
 /**
- * Finds runners by consistent hashing with the XOR distance. The hash of each runner is kept, so that a prompt costs one hash: a
- * hash for each pair of runner and prompt took a twelfth of a request's processor time with 100 runners.
+ * Finds runners by consistent hashing with the XOR distance. The hashes of the runners are cached, so that a prompt costs one hash.
+ * Hashing each pair of runner and prompt took a twelfth of a request's processor time with 100 runners.
  */
 export class PromptHolders {
     readonly #points = new Map<string, Uint32Array>();
 
     /**
-     * Forgets a runner.
-     * @param id - Its identifier.
+     * Removes the cached hash of a runner.
+     * @param id - Identifier of the runner.
      */
     forget(id: string): void {
         this.#points.delete(id);
     }
 
     /**
-     * Returns the identifiers of the two runners that come first for a key; fewer where there are fewer runners.
+     * Returns the identifiers of the two runners that are nearest to a key, or fewer when there are fewer runners.
      * @param runners - The runners.
      * @param key - The key of the shared parts.
      */
@@ -58,14 +59,14 @@
         }
         let minDistance = Number.POSITIVE_INFINITY;
         for (const point of points) {
-            // Shifted, since the operator yields signed numbers.
+            // The shift converts the signed result of XOR to an unsigned number.
             minDistance = Math.min(minDistance, (point ^ target) >>> 0);
         }
         return minDistance;
     }
 }
 
-/** Hashes a text to a number of points. */
+/** Hashes a text to the given number of points. */
 function hash(text: string, count: number): Uint32Array {
     const digest = createHash("sha512").update(text).digest();
     return Uint32Array.from({ length: count }, (...[, index]) => digest.readUInt32BE(index * pointBytes));
--- a/src/decisions/dispatch/runnerSubsets.ts
+++ b/src/decisions/dispatch/runnerSubsets.ts
@@ -1,24 +1,24 @@
 /**
- * Which of a pool's runners a node chooses among.
+ * Subset of a pool's runners that a node chooses from.
  */
 import type { RegisteredUpstream } from "../../fleet/index.js";
 import { getRank } from "../placement/rendezvous.js";
 
 /**
- * A node chooses among so many runners of its own, besides those that are likely to hold the prompt's parts. Of hundreds of
- * runners it would hear of each one only now and then, and choose blindly; those few it knows well.
+ * Runners in the subset of a node, besides those that are likely to have the shared parts of a prompt in their cache. With hundreds of
+ * runners, a node would receive a load report of each one only rarely and choose by outdated loads; its reports on a few are recent.
  */
 const subsetSize = 12;
 
 interface RankedRunners {
-    /** The nearest runners by this node's own rank. */
+    /** First runners in this node's order: own failure domain first, then by rank. */
     readonly subset: readonly RegisteredUpstream[];
     readonly byId: ReadonlyMap<string, RegisteredUpstream>;
 }
 
 /**
- * Selects runners by ranks that do not change. A list of runners is ranked once: ranking a hundred runners for each request takes
- * longer than the rest of the choice.
+ * Selects runners by ranks that do not change. The result for a list of runners is cached, since ranking a hundred runners for each
+ * request takes longer than the rest of the selection.
  */
 export class RunnerSubsets {
     readonly #self: string;
@@ -26,24 +26,24 @@
     readonly #ranks = new Map<string, number>();
     readonly #rankedRunners = new WeakMap<readonly RegisteredUpstream[], RankedRunners>();
 
-    /** @param options - The node that chooses. */
+    /** @param options - Identifier and failure domain of the node that chooses. */
     constructor(options: { readonly self: string; readonly failureDomain: string; }) {
         this.#self = options.self;
         this.#failureDomain = options.failureDomain;
     }
 
     /**
-     * Forgets a runner.
-     * @param id - Its identifier.
+     * Removes the cached rank of a runner.
+     * @param id - Identifier of the runner.
      */
     forget(id: string): void {
         this.#ranks.delete(id);
     }
 
     /**
-     * Returns the runners to choose among: the nearest ones by this node's own rank, and those that may hold the prompt.
-     * @param runners - All runners; a list that changes is another list.
-     * @param holders - Identifiers of those that may hold the prompt.
+     * Returns the runners to choose from: the subset of this node, and the runners that may have the prompt in their cache.
+     * @param runners - All runners. Results are cached by array identity, so a changed list must be a new array.
+     * @param holders - Identifiers of the runners that may have the prompt in their cache.
      */
     selectCandidates(
         runners: readonly RegisteredUpstream[],
--- a/src/decisions/dispatch/upstreamPicker.ts
+++ b/src/decisions/dispatch/upstreamPicker.ts
@@ -1,5 +1,5 @@
 /**
- * The choice of an upstream for a request, among those that are registered.
+ * Selection of an upstream for a request, among the registered ones.
  */
 import type { Clock, RandomSource } from "../../common/index.js";
 import type { RegisteredUpstream } from "../../fleet/index.js";
@@ -10,46 +10,47 @@
 import { RunnerSubsets } from "./runnerSubsets.js";
 import { type CallOutcome, type ReportedRequests, UpstreamStatus } from "./upstreamStatus.js";
 
-/** At most this part of a pool is ejected; beyond it the fault is hardly that of single upstreams. */
+/** Maximum share of a pool that is ejected. If more of it fails, the cause is unlikely to be in single upstreams. */
 const maxEjectedShare = 0.34;
-/** A plain service counts as full in the own failure domain at this part of its slots. */
+/** Load at which plain services in the node's own failure domain count as full, as a share of their slots. */
 const fullLoadShare = 0.9;
-/** Time by which each request at a runner delays the head of another answer there, in milliseconds. */
+/** Delay of a response head that each other request at the runner adds, in milliseconds. */
 const delayMillisecondsPerRequest = 15;
 /**
- * What a request in another failure domain must gain in time to be worth its way, in milliseconds: for the way itself, and for
- * each kilobyte, since bytes between failure domains are paid for.
+ * Cost of sending a request to another failure domain, in milliseconds: a fixed part for the network, and a part for each kilobyte,
+ * since traffic between failure domains is billed.
  */
 const crossDomainMilliseconds = 60;
 const crossDomainMillisecondsPerKilobyte = 4;
-/** Parts of a prompt that are shared are likely to be in the memory of the first two runners by rank of their key. */
+/** Probabilities that the first and the second holder of a key have the shared parts of the prompt in their cache. */
 const cacheHitProbabilities = [0.9, 0.4] as const;
 /**
- * Loads are taken so much higher or lower at random: many nodes read the same reports, and all of them would send their
- * next request to the runner that looked emptiest.
+ * Maximum relative noise that is added to loads. Many nodes read the same reports; without noise, all of them would send their next
+ * request to the runner with the lowest reported load.
  */
 const loadNoise = 0.25;
 
 /**
- * Weight of the newest answer in the ratio of waits to expectations, and the bounds of one answer's. When a whole pool is
- * crowded by other nodes, expectations are all too low; runners are then slow, not away, and giving them up adds to the crowd.
+ * Weight of the latest answer in the average ratio of measured to expected response times, and the upper bound of a single ratio. When
+ * other nodes overload a whole pool, all expected times are too low. Its runners are then slow, not unavailable, and giving up on them
+ * would add to the overload.
  */
 const ratioWeight = 0.06;
 const maxRatio = 8;
-/** Waits below this say little about a crowd, in milliseconds. */
+/** Lower bound of the expected time in the ratio, in milliseconds: shorter times say little about overload. */
 const minExpectedMilliseconds = 80;
 
-/** Picks upstreams for one node and keeps what it learns of them. */
+/** Selects upstreams for one node and records their state. */
 export class UpstreamPicker {
     readonly #clock: Clock;
     readonly #random: RandomSource;
     readonly #failureDomain: string;
-    readonly #groups: RunnerSubsets;
+    readonly #subsets: RunnerSubsets;
     readonly #holders = new PromptHolders();
     readonly #onEject: (upstream: string, milliseconds: number) => void;
     readonly #statuses = new Map<string, UpstreamStatus>();
     readonly #prefillRates = new PrefillRate();
-    /** By pool. */
+    /** Average loads by pool. */
     readonly #averageLoads = new Map<string, AverageLoad>();
     #waitRatio = 1;
 
@@ -65,20 +66,20 @@
         this.#clock = options.clock;
         this.#random = options.random;
         this.#failureDomain = options.failureDomain;
-        this.#groups = new RunnerSubsets(options);
+        this.#subsets = new RunnerSubsets(options);
         this.#onEject = options.onEject;
     }
 
     /**
-     * Picks an upstream.
-     * @returns Undefined when no candidate is left.
+     * Selects an upstream.
+     * @returns The selected upstream, or undefined when no candidate is left.
      */
     pick(options: UpstreamPickOptions): UpstreamPick | undefined {
         const now = this.#clock.monotonic();
         const untried = exclude(options.candidates, ({ id }) => options.excluded.has(id));
         const healthy = exclude(untried, ({ id }) => this.#getStatus(id).isEjected(now));
         if (healthy.length === 0) {
-            // Trying an ejected upstream beats refusing.
+            // An attempt on an ejected upstream may succeed; without it the request would certainly be refused.
             return this.#createPick(this.#findLeastLoaded(untried, now), "ejected", now);
         }
         if (options.prompt !== undefined) {
@@ -90,47 +91,47 @@
     }
 
     /**
-     * Notes that a prompt waits to be read by an upstream, or no longer does.
+     * Changes the time that an upstream needs to prefill the pending prompts of this node.
      * @param upstream - Identifier of the upstream.
-     * @param milliseconds - Time that reading it takes; negative when it has been read.
+     * @param milliseconds - Expected prefill time of the prompt; negative when its prefill has ended.
      */
     addPendingPrefill(upstream: string, milliseconds: number): void {
         this.#getStatus(upstream).addPendingPrefill(milliseconds);
     }
 
     /**
-     * Notes that something came from an upstream.
-     * @param upstream - Its identifier.
+     * Records that data was received from an upstream.
+     * @param upstream - Identifier of the upstream.
      */
     markSeen(upstream: string): void {
         this.#getStatus(upstream).markSeen(this.#clock.monotonic());
     }
 
     /**
-     * Notes how long a prompt took.
+     * Records the measured time to the response head of a prompt.
      * @param model - The model that answered.
-     * @param milliseconds - Time to the head of the answer.
-     * @param pick - What was expected.
+     * @param milliseconds - Time to the response head.
+     * @param pick - The pick, with the expected times.
      */
     addHeadTime(model: string | undefined, milliseconds: number, pick: UpstreamPick): void {
         const { expectedMilliseconds, prefillMilliseconds, uncachedTokens } = pick;
         this.#prefillRates.add({
             model,
             tokens: uncachedTokens,
-            fixedHeadMilliseconds: milliseconds,
+            headMilliseconds: milliseconds,
             waitingMilliseconds: expectedMilliseconds - prefillMilliseconds,
         });
         const ratio = Math.min(maxRatio, milliseconds / Math.max(minExpectedMilliseconds, expectedMilliseconds));
         this.#waitRatio += ratioWeight * (ratio - this.#waitRatio);
     }
 
-    /** Returns how many times as long as expected answers to prompts take to begin, at least once. */
+    /** Returns the average ratio of measured to expected times to the response head, at least 1. */
     getWaitRatio(): number {
         return Math.max(1, this.#waitRatio);
     }
 
     /**
-     * Notes a call that begins.
+     * Records the start of a call.
      * @param upstream - Identifier of the upstream.
      */
     start(upstream: string): void {
@@ -138,9 +139,9 @@
     }
 
     /**
-     * Notes the load that came with an answer.
+     * Records the load that an upstream reported with an answer.
      * @param upstream - The upstream.
-     * @param load - The load.
+     * @param load - The reported load.
      */
     addLoadReport(upstream: RegisteredUpstream, load: ReportedRequests): void {
         const others = this.#getStatus(upstream.id).addLoadReport(load, this.#clock.monotonic());
@@ -148,10 +149,10 @@
     }
 
     /**
-     * Notes a call that ended.
+     * Records the end of a call and ejects the upstream if it has become an outlier.
      * @param upstream - The upstream.
-     * @param outcome - How the call ended.
-     * @param pool - The upstreams of its pool.
+     * @param outcome - Outcome of the call.
+     * @param pool - All upstreams of the pool.
      */
     finish(upstream: RegisteredUpstream, outcome: CallOutcome, pool: readonly RegisteredUpstream[]): void {
         const status = this.#getStatus(upstream.id);
@@ -167,12 +168,12 @@
     }
 
     /**
-     * Forgets what was learned of an upstream.
-     * @param upstream - Its identifier.
+     * Removes the recorded state of an upstream.
+     * @param upstream - Identifier of the upstream.
      */
     forget(upstream: string): void {
         this.#statuses.delete(upstream);
-        this.#groups.forget(upstream);
+        this.#subsets.forget(upstream);
         this.#holders.forget(upstream);
     }
 
@@ -194,7 +195,7 @@
         return load;
     }
 
-    /** Returns the requests that are expected at an upstream, of all nodes. */
+    /** Returns the expected number of requests of all nodes at an upstream. */
     #getExpectedRequests({ id, pool, slots }: RegisteredUpstream, now: number): number {
         return this.#getStatus(id).getExpectedRequests(now, this.#getAverageLoad(pool).getOtherRequests(slots));
     }
@@ -203,7 +204,7 @@
         return this.#getExpectedRequests(upstream, now) / upstream.slots;
     }
 
-    /** Failure rate of the pool's other upstreams: faults that all of them have are the pool's, not one upstream's. */
+    /** Returns the mean failure rate of the pool's other upstreams. Failures that all of them have are not the fault of a single one. */
     #getFailureRate(pool: readonly RegisteredUpstream[], except: RegisteredUpstream): number {
         const others = pool.filter(upstream => upstream.id !== except.id);
         let sum = 0;
@@ -228,7 +229,10 @@
         };
     }
 
-    /** Weighs what is read already against what waits: a shared part saves its reading, a crowded runner costs more. */
+    /**
+     * Selects the runner with the lowest cost: queueing time, prefill time of the tokens that are probably not cached, and the cost of
+     * another failure domain. Queueing time counts twice at a runner without a free slot.
+     */
     #findLeastWait(
         candidates: readonly RegisteredUpstream[],
         prompt: PromptDescription,
@@ -238,7 +242,7 @@
         const domainCost = crossDomainMilliseconds + crossDomainMillisecondsPerKilobyte * prompt.bytes / 1_024;
         let best: UpstreamPick | undefined;
         let bestCost = Number.POSITIVE_INFINITY;
-        for (const upstream of this.#groups.selectCandidates(candidates, holders)) {
+        for (const upstream of this.#subsets.selectCandidates(candidates, holders)) {
             const status = this.#getStatus(upstream.id);
             const hitProbability = cacheHitProbabilities[holders.indexOf(upstream.id)] ?? 0;
             const uncachedTokens = prompt.tokens - hitProbability * prompt.sharedTokens;
@@ -269,7 +273,7 @@
         let best: RegisteredUpstream | undefined;
         let bestLoad = Number.POSITIVE_INFINITY;
         for (const upstream of candidates) {
-            // A tie is broken at random, or every node would send its first request to the same upstream.
+            // Ties are broken at random; otherwise every node would send its first request to the same upstream.
             const load = this.#getLoad(upstream, now) + this.#random.next() * 0.01;
             if (load < bestLoad) {
                 best = upstream;
@@ -280,7 +284,7 @@
     }
 }
 
-/** Leaves some upstreams out; returns the same list where there are none, since what is worked out for a list is kept. */
+/** Filters out some upstreams. Returns the same array when none is excluded, since rankings are cached by array identity. */
 function exclude(
     upstreams: readonly RegisteredUpstream[],
     isExcluded: (upstream: RegisteredUpstream) => boolean,
--- a/src/decisions/dispatch/upstreamStatus.ts
+++ b/src/decisions/dispatch/upstreamStatus.ts
@@ -1,43 +1,46 @@
 /**
- * What a node has learned of one upstream: its load, and whether it works.
+ * State of one upstream as one node has observed it: load, failures, and ejection.
  */
 
-/** Load that an upstream reported with an answer. */
+/** Represents the load that an upstream reported with an answer. */
 export interface ReportedRequests {
-    /** Requests running and waiting there, of all nodes. */
+    /** Running and waiting requests of all nodes. */
     readonly requests: number;
     readonly slots: number;
 }
 
-/** Time after which half of the difference between what others were reported to have there and what is usual is over, in milliseconds. */
+/** Half-life of the difference between the reported and the average requests of other nodes, in milliseconds. */
 const loadHalfLifeMilliseconds = 1_500;
-/** Weight of the newest outcome in the failure rate: about the last eight count. */
+/** Weight of the latest outcome in the failure rate, which spans about the last eight outcomes. */
 const outcomeWeight = 0.12;
-/** Outcomes before the rate says anything. */
+/** Minimum number of outcomes for a meaningful failure rate. */
 const minOutcomes = 4;
 const initialEjectionMilliseconds = 1_000;
 const maxEjectionMilliseconds = 8_000;
-/** Failures in a row, with no answer of any kind, after which an upstream is taken to be away. */
+/** Consecutive calls without any response after which an upstream is considered unreachable. */
 const maxUnresponsiveFailures = 2;
 
 /**
- * How a call to an upstream ended, for what is learned of it.
- * - `error`: it answered with a failure of its own.
- * - `failed`: the answer broke off.
- * - `silent`: nothing came in the time that was allowed, or no connection came about.
- * - `refused`: it had no room; that says nothing of its health.
+ * Outcome of a call to an upstream.
+ * - `error`: the upstream answered with an error of its own.
+ * - `failed`: the answer was cut off.
+ * - `silent`: nothing was received before the timeout, or no connection could be opened.
+ * - `refused`: the upstream had no free capacity, which says nothing about its health.
  */
 export type CallOutcome = "ok" | "error" | "failed" | "silent" | "refused" | "cancelled";
 
-/** A silent call at an upstream that was heard otherwise within this time failed by itself, in milliseconds. */
+/**
+ * If other data was received from an upstream within this time, an unresponsive call is not taken as a sign that the upstream is
+ * unreachable, in milliseconds.
+ */
 const recentlySeenMilliseconds = 800;
 
-/** Learns one upstream. */
+/** Records the load and the outcomes of one upstream. */
 export class UpstreamStatus {
     #inFlight = 0;
     #pendingPrefillMilliseconds = 0;
     #lastSeenAt = Number.NEGATIVE_INFINITY;
-    /** Requests of other nodes, by the last report. */
+    /** Requests of other nodes as of the last report. */
     #otherRequests = 0;
     #reportedAt = Number.NEGATIVE_INFINITY;
     #failureRate = 0;
@@ -46,62 +49,62 @@
     #ejections = 0;
     #ejectedUntil = Number.NEGATIVE_INFINITY;
 
-    /** Returns the requests of this node that are at work there. */
+    /** Returns the number of requests of this node that are in flight at the upstream. */
     getInFlight(): number {
         return this.#inFlight;
     }
 
     /**
-     * Returns the requests that are expected to be there, of all nodes. What was reported long ago says nothing any more; an upstream
-     * of which nothing new is known is as crowded as its pool usually is. Taken for empty, it would get the next request of every node
-     * that has not heard of it lately: in a large fleet that is nearly all of them, and crowded upstreams get still more.
+     * Returns the expected number of requests of all nodes at the upstream. Old reports lose their weight: without a recent report, the
+     * upstream is assumed to have the average load of its pool. If it were assumed to be idle, every node without a recent report would
+     * send its next request there. In a large fleet that is nearly every node, and overloaded upstreams would get even more requests.
      * @param now - Monotonic milliseconds.
-     * @param averageOthers - Requests of other nodes that an upstream of the pool usually has.
+     * @param averageOthers - Average requests of other nodes at an upstream of the pool.
      */
     getExpectedRequests(now: number, averageOthers: number): number {
         const reportWeight = 0.5 ** ((now - this.#reportedAt) / loadHalfLifeMilliseconds);
         return this.#inFlight + averageOthers + (this.#otherRequests - averageOthers) * reportWeight;
     }
 
-    /** Returns the smoothed share of calls that failed. */
+    /** Returns the smoothed share of failed calls; 0 until there are enough outcomes. */
     getFailureRate(): number {
         return this.#outcomes < minOutcomes ? 0 : this.#failureRate;
     }
 
     /**
-     * Tells whether the upstream gets nothing new for now.
+     * Returns whether the upstream is ejected, that is, gets no new requests for now.
      * @param now - Monotonic milliseconds.
      */
     isEjected(now: number): boolean {
         return now < this.#ejectedUntil;
     }
 
-    /** Returns the time that the prompts of this node take to be read there that have no answer yet, in milliseconds. */
+    /** Returns the expected prefill time of this node's prompts that have no answer yet, in milliseconds. */
     getPendingPrefillMilliseconds(): number {
         return this.#pendingPrefillMilliseconds;
     }
 
-    /** Notes a call that begins. */
+    /** Records the start of a call. */
     start(): void {
         this.#inFlight += 1;
     }
 
     /**
-     * Notes that a prompt waits to be read, or no longer does.
-     * @param milliseconds - Time that reading it takes; negative when it has been read.
+     * Changes the pending prefill time.
+     * @param milliseconds - Expected prefill time of a prompt; negative when its prefill has ended.
      */
     addPendingPrefill(milliseconds: number): void {
         this.#pendingPrefillMilliseconds = Math.max(0, this.#pendingPrefillMilliseconds + milliseconds);
     }
 
-    /** Notes that something came from the upstream. */
+    /** Records that data was received from the upstream. */
     markSeen(now: number): void {
         this.#lastSeenAt = now;
     }
 
     /**
-     * Notes the load that came with an answer.
-     * @returns The requests of other nodes among it.
+     * Records the load that was reported with an answer.
+     * @returns The number of requests of other nodes in it.
      */
     addLoadReport(load: ReportedRequests, now: number): number {
         this.#otherRequests = Math.max(0, load.requests - this.#inFlight);
@@ -110,8 +113,8 @@
     }
 
     /**
-     * Notes a call that ended.
-     * @param outcome - How.
+     * Records the end of a call.
+     * @param outcome - Outcome of the call.
      * @param now - Monotonic milliseconds.
      */
     finish(outcome: CallOutcome, now: number): void {
@@ -130,23 +133,23 @@
     }
 
     /**
-     * Tells whether the upstream fails so much more than its pool that it should get nothing for a while.
-     * @param poolFailureRate - Failure rate over the whole pool.
+     * Returns whether the upstream is unreachable or fails so much more often than its pool that it should be ejected.
+     * @param poolFailureRate - Mean failure rate of the other upstreams of the pool.
      */
     isOutlier(poolFailureRate: number): boolean {
         return this.#unresponsiveFailures >= maxUnresponsiveFailures || this.getFailureRate() > poolFailureRate + 0.25;
     }
 
     /**
-     * Gives the upstream nothing new for a while, longer each time.
+     * Ejects the upstream, for twice as long each time up to a limit.
      * @param now - Monotonic milliseconds.
-     * @returns For how long, in milliseconds.
+     * @returns The duration of the ejection, in milliseconds.
      */
     eject(now: number): number {
         const milliseconds = Math.min(maxEjectionMilliseconds, initialEjectionMilliseconds * 2 ** this.#ejections);
         this.#ejections += 1;
         this.#ejectedUntil = now + milliseconds;
-        // One more failure after its return ejects it again; one success and it is given more.
+        // After its return, one more unresponsive call ejects it again, and one successful call resets the count.
         this.#unresponsiveFailures = Math.min(this.#unresponsiveFailures, maxUnresponsiveFailures - 1);
         this.#failureRate /= 2;
         return milliseconds;
--- a/src/decisions/index.ts
+++ b/src/decisions/index.ts
@@ -1,4 +1,4 @@
-/** The decisions: which model, which version, which runner, and whether at all. */
+/** Decisions about a request: admission, model, version, and runner. */
 export * from "./cascade/index.js";
 export * from "./dispatch/index.js";
 export * from "./exposure/index.js";
--- a/test/decisions/dispatch/manyNodes.ts
+++ b/test/decisions/dispatch/manyNodes.ts
@@ -1,32 +1,32 @@
 /**
- * A replay of many nodes before few runners, each node hearing of a runner only with its own answers from it.
+ * Simulation of many nodes that share few runners. A node receives the load of a runner only with its own answers from it.
  */
 import { ManualClock, RandomSource } from "../../../src/common/index.js";
 import { UpstreamPicker } from "../../../src/decisions/index.js";
 import { createUpstreams } from "../../fixtures/upstreams.js";
 
-/** What is replayed. */
+/** Options of the simulation. */
 export interface ManyNodesOptions {
     readonly nodes: number;
     readonly runners: number;
     readonly slots: number;
-    /** Part of all slots that is taken in the mean. */
+    /** Mean share of all slots that are in use. */
     readonly load: number;
     readonly requests: number;
     readonly seed: number;
 }
 
-interface Kind {
+interface RequestKind {
     readonly share: number;
     readonly tokens: number;
-    /** Mean time in a slot. */
+    /** Mean time that a request occupies a slot. */
     readonly milliseconds: number;
 }
 
 interface Job {
     readonly at: number;
     readonly node: number;
-    readonly kind: Kind;
+    readonly kind: RequestKind;
     readonly prefillMilliseconds: number;
 }
 
@@ -40,16 +40,16 @@
     readonly run: () => void;
 }
 
-/** Long prompts with long answers, short prompts with long answers, and short ones with answers of a few tokens. */
-const kinds: readonly Kind[] = [
+/** Long prompts with long answers, short prompts with long answers, and short prompts with answers of a few tokens. */
+const kinds: readonly RequestKind[] = [
     { share: 0.24, tokens: 12_000, milliseconds: 2_500 },
     { share: 0.2, tokens: 800, milliseconds: 1_500 },
     { share: 0.56, tokens: 2_400, milliseconds: 250 },
 ];
 
 /**
- * Replays requests.
- * @returns The times that they waited for a slot, in milliseconds.
+ * Simulates requests.
+ * @returns The times that the requests waited for a slot, in milliseconds.
  */
 export function replayManyNodes({ nodes, runners, slots, load, requests, seed }: ManyNodesOptions): readonly number[] {
     const random = new RandomSource(seed);
@@ -80,7 +80,7 @@
         scheduledEvents.splice(index, 0, event);
     }
 
-    function drawKind(): Kind {
+    function drawKind(): RequestKind {
         const drawn = random.next();
         return drawn < kinds[0].share ? kinds[0] : drawn < kinds[0].share + kinds[1].share ? kinds[1] : kinds[2];
     }
--- a/test/decisions/dispatch/promptHolders.test.ts
+++ b/test/decisions/dispatch/promptHolders.test.ts
@@ -6,7 +6,7 @@
 const keys = Array.from({ length: 2_000 }, (...[, index]) => `large subject-${index}`);
 
 describe("PromptHolders", () => {
-    it("names the same two runners on every node, whatever order they are known in", () => {
+    it("returns the same two runners on every node, independent of their order", () => {
         const runners = createUpstreams(30);
         const [one, other] = [new PromptHolders(), new PromptHolders()];
         for (const key of keys.slice(0, 200)) {
@@ -17,15 +17,15 @@
         expect(one.findTwoHolders(createUpstreams(1), "any")).toEqual(["u1"]);
     });
 
-    // A runner crashes. If the keys of all others moved too, every shared part would be read again at another runner, at the
-    // moment at which the rest has least room for it.
-    it("moves only the keys of a runner that is gone", () => {
+    // Guards against reassigned keys after a runner crash. If keys of the remaining runners moved too, every shared part would be
+    // prefilled again at another runner, at the moment when the remaining ones have the least free capacity.
+    it("moves only the keys of a removed runner", () => {
         const runners = createUpstreams(30);
         const holders = new PromptHolders();
         for (const key of keys) {
             const [first, second] = holders.findTwoHolders(runners, key);
-            const left = holders.findTwoHolders(runners.filter(runner => runner.id !== "u7"), key);
-            expect(left[0]).toEqual(first === "u7" ? second : first);
+            const remaining = holders.findTwoHolders(runners.filter(runner => runner.id !== "u7"), key);
+            expect(remaining[0]).toEqual(first === "u7" ? second : first);
         }
     });
 
--- a/test/decisions/dispatch/runnerSubsets.test.ts
+++ b/test/decisions/dispatch/runnerSubsets.test.ts
@@ -12,19 +12,20 @@
     return new RunnerSubsets({ self, failureDomain: "d1" });
 }
 
-describe("RunnerGroups", () => {
-    it("chooses among few runners of the own failure domain, and those that may hold the prompt", () => {
-        const own = createSubsets("n-1").selectCandidates(runners, ["u0", "u2"]);
-        expect(own.length).toEqual(14);
-        expect(own.slice(0, 12).every(({ failureDomain }) => failureDomain === "d1")).toEqual(true);
-        expect(own.slice(12).map(({ id }) => id)).toEqual(["u0", "u2"]);
-        const [{ id }] = own;
+describe("RunnerSubsets", () => {
+    it("selects a few runners of the own failure domain, and those that may hold the prompt", () => {
+        const selected = createSubsets("n-1").selectCandidates(runners, ["u0", "u2"]);
+        expect(selected.length).toEqual(14);
+        expect(selected.slice(0, 12).every(({ failureDomain }) => failureDomain === "d1")).toEqual(true);
+        expect(selected.slice(12).map(({ id }) => id)).toEqual(["u0", "u2"]);
+        const [{ id }] = selected;
         expect(createSubsets("n-1").selectCandidates(runners, [id]).length).toEqual(12);
     });
 
-    // Each request to a pool of a hundred runners and more ranked all of them anew, which took longer than the rest of the choice.
-    it("ranks a list once, and another list anew", () => {
-        const groups = createSubsets("n-1");
+    // Guards against ranking all runners again for each request, which takes longer than the rest of the selection in a pool of a
+    // hundred runners or more.
+    it("ranks each list once", () => {
+        const subsets = createSubsets("n-1");
         let reads = 0;
         const instrumented = runners.map(runner => ({
             ...runner,
@@ -33,12 +34,12 @@
                 return runner.failureDomain;
             },
         }));
-        groups.selectCandidates(instrumented, []);
+        subsets.selectCandidates(instrumented, []);
         const ranked = reads;
         expect(ranked >= runners.length).toEqual(true);
-        groups.selectCandidates(instrumented, []);
+        subsets.selectCandidates(instrumented, []);
         expect(reads).toEqual(ranked);
-        groups.selectCandidates([...instrumented], []);
+        subsets.selectCandidates([...instrumented], []);
         expect(reads > ranked).toEqual(true);
     });
 });
--- a/test/decisions/dispatch/upstreamPicker.test.ts
+++ b/test/decisions/dispatch/upstreamPicker.test.ts
@@ -28,7 +28,7 @@
     readonly tokens: number;
 }
 
-/** Prompts as they come in the worst seconds: mostly short ones, some that take a hundred times as long to read. */
+/** Creates prompts as they arrive at peak load: mostly short ones, and some whose prefill takes a hundred times as long. */
 function createJobs(seed: number): Job[] {
     const random = new RandomSource(seed);
     const jobs: Job[] = [];
@@ -40,7 +40,7 @@
     return jobs;
 }
 
-/** Lets runners read prompts one after another, 40 tokens a millisecond, and returns the waits of the short prompts. */
+/** Simulates runners that prefill prompts one after another, at 40 tokens per millisecond, and returns the waits of the short prompts. */
 function replay(jobs: readonly Job[], runners: readonly RegisteredUpstream[], pick: (job: Job) => string): number[] {
     const freeAt = new Map(runners.map(runner => [runner.id, 0]));
     const waits: number[] = [];
@@ -55,7 +55,7 @@
     return waits.sort((first, second) => first - second);
 }
 
-/** Time to the first token that 95 in 100 callers are promised. */
+/** Objective for the 95th percentile of the time to first token. */
 const objectiveMilliseconds = 900;
 
 function getPercentile95(waits: readonly number[]): number {
@@ -77,7 +77,7 @@
             expect(picker.pick(options)?.upstream.id).toEqual("far");
         });
 
-        it("returns to where a long shared part has been read", () => {
+        it("sends a prompt with a long shared part to the same runner each time", () => {
             const { picker } = createPicker();
             const candidates = createUpstreams(3);
             const prompt = createPrompt({ tokens: 9_000, sharedTokens: 8_000 });
@@ -88,17 +88,17 @@
             expect(new Set(picks.map(pick => pick?.upstream.id)).size).toEqual(1);
         });
 
-        // Thirty nodes of a large fleet share a dozen runners of twelve slots, nine in ten of them taken. Each node has an answer from a given
-        // runner every few seconds only. Taking runners for empty of which it had not heard lately, it sent most requests to crowded
-        // ones, and callers got the first word late while other runners had free slots.
-        it("does not take runners for empty of which nothing is known", () => {
+        // Guards against treating runners without a recent load report as idle. About thirty nodes share a dozen runners of twelve slots,
+        // nine tenths of them in use, and each node gets an answer from a given runner every few seconds only. Nodes then send most
+        // requests to overloaded runners, and callers get their first token late while other runners have free slots.
+        it("does not treat runners without a recent report as idle", () => {
             for (const seed of [1, 2, 3]) {
                 const waits = replayManyNodes({ nodes: 33, runners: 12, slots: 12, load: 0.9, requests: 6_000, seed });
                 expect(getPercentile95(waits) < objectiveMilliseconds).toEqual(true);
             }
         });
 
-        it("tries an ejected upstream rather than nobody", () => {
+        it("picks an ejected upstream when no other is left", () => {
             const { picker } = createPicker();
             const only = createUpstream("only");
             for (let failure = 0; failure < 8; failure += 1) {
@@ -109,7 +109,7 @@
             expect(pick?.reason).toEqual("ejected");
         });
 
-        it("keeps to a few runners of its own domain in a large pool, and to those that hold the prompt", () => {
+        it("picks from a few runners of its own domain in a large pool, and those that hold the prompt", () => {
             const { picker } = createPicker();
             const near = createUpstreams(40, { slots: 12 });
             const far = near.map(({ id }) => createUpstream(`far-${id}`, { slots: 12, failureDomain: "south" }));
@@ -123,9 +123,10 @@
             expect(picked.size <= 12 + 6).toEqual(true);
         });
 
-        // The worst seconds of a busy day: a few prompts of 50,000 tokens among many of a few hundred. A short prompt that is
-        // read behind a long one waits a second and more for its first token though most runners have little to do.
-        it("spares short prompts the wait behind long ones", () => {
+        // Guards against queueing short prompts behind long ones. At peak load, a few prompts of 50,000 tokens arrive among many of a few
+        // hundred. A short prompt that is queued behind a long one waits a second or more for its first token although most runners
+        // are nearly idle.
+        it("does not queue short prompts behind long ones", () => {
             const jobs = createJobs(7);
             const runners = createUpstreams(13, { slots: 48 });
             const random = new RandomSource(8);
@@ -158,7 +159,7 @@
     });
 
     describe("finish", () => {
-        it("ejects an upstream that is silent twice in a row, but not one that is heard otherwise", () => {
+        it("ejects an upstream after two unresponsive calls in a row, unless other data was received from it", () => {
             const { picker, ejected } = createPicker();
             const pool = createUpstreams(4);
             for (const upstream of pool.slice(0, 2)) {
@@ -173,9 +174,9 @@
             expect(ejected).toEqual(["u1"]);
         });
 
-        // All instances of a service fail one call in seven, as they always do. Ejecting them for that would leave the
-        // callers with half of the service.
-        it("does not eject for failures that the whole pool has", () => {
+        // Guards against ejections for a failure rate that the whole pool has. If all instances of a service fail one call in seven,
+        // ejecting some of them only reduces the capacity of the service.
+        it("does not eject upstreams for failures that the whole pool has", () => {
             const { picker, ejected } = createPicker();
             const pool = createUpstreams(4);
             for (let call = 0; call < 400; call += 1) {
@@ -186,7 +187,7 @@
             expect(ejected).toEqual([]);
         });
 
-        it("ejects one that fails far more than the others, and never more than a third of the pool", () => {
+        it("ejects upstreams that fail far more than the others, and never more than a third of the pool", () => {
             const { picker, ejected } = createPicker();
             const pool = createUpstreams(6);
             for (let call = 0; call < 60; call += 1) {
