--- a/src/decisions/placement/candidateSet.ts
+++ b/src/decisions/placement/candidateSet.ts
@@ -1,6 +1,6 @@
 /**
- * Compares a few runners for one request. One object is used again for every request, so that a choice allocates
- * nothing that grows with the number of runners.
+ * Comparison of a few runners for one request. One object is reused for all requests, so that a selection allocates no memory that
+ * grows with the number of runners.
  */
 import type { RandomSource } from "../../common/index.js";
 import type { PlacementOptions } from "./options.js";
@@ -8,10 +8,10 @@
 import type { PrefixMatch } from "./prefixTable.js";
 import type { Runner } from "./runner.js";
 
-/** Draws for each wanted runner before giving up on filling the set. */
+/** Maximum number of random draws per desired runner, since drawn runners may be ineligible. */
 const drawsPerChoice = 4;
 
-/** The runners compared for one request, of which the best is kept. */
+/** Compares runners for one request and tracks the best one. */
 export class CandidateSet {
     readonly #random: RandomSource;
     readonly #options: PlacementOptions;
@@ -27,7 +27,7 @@
         this.#options = options.options;
     }
 
-    /** Forgets the last request and starts on another. */
+    /** Resets the set for a new request. */
     start(now: number, request: PlacementRequest, matches: readonly PrefixMatch[]): void {
         this.#now = now;
         this.#request = request;
@@ -36,24 +36,24 @@
         this.#bestWait = Number.POSITIVE_INFINITY;
     }
 
-    /** Tells whether no runner was fit. */
+    /** Returns whether no eligible runner was added. */
     isEmpty(): boolean {
         return this.#best === undefined;
     }
 
-    /** Returns the least expected wait so far. */
+    /** Returns the lowest expected wait of the runners added so far. */
     getBestWait(): number {
         return this.#bestWait;
     }
 
-    /** Compares one runner, if it is fit. */
+    /** Adds one runner if it is eligible and serves the request. */
     addOne(runner: Runner, reason: PlacementReason): void {
         if (this.#isEligible(runner) && this.#serves(runner)) {
             this.#compare(runner, reason);
         }
     }
 
-    /** Compares a few runners drawn at random, or all of a short list. */
+    /** Adds a few randomly drawn runners, or all of a short list. */
     addSample(runners: readonly Runner[], reason: PlacementReason): void {
         if (runners.length <= this.#options.choices) {
             this.#addAll(runners, reason);
@@ -72,7 +72,7 @@
         }
     }
 
-    /** Begins anywhere: of equals the first wins, and it must not be the same one each time. */
+    /** Starts at a random index, since the first of several equal runners wins and must not be the same one each time. */
     #addAll(runners: readonly Runner[], reason: PlacementReason): void {
         const start = runners.length === 0 ? 0 : this.#random.nextInteger(runners.length);
         for (let step = 0; step < runners.length; step += 1) {
@@ -83,7 +83,7 @@
         }
     }
 
-    /** Compares a few runners whether ejected or not. */
+    /** Adds a few runners, including ejected ones. */
     addIncludingEjected(runners: readonly Runner[]): void {
         const start = runners.length === 0 ? 0 : this.#random.nextInteger(runners.length);
         let found = 0;
@@ -96,7 +96,7 @@
         }
     }
 
-    /** Returns the best of the compared runners. */
+    /** Returns the runner with the lowest expected wait. */
     getBest(): Placement | undefined {
         if (this.#best === undefined || this.#request === undefined) {
             return undefined;
@@ -121,7 +121,7 @@
             && (pool === undefined || runner.vm.pool === pool);
     }
 
-    /** A returning runner is passed over at first, more and more seldom, so that its cache and threads warm up. */
+    /** Skips a returning runner at random, less and less often as its ramp rises, so that its cache and threads warm up. */
     #passesRamp(runner: Runner): boolean {
         const ramp = runner.health.getRamp(this.#now);
         return ramp >= 1 || this.#random.next() < ramp;
--- a/src/decisions/placement/capacity.ts
+++ b/src/decisions/placement/capacity.ts
@@ -1,12 +1,12 @@
 /**
- * How much the upstreams of the entry's region can do.
+ * Capacity of the upstreams in the entry's region.
  */
 import type { VmRole } from "../../world/index.js";
 import type { Runner } from "./runner.js";
 
 /**
- * Sums up the capacity of the region's live upstreams of a role, in requests at a time. Those that have not reported to this
- * entry are taken to be like the mean of the pool's others; a pool of which none has reported counts for nothing.
+ * Returns the total capacity of the region's live upstreams of a role, in concurrent requests. Upstreams that have not reported to this
+ * entry are assumed to have the mean capacity of their pool; a pool without any report counts as 0.
  */
 export function getCapacity(runners: Iterable<Runner>, role: VmRole): number {
     const pools = new Map<string, { live: number; reported: number; capacity: number; }>();
--- a/src/decisions/placement/ejection.ts
+++ b/src/decisions/placement/ejection.ts
@@ -1,13 +1,13 @@
 /**
- * How much of a pool is ejected.
+ * Share of a pool that is ejected.
  *
- * Ejecting runners moves their work to the rest. Past a part of the pool that would bring down the rest too, so from
- * there on failing runners stay in and share the work.
+ * Ejecting runners moves their requests to the others. Beyond a certain share of the pool this would overload the others too, so
+ * further failing runners are not ejected and keep their share of the requests.
  */
 import type { Runner } from "./runner.js";
 
 /**
- * Returns the part of a runner's pool that would be ejected if the runner were.
+ * Returns the share of a runner's pool that would be ejected if the runner were ejected as well.
  * @param candidate - The runner.
  * @param runners - All runners.
  * @param now - Monotonic milliseconds.
--- a/src/decisions/placement/health.ts
+++ b/src/decisions/placement/health.ts
@@ -1,13 +1,13 @@
 /**
- * Ejection of a runner that fails, and its slow way back.
+ * Ejection of a failing runner and its gradual return.
  */
 import type { PlacementOptions } from "./options.js";
 
 const minRamp = 0.1;
-/** An ejected runner that then served this long is forgiven its earlier ejections. */
+/** The count of ejections is reset at the first success that comes this long after the end of the last ejection. */
 const ejectionResetMilliseconds = 60_000;
 
-/** Health of one runner as one entry sees it. */
+/** Tracks the health of one runner as observed by one entry. */
 export class Health {
     readonly #options: PlacementOptions;
     #failures = 0;
@@ -19,12 +19,12 @@
         this.#options = options;
     }
 
-    /** Tells whether the runner takes nothing for now. */
+    /** Returns whether the runner is ejected, that is, gets no new requests for now. */
     isEjected(now: number): boolean {
         return now < this.#ejectedUntil;
     }
 
-    /** Returns the part of its usual work that the runner should get, from 0 to 1. */
+    /** Returns the share of its usual requests that the runner should get, from 0 to 1. It rises gradually after an ejection. */
     getRamp(now: number): number {
         if (this.#ejections === 0) {
             return 1;
@@ -33,7 +33,7 @@
         return Math.min(1, minRamp + (1 - minRamp) * since / this.#options.rampMilliseconds);
     }
 
-    /** Notes a good answer. */
+    /** Records a successful answer. */
     addSuccess(now: number): void {
         this.#failures = 0;
         if (now - this.#ejectedUntil > ejectionResetMilliseconds) {
@@ -41,27 +41,27 @@
         }
     }
 
-    /** Notes a failed answer and returns how many there were in a row. */
+    /** Records a failed answer and returns the number of consecutive ones. */
     addFailure(): number {
         this.#failures += 1;
         return this.#failures;
     }
 
-    /** Notes whether an answer was far slower than the pool's, and returns how many there were in a row. */
+    /** Records whether an answer was far slower than those of the pool, and returns the number of consecutive slow ones. */
     recordLatency(isSlow: boolean): number {
         this.#slowAnswers = isSlow ? this.#slowAnswers + 1 : 0;
         return this.#slowAnswers;
     }
 
     /**
-     * Ejects the runner, for twice as long each time.
+     * Ejects the runner, for twice as long each time up to a limit.
      * @param now - Monotonic milliseconds.
-     * @param draw - A random number from 0 to 1: entries must not all come back at one moment.
-     * @returns For how long, in milliseconds.
+     * @param randomFraction - Random number from 0 to 1 for the jitter, without which all entries would return to the runner at the same moment.
+     * @returns The duration of the ejection, in milliseconds.
      */
-    eject(now: number, draw: number): number {
+    eject(now: number, randomFraction: number): number {
         const base = this.#options.ejectionMilliseconds * 2 ** this.#ejections;
-        const duration = Math.min(this.#options.maxEjectionMilliseconds, base) * (0.75 + draw / 2);
+        const duration = Math.min(this.#options.maxEjectionMilliseconds, base) * (0.75 + randomFraction / 2);
         this.#ejections += 1;
         this.#failures = 0;
         this.#slowAnswers = 0;
--- a/src/decisions/placement/index.ts
+++ b/src/decisions/placement/index.ts
@@ -1,4 +1,4 @@
-/** Which runner gets a request. */
+/** Selection of a runner for a request. */
 export * from "./options.js";
 export * from "./placement.js";
 export * from "./pollSchedule.js";
--- a/src/decisions/placement/loadEstimate.ts
+++ b/src/decisions/placement/loadEstimate.ts
@@ -1,21 +1,21 @@
 /**
- * What an entry believes of one runner's load: its own work, which it knows exactly, and the work of others, which
- * it knows from reports that are late.
+ * Estimate of one runner's load: the entry's own requests, which it counts exactly, and the requests of other entries, which it
+ * takes from delayed reports.
  */
 import type { LoadReport } from "../../world/index.js";
 
 const historyLength = 32;
-/** A report that looks older than the last one is still taken when none came for this long: the clock was set back. */
+/** A report that is older than the last one is accepted if none was accepted for this long, since the runner's clock was set back. */
 const clockResetMilliseconds = 10_000;
-/** How fast the estimate of the clocks' difference forgets its smallest value, so that drift is followed. */
+/** Rate at which the minimum clock offset rises, so that the estimate follows clock drift. */
 const clockDriftShare = 0.001;
 
-/** Load of one runner as one entry sees it. */
+/** Estimates the load of one runner for one entry. */
 export class LoadEstimate {
-    /** Both grow with use: of 2,100 runners an entry uses few. */
+    /** Both arrays grow on demand, since an entry uses few of up to 2,100 runners. */
     readonly #historyTimes: number[] = [];
     readonly #historyCounts: number[] = [];
-    #historyNext = 0;
+    #nextHistoryIndex = 0;
     #ownRequests = 0;
     #otherRequestsAtMeasurement = 0;
     #measuredAt = Number.NEGATIVE_INFINITY;
@@ -25,44 +25,44 @@
     #clockOffset = Number.POSITIVE_INFINITY;
     #capacity: number;
 
-    /** @param capacity - The capacity to assume until a report comes. */
+    /** @param capacity - Capacity that is assumed until the first report. */
     constructor(capacity: number) {
         this.#capacity = capacity;
     }
 
-    /** Returns how many requests the runner can work on at once. */
+    /** Returns the number of requests that the runner can process concurrently. */
     getCapacity(): number {
         return this.#capacity;
     }
 
-    /** Returns how many requests this entry has on the runner. */
+    /** Returns the number of this entry's requests on the runner. */
     getOwnRequests(): number {
         return this.#ownRequests;
     }
 
-    /** Tells whether the runner has ever reported. */
+    /** Returns whether the runner has ever sent a report. */
     isReported(): boolean {
         return this.#acceptedAt !== Number.NEGATIVE_INFINITY;
     }
 
     /**
-     * Counts one request more or less of this entry.
+     * Changes the number of this entry's requests by one.
      * @param change - 1 or -1.
      * @param now - Monotonic milliseconds.
      */
     changeOwnRequests(change: 1 | -1, now: number): void {
         this.#ownRequests += change;
-        this.#historyTimes[this.#historyNext % historyLength] = now;
-        this.#historyCounts[this.#historyNext % historyLength] = this.#ownRequests;
-        this.#historyNext += 1;
+        this.#historyTimes[this.#nextHistoryIndex % historyLength] = now;
+        this.#historyCounts[this.#nextHistoryIndex % historyLength] = this.#ownRequests;
+        this.#nextHistoryIndex += 1;
     }
 
     /**
-     * Takes in a report that may be late or out of order.
+     * Adds a report, which may be late or out of order.
      *
-     * The runner's clock differs from ours by an unknown amount. The smallest difference seen between arrival and
-     * measurement stands for it; a report that took longer is dated back by what it took longer.
-     * @returns Whether it was newer than what was known.
+     * The runner's clock differs from this entry's clock by an unknown offset. The minimum difference between arrival and measurement
+     * is used as its estimate; a report with a larger difference is dated back by its additional delay.
+     * @returns Whether the report was newer than the last one.
      */
     addReport(report: LoadReport, now: number): boolean {
         const isClockReset = now - this.#acceptedAt > clockResetMilliseconds;
@@ -80,28 +80,28 @@
         return true;
     }
 
-    /** Takes in load that came with an answer just now. */
+    /** Adds the load that was reported with an answer just now. */
     addAnswerLoad(load: number, capacity: number, now: number): void {
         this.#answeredAt = now;
         this.#applyMeasurement(load, capacity, now);
     }
 
-    /** Returns when load last came with an answer, in monotonic milliseconds. */
+    /** Returns when load was last reported with an answer, in monotonic milliseconds. */
     getAnsweredAt(): number | undefined {
         return this.#answeredAt;
     }
 
-    /** Returns the work of others at the time of the measurement. */
+    /** Returns the number of other entries' requests at the time of the last measurement. */
     getOtherRequestsAtMeasurement(): number {
         return this.#otherRequestsAtMeasurement;
     }
 
     /**
-     * Estimates the work of others now. A fresh report is believed; an old one fades into what is usual in the pool,
-     * since others decide by the same late reports and all correct the same way.
+     * Estimates the current number of other entries' requests. A recent report counts fully; an old one decays to the average of the
+     * pool, since other entries decide by the same delayed reports and correct the load in the same way.
      * @param now - Monotonic milliseconds.
-     * @param poolAverage - The usual work of others on a runner of this capacity.
-     * @param lifetime - Time constant of the fading, in milliseconds.
+     * @param poolAverage - Average number of other entries' requests on a runner of this capacity.
+     * @param lifetime - Time constant of the decay, in milliseconds.
      */
     getOtherRequests(now: number, poolAverage: number, lifetime: number): number {
         const reportWeight = Math.exp(-(now - this.#measuredAt) / lifetime);
@@ -115,12 +115,12 @@
     }
 
     #getOwnRequestsAt(time: number): number {
-        const oldest = Math.max(0, this.#historyNext - historyLength);
-        for (let index = this.#historyNext - 1; index >= oldest; index -= 1) {
+        const earliestIndex = Math.max(0, this.#nextHistoryIndex - historyLength);
+        for (let index = this.#nextHistoryIndex - 1; index >= earliestIndex; index -= 1) {
             if (this.#historyTimes[index % historyLength] <= time) {
                 return this.#historyCounts[index % historyLength];
             }
         }
-        return oldest === 0 ? 0 : this.#historyCounts[oldest % historyLength];
+        return earliestIndex === 0 ? 0 : this.#historyCounts[earliestIndex % historyLength];
     }
 }
--- a/src/decisions/placement/loadHeader.ts
+++ b/src/decisions/placement/loadHeader.ts
@@ -1,17 +1,17 @@
 /**
- * The `X-Load` header of an answer.
+ * Parser of the `X-Load` header of an answer.
  */
 
-/** Load that came with an answer. */
+/** Represents the load that an upstream reported with an answer. */
 export interface AnsweredLoad {
-    /** Requests that the upstream has, running and waiting. */
+    /** Running and waiting requests of the upstream. */
     readonly requests: number;
     readonly capacity: number;
 }
 
 /**
- * Reads `running/waiting/capacity`.
- * @returns Nothing when the header is not of this form: it comes from outside, and a bad one must not spoil an estimate.
+ * Parses `running/waiting/capacity`.
+ * @returns The load, or undefined when the header is malformed: it is external input, which must not corrupt an estimate.
  */
 export function parseLoadHeader(header: string): AnsweredLoad | undefined {
     const numbers = header.split("/").map(Number);
--- a/src/decisions/placement/options.ts
+++ b/src/decisions/placement/options.ts
@@ -1,47 +1,47 @@
 /**
- * Settings of the choice of a runner, with the defaults that the measurements were made with.
+ * Settings of the selection of a runner, and their defaults.
  */
 
-/** Settings of the choice of a runner. */
+/** Settings of the selection of a runner. */
 export interface PlacementOptions {
-    /** Runners of a version in the entry's region that it talks to, at least. */
+    /** Minimum number of runners of a version in the entry's region that the entry sends requests to. */
     readonly nearSubsetSize: number;
-    /** Entries that each runner is to be talked to by, in the mean: with few entries, subsets grow. */
+    /** Mean number of entries that send requests to each runner. With few entries, their subsets grow to reach it. */
     readonly entriesPerRunner: number;
-    /** Runners of a version in other regions that it keeps for spill-over. */
+    /** Number of runners of a version in other regions that the entry uses for spill-over. */
     readonly farSubsetSize: number;
-    /** How many runners are compared for a request. */
+    /** Number of randomly drawn runners that are compared for a request. */
     readonly choices: number;
-    /** How many runners with a cached prefix are compared besides. */
+    /** Number of runners with a cached prefix that are compared in addition. */
     readonly cachedChoices: number;
-    /** Time constant after which a load report counts for little. */
+    /** Time constant of the exponential decay of a load report's weight. */
     readonly reportLifetimeMilliseconds: number;
     /** Network cost of a runner in another failure domain of the region. */
     readonly otherDomainMilliseconds: number;
     /** Network cost of a runner in another region. */
     readonly otherRegionMilliseconds: number;
-    /** Expected wait in the region above which other regions are considered. */
+    /** Expected wait in the entry's region above which runners of other regions are compared as well. */
     readonly spillOverMilliseconds: number;
-    /** Failures in a row after which a runner is ejected. */
+    /** Consecutive failures after which a runner is ejected. */
     readonly ejectAfterFailures: number;
-    /** First ejection; each further one in a row is twice as long. */
+    /** Duration of the first ejection; each further one in a row is twice as long. */
     readonly ejectionMilliseconds: number;
     readonly maxEjectionMilliseconds: number;
-    /** Time over which a returning runner goes from little work to its full part. */
+    /** Time over which the share of requests of a runner rises to its full value after an ejection. */
     readonly rampMilliseconds: number;
-    /** Greatest part of a pool that may be ejected at a time. */
+    /** Maximum share of a pool that is ejected at a time. */
     readonly maxEjectedShare: number;
-    /** How many times slower than its pool a runner must be, again and again, to be ejected. */
+    /** Ratio to the pool's slowdown above which an answer counts as slow. */
     readonly outlierFactor: number;
-    /** Slow answers in a row that make an outlier. */
+    /** Consecutive slow answers after which a runner is ejected as an outlier. */
     readonly outlierAnswers: number;
-    /** Blocks that the table of prefixes keeps. */
+    /** Maximum number of blocks in the prefix table. */
     readonly maxPrefixBlocks: number;
-    /** Capacity of a runner that has not reported yet, in requests. */
+    /** Assumed capacity of a runner before its first report, in requests. */
     readonly defaultCapacity: number;
 }
 
-/** The defaults. */
+/** Default settings of the selection of a runner. */
 export const defaultPlacementOptions: PlacementOptions = {
     nearSubsetSize: 24,
     entriesPerRunner: 12,
--- a/src/decisions/placement/placement.ts
+++ b/src/decisions/placement/placement.ts
@@ -1,60 +1,60 @@
 /**
- * What a request asks of the choice of a runner, and what it gets.
+ * Input and result of the selection of a runner.
  */
 import type { Vm } from "../../world/index.js";
 
-/** Where the choosing entry stands. */
+/** Location of the entry that selects runners. */
 export interface EntryLocation {
     readonly failureDomain: string;
     readonly region: string;
-    /** Unique to the entry; decides which runners it talks to. */
+    /** Unique key of the entry, which determines its subset of runners. */
     readonly subsetKey: string;
 }
 
 /** A request that needs a runner. */
 export interface PlacementRequest {
-    /** The version that has to run; absent for plain services. */
+    /** The requested version; absent for plain services. */
     readonly version?: string;
-    /** The upstream pool; with a version, it narrows the choice further. */
+    /** The upstream pool. Together with a version, the runner must match both. */
     readonly pool?: string;
-    /** Hashes of the prompt's prefixes, shortest first, longest last. */
+    /** Hashes of the prompt's prefixes, shortest first. */
     readonly blocks: readonly string[];
-    /** Identifiers of upstreams that were tried already. */
+    /** Identifiers of upstreams on which an attempt was already made. */
     readonly exclude: ReadonlySet<string>;
-    /** Identifier of the upstream that served the session before: a preference, never a promise. */
+    /** Identifier of the upstream that served the session before. It is preferred, but not guaranteed to be selected. */
     readonly preferred?: string;
-    /** Milliseconds that are left until the caller wants the first token. */
+    /** Milliseconds left until the caller's deadline for the first token. */
     readonly deadlineMilliseconds: number;
 }
 
-/** Why a runner was chosen; for events and tests. */
+/** Reason why a runner was selected, for events and tests. */
 export type PlacementReason = "least-wait" | "cached-prefix" | "session" | "spill-over" | "panic";
 
-/** A chosen runner. */
+/** Represents a selected runner. */
 export interface Placement {
     readonly upstream: Vm;
     /** Expected time to the first token. */
     readonly expectedWaitMilliseconds: number;
-    /** How many of the request's blocks the runner is believed to hold. */
+    /** Estimated number of the request's blocks in the runner's prefix cache. */
     readonly cachedBlocks: number;
     readonly reason: PlacementReason;
-    /** The blocks of the request, which the runner will hold after it. */
+    /** Blocks of the request, which are in the runner's cache after it. */
     readonly blocks: readonly string[];
 }
 
-/** One change of a runner's prefix cache. */
+/** Represents one change of a runner's prefix cache. */
 export interface CacheEvent {
     readonly kind: "stored" | "removed" | "cleared";
     readonly block: string;
 }
 
-/** How a piece of work ended. A `refused` one was turned down by the runner before it did anything. */
+/** Outcome of a request on a runner. `refused` means that the runner rejected it before it did any work. */
 export type WorkOutcome = "ok" | "failed" | "refused" | "cancelled";
 
-/** What is known of a piece of work when it ends. */
+/** Result of a request on a runner. */
 export interface WorkResult {
     readonly outcome: WorkOutcome;
-    /** From dispatch to end. */
+    /** Time from dispatch to end. */
     readonly milliseconds: number;
     /** The `X-Load` header of the answer: `running/waiting/capacity`. */
     readonly loadHeader?: string;
--- a/src/decisions/placement/pollSchedule.ts
+++ b/src/decisions/placement/pollSchedule.ts
@@ -1,31 +1,37 @@
 /**
- * Which upstreams are asked for their load next, within a bound that does not grow with their number.
+ * Schedule of load polls, with a rate limit that does not grow with the number of upstreams.
  *
- * Asking each of a subset of 30 twice a second took 6.6% of a core, three times what a node may spend on control as a
- * whole. The load of the runners in use comes with their answers; the others can wait for their turn.
+ * Polling each of a subset of 30 upstreams twice a second took 6.6% of a core, three times what a node may spend on control as a
+ * whole. The load of the runners in use is reported with their answers; the others can wait for their turn.
  */
 
-/** Answers put a question off for no longer than this: they carry the load, but not the versions or the leaving. */
+/**
+ * Maximum time by which answers postpone a poll. Answers carry the load, but neither the versions nor whether the upstream is about
+ * to leave.
+ */
 const maxPostponementMilliseconds = 2_000;
-/** Rarer reports cost more of the first token's time than rarer cache events do, see the measurement `load`. */
+/**
+ * Number of polls per read of the cache events. Rarer load reports increase the time to first token more than rarer cache events
+ * do, see the measurement `load`.
+ */
 const pollsForCacheEvents = 4;
 const millisecondsPerSecond = 1_000;
-/** Keeps a sum of fractions from missing the next whole question by a rounding error. */
+/** Prevents a rounding error in the sum of fractions from delaying a poll. */
 const roundingTolerance = 1e-9;
 
-/** An upstream that may be asked. */
+/** Represents an upstream that may be polled. */
 export interface PollCandidate {
     readonly id: string;
-    /** Monotonic milliseconds at which an answer last carried its load. */
+    /** Time in monotonic milliseconds at which an answer last carried the upstream's load. */
     readonly answeredAt: number | undefined;
-    /** It has not answered the last question yet. */
+    /** Whether the last poll has not been answered yet. */
     readonly isPending: boolean;
 }
 
-/** A question to an upstream. */
+/** Represents a poll of an upstream. */
 export interface Poll {
     readonly id: string;
-    /** Whether its cache events are to be read as well. */
+    /** Whether the upstream's cache events are read as well. */
     readonly hasCacheEvents: boolean;
 }
 
@@ -34,15 +40,15 @@
     readonly count: number;
 }
 
-/** Options of a schedule. */
+/** Options of a poll schedule. */
 export interface PollScheduleOptions {
-    /** Bound on the questions a second. */
+    /** Maximum number of polls per second. */
     readonly pollsPerSecond: number;
-    /** An upstream is asked no more often than this. */
+    /** Minimum time between two polls of an upstream. */
     readonly intervalMilliseconds: number;
 }
 
-/** Spreads a bounded number of questions over the upstreams: longest unheard first. */
+/** Distributes a limited number of polls over the upstreams. Those that were seen least recently come first. */
 export class PollSchedule {
     readonly #options: PollScheduleOptions;
     readonly #records = new Map<string, PollRecord>();
@@ -54,9 +60,9 @@
     }
 
     /**
-     * Takes the upstreams to ask now. One that was never asked is always among them: nobody knows its versions yet, and
-     * callers would be refused although there is room.
-     * @param candidates - All upstreams that may be asked.
+     * Takes the polls that are due. An upstream that was never polled is always among them: its versions are not known yet, and callers
+     * would be refused although it has free capacity.
+     * @param candidates - All upstreams that may be polled.
      * @param now - Monotonic milliseconds.
      */
     take(candidates: readonly PollCandidate[], now: number): readonly Poll[] {
@@ -79,7 +85,7 @@
         return { id, hasCacheEvents: count % pollsForCacheEvents === 0 };
     }
 
-    /** What was not used up is kept for a second only: a node that was paused must not ask everybody at once. */
+    /** Refills the allowance, up to one second's worth: a node that was paused must not poll all upstreams at once. */
     #refill(now: number): void {
         const { pollsPerSecond } = this.#options;
         const refilled = (now - (this.#refilledAt ?? now)) * pollsPerSecond / millisecondsPerSecond;
@@ -96,7 +102,7 @@
         }
     }
 
-    /** Returns when the upstream was last heard; never asked counts as just now, for it is taken anyway. */
+    /** Returns when the upstream was last seen, or infinity if it was never polled, since `take` includes it anyway. */
     #getLastSeenAt({ id, answeredAt }: PollCandidate): number {
         const polledAt = this.#records.get(id)?.polledAt ?? Number.POSITIVE_INFINITY;
         return Math.max(polledAt, Math.min(answeredAt ?? polledAt, polledAt + maxPostponementMilliseconds));
--- a/src/decisions/placement/poolStatistics.ts
+++ b/src/decisions/placement/poolStatistics.ts
@@ -1,54 +1,54 @@
 /**
- * What is usual in a pool of runners; a runner of which little is known is taken to be usual.
+ * Averages over the runners of a pool. A runner with little data of its own is assumed to be average.
  */
 
 const smoothing = 0.05;
 
-/** Running averages over the runners of a pool. */
+/** Tracks exponential moving averages over the runners of a pool. */
 export class PoolStatistics {
-    /** Work of other entries for each place of a runner's capacity. */
+    /** Requests of other entries per slot of a runner's capacity. */
     #otherRequestsPerSlot = 0;
     #serviceMilliseconds = 1_000;
-    /** Time to the first token for each token of prompt to be read, on an idle runner. */
+    /** Time to first token per uncached prompt token, on an idle runner. */
     #prefillMillisecondsPerToken = 0.5;
     #logSlowdown = 0;
 
-    /** Returns the usual work of others on a runner. */
+    /** Returns the average number of other entries' requests on a runner of the given capacity. */
     getAverageOtherRequests(capacity: number): number {
         return this.#otherRequestsPerSlot * capacity;
     }
 
-    /** Returns how long a request usually takes from dispatch to end. */
+    /** Returns the average time of a request from dispatch to end. */
     getServiceMilliseconds(): number {
         return this.#serviceMilliseconds;
     }
 
-    /** Returns how long a token of prompt usually takes to be read. */
+    /** Returns the average prefill time per prompt token. */
     getPrefillMillisecondsPerToken(): number {
         return this.#prefillMillisecondsPerToken;
     }
 
-    /** Returns how much slower than expected answers usually come. */
+    /** Returns the average ratio of measured to expected times to first token. */
     getSlowdown(): number {
         return Math.exp(this.#logSlowdown);
     }
 
-    /** Notes the work of others on a runner. */
+    /** Adds the number of other entries' requests on a runner. */
     addOtherRequests(others: number, capacity: number): void {
         this.#otherRequestsPerSlot += smoothing * (others / capacity - this.#otherRequestsPerSlot);
     }
 
-    /** Notes how long a whole request took. */
+    /** Adds the duration of a whole request. */
     addServiceTime(milliseconds: number): void {
         this.#serviceMilliseconds += smoothing * (milliseconds - this.#serviceMilliseconds);
     }
 
-    /** Notes how long the first token of a request that did not have to wait took. */
+    /** Adds the prefill time per token of a request that did not have to wait. */
     addPrefillSample(milliseconds: number): void {
         this.#prefillMillisecondsPerToken += smoothing * (milliseconds - this.#prefillMillisecondsPerToken);
     }
 
-    /** Notes how much slower than expected an answer came. */
+    /** Adds the ratio of the measured to the expected time to first token of an answer. */
     addSlowdown(ratio: number): void {
         this.#logSlowdown += smoothing * (Math.log(ratio) - this.#logSlowdown);
     }
--- a/src/decisions/placement/prefixTable.ts
+++ b/src/decisions/placement/prefixTable.ts
@@ -1,24 +1,24 @@
 /**
- * Which runners hold which prompt prefixes, learned from cache events that come late and with gaps.
+ * Prompt prefixes and the runners that have them in their cache, according to cache events that arrive late and with gaps.
  *
- * The table is bounded: the prefix whose last new holder came longest ago is forgotten first. What it says is a hint for speed;
- * a wrong hint costs the time to read the prompt again, never the answer.
+ * The size of the table is bounded: the prefix whose last new holder was added longest ago is removed first. Its entries are only hints
+ * for speed. A wrong hint costs the time to prefill the prompt again, but never the answer.
  */
 
 const holdersPerBlock = 4;
 /**
- * Weight of a hint for each gap since: the runner may have dropped the block. Measured: doubting more (0.5) costs far
- * more hits than it avoids, also with small caches.
+ * Factor by which each gap lowers the confidence in earlier hints, since the runner may have removed the block. A stronger reduction
+ * (0.5) loses far more cache hits than it avoids wrong hints, also with small caches.
  */
 const gapConfidenceFactor = 0.97;
 
 interface Holder {
     readonly upstream: string;
-    /** The runner's generation when the hint came. */
+    /** The runner's generation when the hint was added. */
     generation: number;
 }
 
-/** A runner that is believed to hold a prefix. */
+/** Represents a runner that probably has a prefix in its cache. */
 export interface PrefixMatch {
     readonly upstream: string;
     readonly blocks: number;
@@ -26,26 +26,26 @@
     readonly confidence: number;
 }
 
-/** Table of prompt prefixes and their holders. */
+/** Table of prompt prefixes and the runners that hold them. */
 export class PrefixTable {
     readonly #maxBlocks: number;
     readonly #holders = new Map<string, Holder[]>();
-    /** Counts the gaps of each runner; hints of an earlier generation are in doubt. */
+    /** Number of gaps of each runner. Hints of an earlier generation have a lower confidence. */
     readonly #generations = new Map<string, number>();
-    /** The generation from which hints count at all, for runners that cleared their cache. */
+    /** Minimum generation of valid hints, for runners that cleared their cache. */
     readonly #minValidGenerations = new Map<string, number>();
 
-    /** @param maxBlocks - How many blocks are kept. */
+    /** @param maxBlocks - Maximum number of blocks in the table. */
     constructor(maxBlocks: number) {
         this.#maxBlocks = maxBlocks;
     }
 
-    /** Returns how many blocks are known. */
+    /** Returns the number of blocks in the table. */
     getSize(): number {
         return this.#holders.size;
     }
 
-    /** Notes that a runner holds a block. */
+    /** Adds a runner as a holder of a block. */
     add(upstream: string, block: string): void {
         const generation = this.#getGeneration(upstream);
         const holders = this.#holders.get(block);
@@ -56,13 +56,13 @@
         }
         this.#generations.set(upstream, generation);
         const retained = holders?.slice(1 - holdersPerBlock) ?? [];
-        // Deleting and setting again moves the block to the young end of the map, which is the bound's order.
+        // Deleting and setting the key again moves the block to the end of the map, so that blocks are removed in order of age.
         this.#holders.delete(block);
         this.#holders.set(block, [...retained, { upstream, generation }]);
         this.#removeOldest();
     }
 
-    /** Notes that a runner dropped a block. */
+    /** Removes a runner from the holders of a block. */
     remove(upstream: string, block: string): void {
         const holders = this.#holders.get(block);
         const index = holders?.findIndex(holder => holder.upstream === upstream) ?? -1;
@@ -75,27 +75,27 @@
         }
     }
 
-    /** Notes that a runner dropped everything. */
+    /** Invalidates all hints of a runner that has cleared its cache. */
     clear(upstream: string): void {
         this.addGap(upstream);
         this.#minValidGenerations.set(upstream, this.#getGeneration(upstream));
     }
 
-    /** Forgets a runner that is gone for good; what is left of it in the table no longer counts. */
+    /** Removes a departed runner. Its remaining hints in the table are ignored. */
     forget(upstream: string): void {
         this.#generations.delete(upstream);
         this.#minValidGenerations.delete(upstream);
     }
 
-    /** Notes that events of a runner were lost: removals may be among them. */
+    /** Records that events of a runner were lost, which may include removals. */
     addGap(upstream: string): void {
         this.#generations.set(upstream, this.#getGeneration(upstream) + 1);
     }
 
     /**
-     * Finds the holders of the longest prefixes.
-     * @param blocks - Shortest prefix first.
-     * @param limit - How many runners to return at most.
+     * Returns the holders of the longest prefixes.
+     * @param blocks - Hashes of the prefixes, shortest first.
+     * @param limit - Number of matches at which the search for shorter prefixes stops.
      */
     getMatches(blocks: readonly string[], limit: number): readonly PrefixMatch[] {
         const matches: PrefixMatch[] = [];
--- a/src/decisions/placement/runner.ts
+++ b/src/decisions/placement/runner.ts
@@ -1,5 +1,5 @@
 /**
- * All that one entry knows of one runner, and how long it expects a request to wait there.
+ * State of one runner as one entry has observed it, and the expected time to first token of a request there.
  */
 import type { Vm } from "../../world/index.js";
 import { Health } from "./health.js";
@@ -7,42 +7,45 @@
 import type { PlacementOptions } from "./options.js";
 import type { PoolStatistics } from "./poolStatistics.js";
 
-/** Characters of a block are 512; a token is about four characters. */
+/** A block has 512 characters, and a token about four. */
 const tokensPerBlock = 128;
-/** Fixed cost of a request, as if it had this many more tokens of prompt. */
+/** Fixed cost of a request, expressed in prompt tokens. */
 const fixedTokens = 64;
-/** One answer says little: queues and wrong hints come and go. Several in a row that all say the same say much. */
+/**
+ * Smoothing factor for a single answer, which may be slow or fast because of a short queue or a wrong cache hint. Several consecutive
+ * answers that deviate in the same direction are strong evidence and get the larger factor below.
+ */
 const slowdownSmoothing = 0.03;
 const persistentSlowdownSmoothing = 0.3;
 const persistentAnswers = 3;
 const persistentLogRatio = Math.log(2);
-/** Keeps the exponential finite; no queue is that long. */
+/** Upper bound that keeps the exponential finite; it is beyond any real queue length. */
 const maxExcess = 500;
 const slowdownLifetimeMilliseconds = 30_000;
 const minRatio = 0.1;
 const maxRatio = 50;
 
-/** A runner (or plain service) as one entry sees it. */
+/** Represents a runner or plain service as observed by one entry. */
 export class Runner {
     readonly load: LoadEstimate;
     readonly health: Health;
     readonly poolStatistics: PoolStatistics;
-    /** Its place in the entry's order of preference; the greatest first. */
+    /** Rank in the entry's order of preference; higher ranks come first. */
     readonly rank: number;
-    /** Network cost of reaching it. */
+    /** Network cost of a request to the runner. */
     readonly networkMilliseconds: number;
     readonly isNear: boolean;
     vm: Vm;
     versions: readonly string[] | undefined;
     isLeaving = false;
-    /** Whether it says that it refuses orders with an old fencing number; undefined when it does not say. */
+    /** Whether the runner reports that it rejects orders with an old fencing token; undefined when it does not report it. */
     checksFencing: boolean | undefined;
     readonly #options: PlacementOptions;
-    /** When each request that still waits for its first token was sent; the oldest first. */
+    /** Dispatch times of the requests that wait for their first token, earliest first. */
     readonly #waiting = new Map<object, number>();
     #logSlowdown = 0;
     #slowdownUpdatedAt = 0;
-    /** Answers in a row that were far slower (positive) or far faster (negative) than this runner's pace. */
+    /** Number of consecutive answers that were far slower (positive) or far faster (negative) than usual for this runner. */
     #outlierStreak = 0;
 
     constructor(options: {
@@ -63,7 +66,7 @@
         this.health = new Health(options.options);
     }
 
-    /** Estimates the requests on the runner now, of this entry and of others. */
+    /** Returns the estimated number of requests on the runner, of this entry and of others. */
     getLoad(now: number): number {
         const averageOthers = this.poolStatistics.getAverageOtherRequests(this.load.getCapacity());
         return this.load.getOwnRequests()
@@ -71,29 +74,28 @@
     }
 
     /**
-     * Returns how much slower than expected this runner answers. It is learned from answers alone, so a runner that
-     * reports too little load is found out: what it promises by its report it does not keep. It fades, so that the
-     * runner is tried again.
+     * Returns the ratio of measured to expected times to first token. It depends on measured times alone, so it detects a runner that
+     * reports too little load. It decays over time, so that the runner gets requests again.
      */
     getSlowdown(now: number): number {
         return Math.exp(this.#logSlowdown * Math.exp(-(now - this.#slowdownUpdatedAt) / slowdownLifetimeMilliseconds));
     }
 
     /**
-     * Expects the time to the first token.
+     * Returns the expected time to first token, including the network.
      * @param now - Monotonic milliseconds.
-     * @param uncachedBlocks - Blocks of prompt that the runner has to read.
+     * @param uncachedBlocks - Prompt blocks that the runner has to prefill.
      */
     getExpectedWait(now: number, uncachedBlocks: number): number {
         const expected = this.getModelledWait(now, uncachedBlocks) * this.getSlowdown(now);
         return Math.max(expected, this.#getOldestWait(now)) + this.networkMilliseconds;
     }
 
-    /** Expects the time to the first token from load alone, as if the runner's reports were true. */
+    /** Returns the time to first token that follows from the load, on the assumption that the runner's reports are correct. */
     getModelledWait(now: number, uncachedBlocks: number): number {
         const capacity = this.load.getCapacity();
         const load = this.getLoad(now);
-        // Load is known within about a request. A runner that seems to have one place left has a queue half of the time.
+        // The load is known to within about one request, so a runner with one estimated free slot has a queue half of the time.
         const excess = Math.log(1 + Math.exp(Math.min(maxExcess, load - capacity + 1)));
         const queue = excess * this.poolStatistics.getServiceMilliseconds() / capacity;
         const prefill = (fixedTokens + uncachedBlocks * tokensPerBlock)
@@ -101,25 +103,25 @@
         return queue + prefill * (1 + Math.min(1, load / capacity));
     }
 
-    /** Notes that a request was sent. */
+    /** Records that a request was sent. */
     addWaiting(work: object, now: number): void {
         this.#waiting.set(work, now);
     }
 
-    /** Notes that a request no longer waits for its first token. */
+    /** Records that a request no longer waits for its first token. */
     removeWaiting(work: object): void {
         this.#waiting.delete(work);
     }
 
     /**
-     * Learns from a first token.
-     * @param milliseconds - How long it took.
-     * @param modelled - What was expected from load alone.
+     * Updates the slowdown with a measured time to first token.
+     * @param milliseconds - The measured time.
+     * @param modelledMilliseconds - The modelled time, see `getModelledWait`.
      * @param now - Monotonic milliseconds.
-     * @returns How much slower than expected it came.
+     * @returns The ratio of the measured to the modelled time, within bounds.
      */
-    addFirstToken(milliseconds: number, modelled: number, now: number): number {
-        const ratio = Math.min(maxRatio, Math.max(minRatio, milliseconds / Math.max(1, modelled)));
+    addFirstToken(milliseconds: number, modelledMilliseconds: number, now: number): number {
+        const ratio = Math.min(maxRatio, Math.max(minRatio, milliseconds / Math.max(1, modelledMilliseconds)));
         const decayed = Math.log(this.getSlowdown(now));
         this.#logSlowdown = decayed
             + this.#getSlowdownSmoothing(Math.log(ratio) - decayed) * (Math.log(ratio) - decayed);
@@ -139,8 +141,8 @@
     }
 
     /**
-     * A runner that hangs gives no failure, only silence. The oldest request that still waits shows it: whoever comes
-     * next must expect to wait at least as long.
+     * Returns how long the oldest request without a first token has waited. A runner that hangs reports no failure; this detects it,
+     * since a new request has to expect at least the same wait.
      */
     #getOldestWait(now: number): number {
         for (const since of this.#waiting.values()) {
@@ -150,7 +152,7 @@
     }
 }
 
-/** Returns how many tokens of prompt a number of blocks stands for, the fixed cost included. */
+/** Returns the prompt tokens of a number of blocks, including the fixed cost of a request. */
 export function getPrefillTokens(uncachedBlocks: number): number {
     return fixedTokens + uncachedBlocks * tokensPerBlock;
 }
--- a/src/decisions/placement/runnerChooser.ts
+++ b/src/decisions/placement/runnerChooser.ts
@@ -1,6 +1,6 @@
 /**
- * The choice of a runner for a request: the least expected time to the first token among a few random runners of the
- * entry's subset and the runners that are believed to hold the prompt's prefix.
+ * Selection of a runner for a request: the lowest expected time to first token among a few random runners of the entry's subset and
+ * the runners that probably have the prompt's prefix in their cache.
  */
 import { err, ok, type Result } from "neverthrow";
 import type { Clock, Failure, RandomSource } from "../../common/index.js";
@@ -20,11 +20,11 @@
 import { RunnerIndex } from "./runnerIndex.js";
 import { Work } from "./work.js";
 
-/** A refused caller comes back no sooner than this. */
+/** Minimum time before the retry of a refused request. */
 const minRetryMilliseconds = 1_000;
 const ownDomainMilliseconds = 0;
 
-/** Chooses runners for one entry and keeps what it learns of them. */
+/** Selects runners for one entry and tracks their state. */
 export class RunnerChooser {
     readonly #self: EntryLocation;
     readonly #clock: Clock;
@@ -55,9 +55,9 @@
     }
 
     /**
-     * Takes in the VM list. Runners that stay keep what was learned of them; those that are leaving or gone get
-     * nothing new from now on.
-     * @param vms - All VMs; the entries among them tell how many share the runners.
+     * Applies the VM list. Runners that stay keep their recorded state; those that are leaving or no longer listed get no new
+     * requests.
+     * @param vms - All VMs. The entries among them are counted, since they share the runners.
      */
     setUpstreams(vms: readonly Vm[]): void {
         const listed = new Set<string>();
@@ -80,13 +80,13 @@
         this.#index.setEntries(entries);
     }
 
-    /** Returns the upstreams that this entry talks to: the ones whose load it has to follow. */
+    /** Returns the upstreams that this entry sends requests to, and whose load it has to track. */
     getSubset(): readonly Vm[] {
         return Array.from(this.#index.getSubset(), runner => runner.vm);
     }
 
     /**
-     * Returns when an upstream's load last came with an answer, in monotonic milliseconds.
+     * Returns when an upstream last reported its load with an answer, in monotonic milliseconds.
      * @param id - Identifier of the upstream.
      */
     getAnsweredAt(id: string): number | undefined {
@@ -94,28 +94,28 @@
     }
 
     /**
-     * Returns the part of the region's capacity that falls to this entry, in requests at a time. Upstreams outside the
-     * subset are taken to be like those within: the subset alone, shared out among all entries, would be far too little.
-     * @param entries - How many entries share the region's upstreams.
-     * @param role - Engines or plain services: the places of the one are of no use to the other's requests.
+     * Returns this entry's share of the region's capacity, in concurrent requests. Upstreams outside the subset are assumed to be like
+     * those in it: the capacity of the subset alone, divided by the number of entries, would be far too low.
+     * @param entries - Number of entries that share the region's upstreams.
+     * @param role - Engines or plain services. They are counted separately, since neither can serve the other's requests.
      */
     getOwnCapacity(entries: number, role: VmRole): number {
         return getCapacity(this.#runners.values(), role) / Math.max(1, entries);
     }
 
-    /** Counts the runners that take work and have a version loaded. */
+    /** Returns the number of runners that accept requests and have a version loaded. */
     countRunners(version: string): number {
         return this.#index.get(version, undefined).all.length;
     }
 
     /**
-     * Takes in which versions an upstream has loaded, where that is known without a load report.
+     * Sets the versions that an upstream has loaded, also when they are known without a load report.
      * @param upstream - Identifier of the upstream.
      * @param versions - Identifiers of its versions.
      */
     setVersions(upstream: string, versions: readonly string[]): void {
         const runner = this.#runners.get(upstream);
-        if (runner === undefined || isSame(runner.versions, versions)) {
+        if (runner === undefined || areVersionsEqual(runner.versions, versions)) {
             return;
         }
         this.#index.remove(runner);
@@ -126,7 +126,7 @@
     }
 
     /**
-     * Returns what an upstream reports of its versions and of the orders that it takes.
+     * Returns the versions that an upstream reports, and whether it reports to check fencing tokens of orders.
      * @param upstream - Identifier of the upstream.
      */
     getReportedState(upstream: string): { readonly versions?: readonly string[]; readonly checksFencing?: boolean; } {
@@ -134,7 +134,7 @@
         return { versions: runner?.versions, checksFencing: runner?.checksFencing };
     }
 
-    /** Takes in a load report, which may be late or out of order. */
+    /** Adds a load report, which may be late or out of order. */
     addLoadReport(report: LoadReport): void {
         const runner = this.#runners.get(report.upstream);
         if (runner === undefined) {
@@ -152,16 +152,16 @@
     }
 
     /**
-     * Takes in changes of an upstream's prefix cache.
+     * Adds changes of an upstream's prefix cache.
      * @param upstream - Identifier of the upstream.
      * @param cacheEvents - The changes, in order.
-     * @param gap - Whether events before these were lost.
+     * @param hasGap - Whether events before these were lost.
      */
-    addCacheEvents(upstream: string, cacheEvents: readonly CacheEvent[], gap: boolean): void {
+    addCacheEvents(upstream: string, cacheEvents: readonly CacheEvent[], hasGap: boolean): void {
         if (!this.#runners.has(upstream)) {
             return;
         }
-        if (gap) {
+        if (hasGap) {
             this.#prefixes.addGap(upstream);
         }
         for (const event of cacheEvents) {
@@ -177,7 +177,7 @@
         }
     }
 
-    /** Gives an upstream nothing new from now on. It stays so until the VM list no longer shows it. */
+    /** Excludes an upstream from new requests until the VM list no longer contains it. */
     markLeaving(id: string): void {
         const runner = this.#runners.get(id);
         if (runner === undefined || runner.isLeaving) {
@@ -188,10 +188,10 @@
     }
 
     /**
-     * Gives an upstream nothing new for a while, unless too many of its pool are ejected already.
+     * Ejects an upstream for a while, unless too many of its pool are already ejected.
      * @param id - Identifier of the upstream.
-     * @param reason - For the event.
-     * @returns Whether it was ejected.
+     * @param reason - Reason for the event.
+     * @returns Whether the upstream was ejected.
      */
     eject(id: string, reason: string): boolean {
         const runner = this.#runners.get(id);
@@ -209,9 +209,9 @@
     }
 
     /**
-     * Chooses a runner.
-     * @returns The runner, or `unavailable` when none has the version, or `overloaded` when none can give the first
-     * token before the deadline.
+     * Selects a runner.
+     * @returns The runner, or the failure `unavailable` when none has the version, or `overloaded` when none can return the first token
+     * before the deadline.
      */
     choose(request: PlacementRequest): Result<Placement, Failure> {
         const now = this.#clock.monotonic();
@@ -224,7 +224,8 @@
             this.#candidates.addSample(list.far, "spill-over");
         }
         if (this.#candidates.isEmpty()) {
-            // When the subset has nobody left, any runner will do, ejected or not: trying beats refusing.
+            // If the subset has no eligible runner, any runner is used, even an ejected one: an attempt may succeed, while a refusal
+            // fails for certain.
             this.#candidates.addIncludingEjected(list.all);
         }
         const placement = this.#candidates.getBest();
@@ -239,8 +240,8 @@
     }
 
     /**
-     * Counts a request that is sent to the chosen runner.
-     * @param placement - What `choose` returned.
+     * Records the start of a request on the selected runner.
+     * @param placement - The result of `choose`.
      */
     start(placement: Placement): Work {
         const runner = this.#runners.get(placement.upstream.id);
@@ -252,7 +253,7 @@
     #createWork(runner: Runner, placement: Placement): Work {
         const now = this.#clock.monotonic();
         const uncachedBlocks = placement.blocks.length - placement.cachedBlocks;
-        const modelled = runner.getModelledWait(now, uncachedBlocks);
+        const modelledMilliseconds = runner.getModelledWait(now, uncachedBlocks);
         const isIdle = runner.getLoad(now) < runner.load.getCapacity() / 2;
         runner.load.changeOwnRequests(1, now);
         for (const block of placement.blocks) {
@@ -264,13 +265,13 @@
                 if (isIdle) {
                     runner.poolStatistics.addPrefillSample(milliseconds / getPrefillTokens(uncachedBlocks));
                 }
-                this.#recordFirstToken(runner, milliseconds, modelled);
+                this.#recordFirstToken(runner, milliseconds, modelledMilliseconds);
             },
             load: header => this.#applyLoadHeader(runner, header),
-            finish: end => {
+            finish: result => {
                 runner.removeWaiting(work);
                 runner.load.changeOwnRequests(-1, this.#clock.monotonic());
-                this.#recordResult(runner, end);
+                this.#recordResult(runner, result);
             },
         });
         runner.addWaiting(work, now);
@@ -332,9 +333,9 @@
         }
     }
 
-    #recordFirstToken(runner: Runner, milliseconds: number, modelled: number): void {
+    #recordFirstToken(runner: Runner, milliseconds: number, modelledMilliseconds: number): void {
         const now = this.#clock.monotonic();
-        const ratio = runner.addFirstToken(milliseconds, modelled, now);
+        const ratio = runner.addFirstToken(milliseconds, modelledMilliseconds, now);
         const isSlow = ratio > this.#options.outlierFactor * Math.max(1, runner.poolStatistics.getSlowdown());
         if (runner.health.recordLatency(isSlow) >= this.#options.outlierAnswers) {
             this.eject(runner.vm.id, "slow");
@@ -366,7 +367,7 @@
     }
 }
 
-function isSame(known: readonly string[] | undefined, versions: readonly string[]): boolean {
+function areVersionsEqual(known: readonly string[] | undefined, versions: readonly string[]): boolean {
     return known !== undefined && known.length === versions.length
         && versions.every((version, index) => version === known[index]);
 }
--- a/src/decisions/placement/runnerIndex.ts
+++ b/src/decisions/placement/runnerIndex.ts
@@ -1,27 +1,27 @@
 /**
- * The runners of each version and pool, and the subset of them that this entry talks to.
+ * Runners of each version and pool, and the subset of them that this entry uses.
  *
- * 350 entries that all talked to all 2,100 runners would hold 735,000 connections and spread each entry's knowledge
- * too thin to be of use. Each entry therefore keeps to the first few by rendezvous rank, with the runners of its own
- * failure domain no more than half while others suffice, so that losing the domain leaves the entry its other half.
+ * If all of 350 entries used all of 2,100 runners, they would hold 735,000 connections, and each entry would have too few recent
+ * measurements of each runner. Each entry therefore uses only the first few by rendezvous rank. At most half of them are in its own
+ * failure domain, as long as there are enough others, so that the entry keeps the other half when the domain fails.
  */
 import type { PlacementOptions } from "./options.js";
 import type { Runner } from "./runner.js";
 
-/** Runners that can take a kind of request. */
+/** Represents the runners that can serve a kind of request. */
 export interface CandidateList {
     /** The entry's subset in its region. */
     readonly near: readonly Runner[];
     /** The entry's subset in other regions. */
     readonly far: readonly Runner[];
-    /** Every runner, for when the subsets have none left. */
+    /** All runners, for when the subsets have no eligible one. */
     readonly all: readonly Runner[];
 }
 
 interface Group {
-    /** By rank, the greatest first. */
+    /** Sorted by rank, highest first. */
     readonly runners: Runner[];
-    /** Absent after a change, until somebody asks. */
+    /** Cached result; undefined after a change until it is requested again. */
     list: CandidateList | undefined;
 }
 
@@ -40,8 +40,8 @@
     }
 
     /**
-     * Sets how many entries share the runners of the region. Small subsets of few entries would leave some runners
-     * without anybody and load others twice.
+     * Sets the number of entries that share the runners of the region. If few entries had small subsets, some runners would get no
+     * requests and others twice as many.
      */
     setEntries(entries: number): void {
         if (entries === this.#entries) {
@@ -59,7 +59,7 @@
         return group === undefined ? emptyList : this.#getList(group);
     }
 
-    /** Returns all lists' near and far runners, each once. */
+    /** Returns the near and far runners of all lists, without duplicates. */
     getSubset(): ReadonlySet<Runner> {
         const subset = new Set<Runner>();
         for (const group of this.#groups.values()) {
@@ -78,7 +78,7 @@
         }
     }
 
-    /** Removes a runner. Call it before the runner's pool or versions change, and `add` after. */
+    /** Removes a runner. Must be called before the runner's pool or versions change, and `add` afterwards. */
     remove(runner: Runner): void {
         for (const key of getKeys(runner)) {
             this.#removeFrom(key, runner);
@@ -134,7 +134,7 @@
     }
 }
 
-/** Finds the first place whose rank is not greater, by halving. */
+/** Returns the first index whose rank is not greater than the given one, by binary search. */
 function findInsertionIndex(runners: readonly Runner[], rank: number): number {
     let low = 0;
     let high = runners.length;
--- a/src/decisions/placement/work.ts
+++ b/src/decisions/placement/work.ts
@@ -1,16 +1,16 @@
 /**
- * One request on one runner, from dispatch to end.
+ * Lifetime of one request on one runner, from dispatch to end.
  */
 import type { WorkResult } from "./placement.js";
 
-/** What is done with the news of a piece of work. */
+/** Callbacks for the events of a request on a runner. */
 export interface WorkListener {
     readonly firstToken: (milliseconds: number) => void;
     readonly load: (header: string) => void;
-    readonly finish: (end: WorkResult) => void;
+    readonly finish: (result: WorkResult) => void;
 }
 
-/** A request that was sent to a runner. */
+/** Represents a request that was sent to a runner. */
 export class Work {
     readonly #listener: WorkListener;
     #hasFirstToken = false;
@@ -22,8 +22,8 @@
     }
 
     /**
-     * Notes the first token of the answer.
-     * @param milliseconds - From dispatch to the first token.
+     * Records the first token of the answer. Only the first call before the end has an effect.
+     * @param milliseconds - Time from dispatch to the first token.
      */
     addFirstToken(milliseconds: number): void {
         if (this.#hasFirstToken || this.#isFinished) {
@@ -34,19 +34,19 @@
     }
 
     /**
-     * Notes the `X-Load` header as soon as it arrives, before the answer ends.
+     * Records the `X-Load` header, as soon as it is received and before the answer ends.
      * @param header - `running/waiting/capacity`.
      */
     addLoad(header: string): void {
         this.#listener.load(header);
     }
 
-    /** Notes the end of the work. A second call changes nothing: error and close often arrive together. */
-    finish(end: WorkResult): void {
+    /** Records the end of the request. Further calls have no effect, since `error` and `close` events often occur together. */
+    finish(result: WorkResult): void {
         if (this.#isFinished) {
             return;
         }
         this.#isFinished = true;
-        this.#listener.finish(end);
+        this.#listener.finish(result);
     }
 }
--- a/test/decisions/placement/fixtures.ts
+++ b/test/decisions/placement/fixtures.ts
@@ -1,4 +1,4 @@
-/** Runners and choosers for the tests of the choice of a runner. */
+/** Fixtures for the tests of runner selection. */
 import { ManualClock, RandomSource } from "../../../src/common/index.js";
 import {
     type Placement,
@@ -53,7 +53,7 @@
     };
 }
 
-/** Makes a chooser over runners that all have the version loaded. */
+/** Creates a chooser with runners that all have the version loaded. */
 export function createChooser(vms: readonly Vm[], options: Partial<PlacementOptions> = {}) {
     const clock = new ManualClock(1_000);
     const lines: EventLine[] = [];
@@ -72,7 +72,7 @@
     return { chooser, clock, lines };
 }
 
-/** Chooses many times without sending anything, and counts how often each runner is chosen. */
+/** Selects a runner many times without sending a request, and counts how often each runner is selected. */
 export function countChoices(
     chooser: RunnerChooser,
     request = createRequest(),
@@ -86,7 +86,7 @@
     return counts;
 }
 
-/** Places work on one runner, whatever the choice would have been. */
+/** Creates a placement on a given runner, without selection. */
 export function createPlacement(vm: Vm, options: Partial<Placement> = {}): Placement {
     return {
         upstream: vm,
@@ -98,7 +98,7 @@
     };
 }
 
-/** Lets a runner fail a number of requests in a row. */
+/** Records a number of consecutive failures of a runner. */
 export function failTimes(chooser: RunnerChooser, vm: Vm, times: number): void {
     for (let index = 0; index < times; index += 1) {
         chooser.start(createPlacement(vm)).finish({ outcome: "failed", milliseconds: 3 });
--- a/test/decisions/placement/pollSchedule.test.ts
+++ b/test/decisions/placement/pollSchedule.test.ts
@@ -17,7 +17,7 @@
     }));
 }
 
-/** Takes the polls of each round from the one after the first on. */
+/** Takes the polls of all rounds after the first. */
 function takeRounds(
     schedule: PollSchedule,
     rounds: number,
@@ -31,28 +31,28 @@
 }
 
 describe("PollSchedule", () => {
-    // An entry has just started and knows no upstream's versions. Were some of them asked only when their turn comes,
-    // callers would be refused for a while although there is room.
-    it("asks everybody it does not know, at once", () => {
+    // Guards against refusals after a start. The entry knows no upstream's versions yet; if it polled some upstreams only in turn,
+    // callers would be refused for a while although there is free capacity.
+    it("polls all unknown upstreams at once", () => {
         expect(createSchedule(4).take(createCandidates(30), 0).length).toEqual(30);
     });
 
-    // A site grows from ten upstreams to hundreds. Asked each twice a second, they take several times the processor
-    // time that control may take, and tokens come late.
-    it("asks no more often than the bound, whatever the number of upstreams", () => {
+    // Guards against a poll rate that grows with the number of upstreams. With hundreds of upstreams, two polls a second of each take
+    // several times the processor time that control may use, and tokens are late.
+    it("does not exceed the rate limit, whatever the number of upstreams", () => {
         const rounds = takeRounds(createSchedule(5), 40, () => createCandidates(100));
         expect(rounds.flat().length).toEqual(100);
         expect(Math.max(...rounds.map(polls => polls.length)) <= 3).toEqual(true);
     });
 
-    it("asks each as often as the interval allows while the bound leaves room", () => {
+    it("polls each upstream at the interval while the rate limit allows it", () => {
         const rounds = takeRounds(createSchedule(100), 10, () => createCandidates(6));
         expect(rounds.map(polls => polls.length)).toEqual(new Array(10).fill(6));
     });
 
-    // An upstream is about to leave and says so only when it is asked. Passed over for one that answers all the time,
-    // or asked never because it is busy itself, it would go on getting new work.
-    it("asks everybody in turn, also those whose answers come all the time", () => {
+    // Guards against upstreams that are never polled. An upstream reports that it is about to leave only when it is polled. If answers
+    // of it or of others postponed its poll forever, it would go on getting new requests.
+    it("polls all upstreams in turn, also those that answer all the time", () => {
         const rounds = takeRounds(createSchedule(10), 40, now =>
             createCandidates(30).map((candidate, index) => ({
                 ...candidate,
@@ -66,7 +66,7 @@
         expect(Math.min(...counts.values()) >= 4).toEqual(true);
     });
 
-    it("asks those first that were heard longest ago", () => {
+    it("polls the upstreams first that were seen least recently", () => {
         const schedule = createSchedule(2);
         const answered = { id: "answered", answeredAt: 800, isPending: false };
         const silent = { id: "silent", answeredAt: undefined, isPending: false };
@@ -74,21 +74,21 @@
         expect(schedule.take([answered, silent], 1_000).map(({ id }) => id)).toEqual(["silent"]);
     });
 
-    // An upstream is frozen and does not answer. Asked again and again, it would use up the bound.
-    it("passes over one that has not answered yet", () => {
+    // Guards against polls of an upstream that hangs: repeated polls of it would use up the rate limit.
+    it("skips an upstream that has not answered the last poll yet", () => {
         const rounds = takeRounds(createSchedule(4), 10, () => createCandidates(2, { isPending: true }));
         expect(rounds.flat()).toEqual([]);
     });
 
-    // A node was paused for a minute. Were all the questions of that minute asked at once, hundreds of nodes that
-    // share a host would do so together.
-    it("does not make up for a pause", () => {
+    // Guards against a burst after a pause. If a node sent all polls of a minute's pause at once, hundreds of nodes that share a host
+    // would do so at the same time.
+    it("does not send the missed polls of a pause", () => {
         const schedule = createSchedule(4);
         schedule.take(createCandidates(100), 0);
         expect(schedule.take(createCandidates(100), 60_000).length).toEqual(4);
     });
 
-    it("reads cache events with the first of four questions", () => {
+    it("reads cache events with every fourth poll", () => {
         const rounds = takeRounds(createSchedule(100), 8, () => createCandidates(1));
         expect(rounds.flat().map(poll => poll.hasCacheEvents))
             .toEqual([false, false, false, true, false, false, false, true]);
--- a/test/decisions/placement/prefixTable.test.ts
+++ b/test/decisions/placement/prefixTable.test.ts
@@ -4,8 +4,8 @@
 
 describe("PrefixTable", () => {
     describe("add", () => {
-        // Prompts never end. A table without a bound would take the entry's memory within hours.
-        it("forgets the oldest block past its size", () => {
+        // Guards against unbounded growth: new prompts arrive all the time and would fill the entry's memory within hours.
+        it("removes the oldest block when it is full", () => {
             const table = new PrefixTable(100);
             for (let index = 0; index < 1_000; index += 1) {
                 table.add("runner-0", String(index));
@@ -17,7 +17,7 @@
     });
 
     describe("getMatches", () => {
-        it("names the holders of the longest prefixes first, each once", () => {
+        it("returns the holders of the longest prefixes first, each once", () => {
             const table = new PrefixTable(100);
             for (const block of ["a", "b", "c"]) {
                 table.add("runner-0", block);
@@ -29,7 +29,7 @@
             ]);
         });
 
-        it("does not name a runner that is gone", () => {
+        it("does not return a removed runner", () => {
             const table = new PrefixTable(100);
             table.add("runner-0", "a");
             table.forget("runner-0");
--- a/test/decisions/placement/runnerChooser.test.ts
+++ b/test/decisions/placement/runnerChooser.test.ts
@@ -19,7 +19,7 @@
 
 describe("RunnerChooser", () => {
     describe("choose", () => {
-        it("chooses only runners that have the version and belong to the pool", () => {
+        it("selects only runners that have the version and belong to the pool", () => {
             const vms = [...createVms(4), createVm("other", { pool: "label-app" }), createVm("unknown")];
             const { chooser } = createChooser(vms);
             chooser.setVersions("runner-0", ["wear-small@1"]);
@@ -28,7 +28,7 @@
             expect([...counts.keys()].sort()).toEqual(["runner-1", "runner-2", "runner-3"]);
         });
 
-        // Callers of a doubtful version are sent to the one before it only where enough runners have that one.
+        // Callers of a doubtful version are sent to its predecessor only if enough runners have the predecessor.
         it("counts the runners that have a version and aren't leaving", () => {
             const { chooser } = createChooser(createVms(4));
             chooser.setVersions("runner-0", ["wear-small@1"]);
@@ -38,21 +38,21 @@
             expect(chooser.countRunners("wear-small@9")).toEqual(0);
         });
 
-        it("passes over runners that were tried", () => {
+        it("skips runners on which an attempt was made", () => {
             const { chooser } = createChooser(createVms(3));
             const counts = countChoices(chooser, createRequest({ exclude: new Set(["runner-0", "runner-2"]) }));
             expect([...counts.keys()]).toEqual(["runner-1"]);
         });
 
-        it("says unavailable, with when to come back, when nobody has the version", () => {
+        it("fails as unavailable, with a retry time, when no runner has the version", () => {
             const { chooser } = createChooser(createVms(3));
             const failure = chooser.choose(createRequest({ version: "plan-large@4" }))._unsafeUnwrapErr();
             expect(failure.kind).toEqual("unavailable");
             expect(failure.retryAfterMilliseconds! >= 750).toEqual(true);
         });
 
-        // All runners have long lines. A caller with two seconds left would wait in vain, so it is told at once; one
-        // with a minute is served.
+        // Guards against useless waits. All runners have long queues. A caller with two seconds left would miss its deadline, so it is
+        // refused at once; a caller with a minute left is served.
         it("refuses what no runner can answer before its deadline", () => {
             const { chooser } = createChooser(createVms(3));
             for (const index of [0, 1, 2]) {
@@ -70,7 +70,7 @@
             expect([...countChoices(chooser).keys()]).toEqual(["runner-1"]);
         });
 
-        it("prefers the runner that holds the prefix, until its line is long", () => {
+        it("prefers the runner that holds the prefix, until its queue is long", () => {
             const blocks = [...Array(40).keys()].map(String);
             const { chooser } = createChooser(createVms(30, { failureDomain: "pasig-a" }));
             chooser.addCacheEvents("runner-7", blocks.map(block => ({ kind: "stored", block })), false);
@@ -84,7 +84,7 @@
             expect(chooser.choose(createRequest({ blocks }))._unsafeUnwrap().upstream.id === "runner-7").toEqual(false);
         });
 
-        it("treats the runner of the session as a preference only", () => {
+        it("prefers the runner of the session, without a guarantee", () => {
             const { chooser } = createChooser(createVms(30));
             const request = createRequest({ preferred: "runner-3" });
             expect(countChoices(chooser, request).get("runner-3")! > countChoices(chooser).get("runner-3")!)
@@ -101,7 +101,7 @@
             expect(counts.has("runner-0")).toEqual(false);
         });
 
-        it("goes to another region only when the own one is full", () => {
+        it("selects a runner of another region only when the own region is full", () => {
             const far = createVm("far", { region: "catania", failureDomain: "hall-mole" });
             const { chooser } = createChooser([...createVms(2), far]);
             expect(countChoices(chooser).has("far")).toEqual(false);
@@ -113,7 +113,8 @@
     });
 
     describe("getSubset", () => {
-        // Eight entries with 24 of 130 runners each would leave a fifth of the runners without anybody.
+        // Guards against unused runners: with eight entries and subsets of 24 out of 130 runners, a fifth of the runners would be in no
+        // subset.
         it("leaves no runner out when there are few entries", () => {
             const entries = [1, 2, 3].map(index => createVm(`entry-${index}`, { role: "entry", pool: "" }));
             const { chooser } = createChooser(createVms(130));
@@ -121,7 +122,7 @@
             expect(getSubsetIds(chooser).length).toEqual(130);
         });
 
-        it("keeps to a part of many runners, half of them at most in the own failure domain", () => {
+        it("selects a subset of many runners, at most half of it in the own failure domain", () => {
             const vms = createVms(200).map((vm, index) => ({
                 ...vm,
                 failureDomain: index % 2 === 0 ? "pasig-a" : "makati",
@@ -142,7 +143,7 @@
     });
 
     describe("getOwnCapacity", () => {
-        it("shares out the region's capacity, upstreams that this entry does not follow included", () => {
+        it("returns a share of the region's capacity, including upstreams that have not reported to this entry", () => {
             const vms = [
                 ...createVms(10),
                 createVm("far", { region: "catania" }),
@@ -157,9 +158,9 @@
             expect(chooser.getOwnCapacity(4, "runner")).toEqual(18);
         });
 
-        // Engines are full and plain services idle. Counted together, the services' places let chats in that wait inside
-        // the engines until their first token is too late.
-        it("counts engines and plain services apart", () => {
+        // Guards against adding the capacities of engines and plain services. With full engines and idle services, the services' slots
+        // would admit chat requests that wait inside the engines until their first token is late.
+        it("counts engines and plain services separately", () => {
             const { chooser } = createChooser([
                 createVm("runner-0", {}),
                 createVm("app-0", { pool: "label-app", role: "service" }),
@@ -171,8 +172,8 @@
     });
 
     describe("setUpstreams", () => {
-        // The platform is about to take a VM away. Work sent to it now would be cut off in the middle of an answer.
-        it("gives a leaving runner nothing new, also when an older list still calls it live", () => {
+        // Guards against requests to a VM that the platform is about to remove: their answers would be cut off.
+        it("sends no new requests to a leaving runner, even if an older list still shows it as live", () => {
             const vms = createVms(3);
             const { chooser } = createChooser(vms);
             chooser.addLoadReport(createReport("runner-1", { leaving: true }));
@@ -182,7 +183,7 @@
             expect([...countChoices(chooser).keys()]).toEqual(["runner-2"]);
         });
 
-        it("keeps what was learned of those that stay", () => {
+        it("keeps the state of runners that stay", () => {
             const vms = createVms(4);
             const { chooser } = createChooser(vms);
             chooser.addLoadReport(createReport("runner-0", { running: 8, waiting: 30 }));
@@ -192,8 +193,8 @@
     });
 
     describe("addLoadReport", () => {
-        // Reports overtake each other on the way. Taking the older one for the newer would send a burst to a runner
-        // that was idle a second ago and is full now.
+        // Guards against reports that arrive out of order. If the older report replaced the newer one, a burst of requests would go to
+        // a runner that was idle a second ago and is full now.
         it("ignores a report that was measured before the last one", () => {
             const { chooser } = createChooser(createVms(2));
             chooser.addLoadReport(createReport("runner-0", { measuredAt: 900, running: 8, waiting: 20 }));
@@ -201,14 +202,14 @@
             expect([...countChoices(chooser).keys()]).toEqual(["runner-1"]);
         });
 
-        it("takes no versions from a report that was overtaken", () => {
+        it("does not take versions from an outdated report", () => {
             const { chooser } = createChooser(createVms(1));
             chooser.addLoadReport(createReport("runner-0", { measuredAt: 900 }));
             chooser.addLoadReport(createReport("runner-0", { measuredAt: 500, versions: [] }));
             expect(chooser.choose(createRequest()).isOk()).toEqual(true);
         });
 
-        it("does not let a late report replace the load that came with an answer", () => {
+        it("does not replace the load of a later answer by a delayed report", () => {
             const vms = createVms(2);
             const { chooser, clock } = createChooser(vms);
             chooser.addLoadReport(createReport("runner-0", { measuredAt: 900 }));
@@ -220,7 +221,7 @@
             expect([...countChoices(chooser).keys()]).toEqual(["runner-1"]);
         });
 
-        it("does not count this entry's own work twice", () => {
+        it("does not count this entry's own requests twice", () => {
             const vms = createVms(2);
             const { chooser, clock } = createChooser(vms);
             for (let index = 0; index < 4; index += 1) {
@@ -229,13 +230,13 @@
             clock.advance(10);
             chooser.addLoadReport(createReport("runner-0", { measuredAt: clock.wall(), running: 4 }));
             chooser.addLoadReport(createReport("runner-1", { measuredAt: clock.wall(), running: 6 }));
-            // Counted twice, runner-0 would have 8 beside 6.
+            // If they were counted twice, runner-0 would have 8 requests and runner-1 6.
             expect([...countChoices(chooser).keys()]).toEqual(["runner-0"]);
         });
     });
 
-    describe("begin", () => {
-        it("counts work that the runner has not reported yet", () => {
+    describe("start", () => {
+        it("counts requests that the runner has not reported yet", () => {
             const vms = createVms(2);
             const { chooser } = createChooser(vms);
             for (let index = 0; index < 12; index += 1) {
@@ -244,7 +245,7 @@
             expect([...countChoices(chooser).keys()]).toEqual(["runner-1"]);
         });
 
-        it("counts the end of work once", () => {
+        it("counts the end of a request once", () => {
             const vms = createVms(2);
             const { chooser } = createChooser(vms);
             const work = [1, 2, 3].map(() => chooser.start(createPlacement(vms[0])));
@@ -252,12 +253,13 @@
                 work[0].finish({ outcome: "cancelled", milliseconds: 5 });
             }
             chooser.start(createPlacement(vms[1]));
-            // Runner 0 has two left, not none.
+            // runner-0 still has two requests, not none.
             expect([...countChoices(chooser).keys()]).toEqual(["runner-1"]);
         });
 
-        // A runner that hangs breaks no connection and reports no load. Callers would see their first token never come.
-        it("turns away from a runner that stays silent", () => {
+        // Guards against selecting a runner that hangs. It closes no connection and reports no load, and its callers would never get
+        // their first token.
+        it("avoids an unresponsive runner", () => {
             const vms = createVms(2);
             const { chooser, clock } = createChooser(vms);
             chooser.start(createPlacement(vms[0]));
@@ -266,8 +268,8 @@
             expect([...countChoices(chooser).keys()]).toEqual(["runner-1"]);
         });
 
-        // A runner reports that it has nothing to do and takes seconds. Whoever believes the report sends it everything.
-        it("turns away from a runner that answers slower than its reports promise", () => {
+        // Guards against trusting a wrong load report. A runner that reports to be idle but answers slowly would get all requests.
+        it("avoids a runner that answers slower than its reports imply", () => {
             const vms = createVms(3);
             const { chooser, clock } = createChooser(vms);
             for (let index = 0; index < 6; index += 1) {
@@ -283,8 +285,8 @@
     });
 
     describe("eject", () => {
-        // Connections to a runner break again and again. Until it is ejected, each request tried there loses time.
-        it("ejects after failures in a row and lets the runner back little by little", () => {
+        // Guards against repeated attempts on a runner whose connections break. Until it is ejected, each attempt there loses time.
+        it("ejects a runner after consecutive failures and lets it return gradually", () => {
             const vms = createVms(4);
             const { chooser, clock, lines } = createChooser(vms);
             failTimes(chooser, vms[0], 3);
@@ -297,7 +299,7 @@
             expect(returning > 0 && returning < 0.7 * returned).toEqual(true);
         });
 
-        it("does not eject for cancelled or refused work, or for failures that are not in a row", () => {
+        it("does not eject for cancelled or refused requests, or for failures that are not consecutive", () => {
             const vms = createVms(4);
             const { chooser } = createChooser(vms);
             for (const outcome of ["failed", "failed", "ok", "failed", "refused", "cancelled", "failed"] as const) {
@@ -306,7 +308,8 @@
             expect(countChoices(chooser).has("runner-0")).toEqual(true);
         });
 
-        // A fault on our own side makes all runners look dead. Ejecting them all would turn it into an outage.
+        // Guards against an outage by ejections. A fault on the entry's own side makes all runners appear failed; ejecting all of them
+        // would make the pool unavailable.
         it("ejects no more than half of a pool", () => {
             const vms = createVms(4);
             const { chooser } = createChooser(vms);
@@ -316,7 +319,7 @@
             expect([...countChoices(chooser).keys()].sort()).toEqual(["runner-2", "runner-3"]);
         });
 
-        it("tries an ejected runner rather than refuse when nobody else is left", () => {
+        it("selects an ejected runner when no other is left", () => {
             const vms = createVms(2);
             const { chooser } = createChooser(vms);
             expect(chooser.eject("runner-0", "test")).toEqual(true);
@@ -336,7 +339,7 @@
             return chooser.choose(createRequest({ version, blocks }))._unsafeUnwrap().cachedBlocks;
         }
 
-        it("forgets removed and cleared blocks, and doubts the rest after a gap", () => {
+        it("removes removed and cleared blocks, and lowers the confidence of the rest after a gap", () => {
             expect(getCached(chooser => chooser.addCacheEvents("runner-0", [{ kind: "removed", block: "39" }], false)))
                 .toEqual(39);
             expect(getCached(chooser => chooser.addCacheEvents("runner-0", [{ kind: "cleared", block: "" }], false)))
