--- a/src/decisions/limits/adaptiveLimit.ts
+++ b/src/decisions/limits/adaptiveLimit.ts
@@ -1,19 +1,19 @@
 /**
- * How many requests may be at work at a time: the upstreams' capacity, less when answers slow down or fail.
+ * Adaptive concurrency limit: the capacity of the upstreams, or less when answers slow down or fail.
  */
 import type { LimitOptions } from "./options.js";
 
-/** How far a window's typical time moves the usual one, downwards and upwards. */
+/** Smoothing factors by which a window's median lowers or raises the usual time to first token. */
 const fallSmoothing = 0.3;
 const riseSmoothing = 0.02;
 const holdSmoothing = 0.05;
-/** A difference below this is noise at any ratio. */
+/** A smaller increase of the time to first token is noise, whatever its ratio. */
 const noiseMilliseconds = 100;
 const initialHoldMilliseconds = 2_000;
-/** The limit rises only while it is in use, or it would grow without evidence. */
+/** Minimum utilization for an increase of the limit. Below it, nothing shows that the upstreams can serve more. */
 const minUtilization = 0.8;
 
-/** A limit of concurrency that follows measured latency. */
+/** Concurrency limit that adapts to measured latency and failures. */
 export class AdaptiveLimit {
     readonly #options: LimitOptions;
     #capacity = 1;
@@ -31,29 +31,29 @@
         this.#options = options;
     }
 
-    /** Returns the limit, in requests. */
+    /** Returns the limit, in concurrent requests. */
     get(): number {
         return Math.max(1, Math.round(this.#limit));
     }
 
-    /** Returns the capacity that the limit was seeded from. */
+    /** Returns the capacity that the limit is based on. */
     getCapacity(): number {
         return this.#capacity;
     }
 
-    /** Returns the usual time to the first token, if any came yet. */
+    /** Returns the smoothed time to first token, or undefined before the first measurement. */
     getSmoothedFirstTokenMilliseconds(): number | undefined {
         return this.#smoothedFirstTokenMilliseconds;
     }
 
-    /** Returns how many requests end in a millisecond when the limit is in use. */
+    /** Returns the number of requests that end per millisecond when the limit is fully used. */
     getCompletionsPerMillisecond(): number {
         return this.get() / this.#holdMilliseconds;
     }
 
     /**
-     * Sets the upstreams' capacity that falls to this entry. The limit keeps its proportion to it.
-     * @param requests - Requests at a time.
+     * Sets this entry's share of the upstreams' capacity. The limit is scaled in proportion.
+     * @param requests - Capacity in concurrent requests.
      */
     setCapacity(requests: number): void {
         const capacity = Math.max(1, requests);
@@ -62,16 +62,16 @@
         this.#isSeeded = true;
     }
 
-    /** Notes how many requests are at work. */
+    /** Records the number of requests in flight. */
     recordInFlight(inFlight: number): void {
         this.#maxInFlight = Math.max(this.#maxInFlight, inFlight);
     }
 
     /**
-     * Notes an answer.
-     * @param answer - Its time to the first token, how long it held its place, and whether the upstreams failed it.
+     * Adds an answer, and adjusts the limit at the end of a window.
+     * @param answer - Time to first token of the answer, how long it held its slot, and whether the upstreams failed.
      * @param now - Monotonic milliseconds.
-     * @returns Whether the limit moved.
+     * @returns Whether the limit changed.
      */
     addAnswer(
         answer: {
@@ -116,7 +116,7 @@
         this.#maxInFlight = 0;
     }
 
-    /** Returns how far past its tolerance the window was: above 1 means that the limit has to fall. */
+    /** Returns the ratio of the window's failures or latency to the tolerance. Above 1, the limit has to be lowered. */
     #getExcess(median: number | undefined): number {
         const failureExcess = this.#failures / this.#answers / this.#options.failureTolerance;
         if (median === undefined || this.#smoothedFirstTokenMilliseconds === undefined) {
--- a/src/decisions/limits/admission.ts
+++ b/src/decisions/limits/admission.ts
@@ -1,37 +1,37 @@
 /**
- * What a request asks of admission, and what it gets.
+ * Input and result of admission control.
  */
 
-/** A request that wants to be let in. */
+/** Represents a request for admission. */
 export interface AdmissionRequest {
     readonly workspace: string;
-    /** Weight of the workspace beside the others; greater than 0. */
+    /** Weight of the workspace relative to others; greater than 0. */
     readonly share: number;
-    /** 0 is most urgent. */
+    /** Priority; 0 is the most urgent. */
     readonly priority: number;
-    /** Milliseconds that are left until the caller wants the first token. */
+    /** Milliseconds left until the caller's deadline for the first token. */
     readonly deadlineMilliseconds: number;
-    /** Tokens to be read and written, by estimate. */
+    /** Estimated number of prompt and completion tokens. */
     readonly estimatedTokens: number;
-    /** What tells a caller from others of the workspace, such as its idempotency key or address, where known. */
+    /** Identifies a caller within the workspace, for example by its idempotency key or address, if known. */
     readonly caller?: string;
-    /** Whether the caller says that it was refused before. */
+    /** Whether the caller declares that the request was refused before. */
     readonly isRetry?: boolean;
-    /** Ends the wait when the caller leaves. */
+    /** Aborts the wait when the caller disconnects. */
     readonly signal?: AbortSignal;
 }
 
-/** How admitted work ended. A `refused` one was turned down by the upstreams before they did anything. */
+/** Outcome of an admitted request. `refused` means that the upstreams rejected it before they did any work. */
 export type ReleaseOutcome = "ok" | "failed" | "refused" | "cancelled";
 
-/** What is known of admitted work when it ends. */
+/** Result of an admitted request, passed when its slot is released. */
 export interface Release {
     readonly outcome: ReleaseOutcome;
-    /** From admission to the first token; absent when none came. */
+    /** Time from admission to the first token; absent when there was none. */
     readonly firstTokenMilliseconds?: number;
-    /** Tokens that were really read and written. */
+    /** Actual number of prompt and completion tokens. */
     readonly tokens: number;
 }
 
-/** Runs a function later and returns what cancels it. */
+/** Schedules a function and returns a callback that cancels it. */
 export type Schedule = (milliseconds: number, run: () => void) => () => void;
--- a/src/decisions/limits/admissionController.ts
+++ b/src/decisions/limits/admissionController.ts
@@ -1,9 +1,8 @@
 /**
- * Lets requests in up to the adaptive limit, fairly between workspaces, and refuses the rest at once.
+ * Admits requests up to the adaptive limit, fairly between workspaces, and refuses the others without delay.
  *
- * A request that will not be served gets its final answer when that is known, mostly at the door, with the time to come
- * back. Holding it until near its deadline would keep its caller from going elsewhere and fill memory with work that is
- * lost anyway.
+ * A request that cannot be served is refused as soon as this is known, usually on arrival, with a retry time. Holding it until near its
+ * deadline would prevent its caller from going elsewhere and would fill memory with requests that fail anyway.
  */
 import { err, ok, type Result } from "neverthrow";
 import { type Clock, Failure, type FailureKind, type RandomSource } from "../../common/index.js";
@@ -18,21 +17,21 @@
 import { Ticket } from "./ticket.js";
 import { WorkspaceSlots } from "./workspaceSlots.js";
 
-/** Takes the decision on a request. */
+/** Receives the decision on a request. */
 export type AdmissionCallback = (result: Result<Ticket, Failure>) => void;
 
-/** Each early return in a row doubles the wait, this many times at most. */
+/** Maximum number of consecutive early retries that each double the minimum retry time. */
 const maxDoublings = 4;
 
 interface QueuedRequest extends FairQueueItem {
     readonly request: AdmissionRequest;
     readonly resolve: AdmissionCallback;
-    /** Whether its workspace was below its share when it came. */
+    /** Whether the workspace was below its share when the request arrived. */
     readonly isBelowShare: boolean;
     stopWaiting: () => void;
 }
 
-/** Decides which requests one entry takes on. */
+/** Decides which requests one entry admits. */
 export class AdmissionController {
     readonly #clock: Clock;
     readonly #random: RandomSource;
@@ -65,50 +64,50 @@
     }
 
     /**
-     * Sets the part of the upstreams' capacity that falls to this entry.
-     * @param requests - Requests at a time.
+     * Sets this entry's share of the upstreams' capacity.
+     * @param requests - Capacity in concurrent requests.
      */
     setCapacity(requests: number): void {
         this.#limit.setCapacity(requests);
         this.#admitQueued();
     }
 
-    /** Returns the present limit, in requests at a time. */
+    /** Returns the current limit, in concurrent requests. */
     getLimit(): number {
         return this.#limit.get();
     }
 
-    /** Returns how many requests are at work. */
+    /** Returns the number of requests in flight. */
     getInFlight(): number {
         return this.#inFlight;
     }
 
-    /** Returns how many requests wait for a place. */
+    /** Returns the number of requests that wait for a slot. */
     getQueueLength(): number {
         return this.#queue.getSize();
     }
 
     /**
-     * Asks for a place.
-     * @returns A ticket to be released when the work ended, or the refusal.
+     * Requests a slot.
+     * @returns A ticket that must be released when the request has ended, or the refusal.
      */
     admit(request: AdmissionRequest): Promise<Result<Ticket, Failure>> {
         return new Promise(resolve => this.offer(request, resolve));
     }
 
     /**
-     * Asks for a place and calls back, at once if the decision can be made at once.
+     * Requests a slot and calls back with the decision, synchronously if it can be made at once.
      * @param request - The request.
-     * @param resolve - Takes the decision, exactly once.
+     * @param resolve - Called with the decision exactly once.
      */
     offer(request: AdmissionRequest, resolve: AdmissionCallback): void {
         const now = this.#clock.monotonic();
         const earlyRetries = this.#countEarlyRetries(request, now);
         if (earlyRetries > 0) {
-            // Whoever ignores Retry-After pays for asking as if it had been served.
+            // A workspace whose callers ignore Retry-After is charged as if the request had been served.
             this.#queue.charge(request.workspace, request.share, request.estimatedTokens);
         }
-        // Asked before the workspace is charged: the charge alone would put it ahead.
+        // Determined before the workspace is charged, since the charge alone would put it ahead of the virtual time.
         const isBelowShare = this.#isBelowShare(request);
         if (this.#canAdmit(request, isBelowShare)) {
             this.#queue.start(request.workspace, request.share, request.estimatedTokens);
@@ -127,18 +126,18 @@
         const limit = this.#limit.get();
         const threshold = this.#getThreshold(request.priority);
         if (threshold < 1) {
-            // Low priorities leave the last places to the others; one of each workspace may use them nonetheless.
+            // Low priorities leave the last slots to other requests, except for the first request of a workspace.
             const isFirst = !this.#workspaces.isActive(request.workspace);
             return this.#inFlight < limit * (isFirst ? 1 : threshold);
         }
         if (isBelowShare) {
-            // A workspace that uses less than its part need not wait for the large ones to finish.
+            // A workspace below its share does not have to wait for requests of larger workspaces to finish.
             return this.#inFlight < limit * (1 + this.#options.burstShare);
         }
         return this.#queue.getSize() === 0 && this.#inFlight < limit;
     }
 
-    /** Places tell it of the moment; what the workspace has paid tells it of the last while. */
+    /** Returns whether a workspace is below its share: recently, by its charged tokens, or currently, by its slots. */
     #isBelowShare(request: AdmissionRequest): boolean {
         return this.#queue.isBehind(request.workspace)
             || this.#workspaces.isBelowShare(request.workspace, request.share, this.#limit.get());
@@ -183,7 +182,7 @@
         this.#shortenQueue();
     }
 
-    /** A newcomer may have gone before others; whoever can no longer be served in time is told now, not later. */
+    /** Rejects the requests that can no longer be served in time because a new request was queued before them. */
     #shortenQueue(): void {
         const maxLength = Math.max(
             1,
@@ -249,14 +248,14 @@
 
     #updateLimit(release: Release, holdMilliseconds: number, now: number): void {
         const previousLimit = this.#limit.get();
-        const hasMoved = this.#limit.addAnswer({
+        const hasChanged = this.#limit.addAnswer({
             firstTokenMilliseconds: release.firstTokenMilliseconds,
             holdMilliseconds,
             hasFailed: release.outcome !== "ok",
         }, now);
         const capacity = Math.round(this.#limit.getCapacity());
         const limit = this.#limit.get();
-        if (!hasMoved) {
+        if (!hasChanged) {
             return;
         }
         if (limit < previousLimit) {
@@ -267,7 +266,7 @@
         }
     }
 
-    /** Returns how many times in a row the caller came back too soon, by its name or by its workspace's budget. */
+    /** Returns the number of consecutive early retries, by the caller if it is known, otherwise by its workspace's retry budget. */
     #countEarlyRetries(request: AdmissionRequest, now: number): number {
         if (request.caller !== undefined) {
             return this.#refusedCallers.countEarlyRetries(request.caller, now);
@@ -293,7 +292,7 @@
         const now = this.#clock.monotonic();
         const factor = 2 ** Math.min(maxDoublings, earlyRetries);
         const minMilliseconds = this.#options.minRetryMilliseconds * factor;
-        // Whoever is below its share need not stand behind the returns of those above.
+        // A workspace below its share does not have to wait for the scheduled retries of those above their share.
         const retryAfterMilliseconds = earlyRetries === 0 && this.#isBelowShare(request)
             ? Math.round(minMilliseconds * (1 + this.#random.next()))
             : this.#retrySchedule.add(now, {
@@ -315,12 +314,12 @@
 
 function createRefusal(kind: FailureKind, retryAfterMilliseconds: number): Failure {
     const message = kind === "deadline"
-        ? "The first token can't come before the request's deadline."
-        : "More is asked of this entry than its upstreams can do.";
+        ? "The first token can't be returned before the request's deadline."
+        : "The load on this entry exceeds the capacity of its upstreams.";
     return new Failure({
         kind,
         message,
-        remedy: "Come back after the given time and not before: an earlier return waits longer.",
+        remedy: "Retry after the given time, not earlier: an early retry increases the wait.",
         retryAfterMilliseconds,
     });
 }
--- a/src/decisions/limits/fairQueue.ts
+++ b/src/decisions/limits/fairQueue.ts
@@ -1,65 +1,65 @@
 /**
- * Start-time fair queueing between workspaces: each pays for its tokens in virtual time by its share, and whoever is
- * furthest behind goes next. Within a workspace the more urgent go first.
+ * Start-time fair queueing between workspaces. Each workspace is charged for its tokens in virtual time, in inverse proportion to its
+ * share, and the workspace with the lowest virtual time is served next. Within a workspace, more urgent requests are served first.
  */
 
-/** A request that waits for a place. */
+/** Represents a request that waits for a slot. */
 export interface FairQueueItem {
     readonly workspace: string;
     readonly share: number;
     readonly priority: number;
     readonly tokens: number;
-    /** Monotonic milliseconds. */
+    /** Time at which the request was queued, in monotonic milliseconds. */
     readonly since: number;
 }
 
 /**
- * What a workspace did not use is kept for it up to this many usual requests. Without any, one that asks at random
- * moments never gets its share; without a bound, one that comes back after an hour would take everything.
+ * Maximum credit for the unused share of a workspace, in average requests. Without any credit, a workspace with irregular requests never
+ * gets its share. Without an upper bound, a workspace that returns after an hour would take all slots.
  */
 const maxCreditRequests = 4;
 const meanSmoothing = 0.01;
-/** Virtual times are forgotten when this many workspaces are known and none of them is ahead. */
+/** Above this number of workspaces, the finish times of those that are not ahead of the virtual time are removed. */
 const maxTrackedWorkspaces = 1_024;
 
-/** A queue that is fair between workspaces by tokens. */
+/** Queue that is fair between workspaces by their tokens. */
 export class FairQueue<T extends FairQueueItem> {
     readonly #queues = new Map<string, T[]>();
-    /** Virtual time up to which a workspace has paid. */
+    /** Virtual time up to which each workspace has been charged. */
     readonly #finishTimes = new Map<string, number>();
     #virtualTime = 0;
     #meanTokens = 0;
     #size = 0;
 
-    /** Returns how many wait. */
+    /** Returns the number of waiting requests. */
     getSize(): number {
         return this.#size;
     }
 
-    /** Returns how far a workspace is ahead of the others, in tokens of a share of 1. */
+    /** Returns how far a workspace is ahead of the virtual time, in tokens at a share of 1. */
     getLead(workspace: string): number {
         return Math.max(0, (this.#finishTimes.get(workspace) ?? 0) - this.#virtualTime);
     }
 
     /**
-     * Starts work of a workspace: virtual time moves on to where the workspace is, and the workspace pays. Without
-     * moving on, work done while nobody waited would be held against a workspace for good.
+     * Starts a request of a workspace: advances the virtual time to that of the workspace and charges the workspace. If the virtual
+     * time did not advance, requests served while the queue was empty would count against the workspace forever.
      */
     start(workspace: string, share: number, tokens: number): void {
         this.#virtualTime = Math.max(this.#virtualTime, this.#finishTimes.get(workspace) ?? 0);
         this.charge(workspace, share, tokens);
     }
 
-    /** Tells whether a workspace had less than its share of late. */
+    /** Returns whether a workspace recently used less than its share. */
     isBehind(workspace: string): boolean {
         return (this.#finishTimes.get(workspace) ?? 0) < this.#virtualTime;
     }
 
     /**
-     * Charges a workspace for more than it was started with.
-     * @param workspace - The workspace that pays.
-     * @param share - Its share.
-     * @param tokens - What it pays for.
+     * Charges a workspace for tokens.
+     * @param workspace - The workspace.
+     * @param share - Share of the workspace.
+     * @param tokens - Number of tokens.
      */
     charge(workspace: string, share: number, tokens: number): void {
         this.#meanTokens += meanSmoothing * (tokens - this.#meanTokens);
@@ -69,7 +69,7 @@
         this.#pruneFinishTimes();
     }
 
-    /** Adds a request behind those of its workspace that are as urgent. */
+    /** Adds a request after those of its workspace with the same or a higher urgency. */
     add(item: T): void {
         const queue = this.#queues.get(item.workspace) ?? [];
         let index = queue.length;
@@ -81,7 +81,7 @@
         this.#size += 1;
     }
 
-    /** Takes a request out, for instance when its caller left. */
+    /** Removes a request, for instance when its caller has disconnected. */
     remove(item: T): boolean {
         const queue = this.#queues.get(item.workspace);
         const index = queue?.indexOf(item) ?? -1;
@@ -96,7 +96,7 @@
         return true;
     }
 
-    /** Takes out the request that goes next. Its workspace is charged for it. */
+    /** Removes and returns the next request, and charges its workspace for it. */
     shift(): T | undefined {
         const next = this.#findNext();
         if (next === undefined) {
@@ -107,7 +107,7 @@
         return next;
     }
 
-    /** Finds the request to give up first: the least urgent and newest one of the workspace that is furthest ahead. */
+    /** Returns the request to reject first: the least urgent and latest one of the workspace that is furthest ahead. */
     findLast(): T | undefined {
         let last: T | undefined;
         let max = Number.NEGATIVE_INFINITY;
@@ -121,7 +121,7 @@
         return last;
     }
 
-    /** Counts the waiting requests that would go before one more request of a workspace. */
+    /** Returns the number of waiting requests that would be served before a new request of a workspace. */
     countAhead(workspace: string, share: number, priority: number): number {
         const own = this.#queues.get(workspace) ?? [];
         const ownAhead = own.filter(item => item.priority <= priority);
@@ -153,7 +153,7 @@
         return next;
     }
 
-    /** Without this, each workspace that ever asked would stay in memory. */
+    /** Removes finish times that are no longer needed; otherwise every workspace ever seen would stay in memory. */
     #pruneFinishTimes(): void {
         if (this.#finishTimes.size <= maxTrackedWorkspaces) {
             return;
--- a/src/decisions/limits/index.ts
+++ b/src/decisions/limits/index.ts
@@ -1,4 +1,4 @@
-/** Whether a request is let in at all. */
+/** Admission control: whether a request is admitted at all. */
 export * from "./admission.js";
 export * from "./admissionController.js";
 export * from "./options.js";
--- a/src/decisions/limits/options.ts
+++ b/src/decisions/limits/options.ts
@@ -1,44 +1,47 @@
 /**
- * Settings of admission, with the defaults that the measurements were made with.
+ * Settings of admission control, and their defaults.
  */
 
-/** Settings of admission. */
+/** Settings of admission control. */
 export interface LimitOptions {
-    /** Longest wait for a place. It is short: a caller that can't be served is better told so at once. */
+    /** Maximum wait for a slot. It is short, since a caller that cannot be served should be refused soon and can go elsewhere. */
     readonly maxQueueMilliseconds: number;
-    /** Part of the limit that workspaces below their fair share may use beyond it. */
+    /** Share of the limit by which workspaces below their fair share may exceed it. */
     readonly burstShare: number;
-    /** Part of the limit up to which a workspace above its share is let in, by priority from 0; the last holds on. */
+    /**
+     * Share of the limit up to which requests of a workspace above its share are admitted, by priority from 0. The last value applies to
+     * all further priorities.
+     */
     readonly priorityThresholds: readonly number[];
-    /** Lowest limit, as a part of the capacity. */
+    /** Minimum limit, as a share of the capacity. */
     readonly minLimitShare: number;
-    /** Highest limit, as a part of the capacity. */
+    /** Maximum limit, as a share of the capacity. */
     readonly maxLimitShare: number;
-    /** Time over which answers are gathered before the limit moves. */
+    /** Length of the window of answers after which the limit is adjusted. */
     readonly windowMilliseconds: number;
-    /** Answers that a window needs. */
+    /** Minimum number of answers in a window. */
     readonly minWindowAnswers: number;
-    /** How many times its usual value the time to the first token may reach before the limit falls. */
+    /** Ratio of the time to first token to its usual value above which the limit is lowered. */
     readonly latencyTolerance: number;
-    /** Part of failed or refused answers above which the limit falls. */
+    /** Share of failed or refused answers above which the limit is lowered. */
     readonly failureTolerance: number;
-    /** Part of the limit by which it falls at most in a window. */
+    /** Maximum decrease of the limit in a window, as a share of the limit. */
     readonly maxDecrease: number;
-    /** Part of the capacity by which the limit rises in a window. */
+    /** Increase of the limit in a window, as a share of the capacity. */
     readonly increase: number;
-    /** Shortest `Retry-After`. */
+    /** Minimum `Retry-After`. */
     readonly minRetryMilliseconds: number;
-    /** Longest `Retry-After`. Usual clients pass over longer ones. */
+    /** Maximum `Retry-After`. Common clients ignore longer ones. */
     readonly maxRetryMilliseconds: number;
-    /** Part of the throughput that callers are asked to come back to. */
+    /** Share of the throughput that is scheduled for retries of refused callers. */
     readonly retryThroughputShare: number;
-    /** Callers that are remembered with the time they were told. */
+    /** Maximum number of refused callers whose retry time is stored. */
     readonly maxTrackedCallers: number;
-    /** Part of a workspace's requests that may be retries before they count as early. */
+    /** Share of a workspace's requests that may be declared retries without counting as early. */
     readonly retryRatio: number;
 }
 
-/** The defaults. */
+/** Default settings of admission control. */
 export const defaultLimitOptions: LimitOptions = {
     maxQueueMilliseconds: 40,
     burstShare: 0.2,
--- a/src/decisions/limits/refusedCallers.ts
+++ b/src/decisions/limits/refusedCallers.ts
@@ -1,5 +1,5 @@
 /**
- * Remembers which refused callers were told to come back when, so that those who come sooner can be told apart.
+ * Retry times that refused callers were given, so that early retries can be detected.
  */
 
 interface CallerRefusal {
@@ -7,23 +7,23 @@
     readonly earlyRetries: number;
 }
 
-/** Bounded memory of refused callers; the one told longest ago is forgotten first. */
+/** Bounded store of refused callers. The caller that was refused longest ago is removed first. */
 export class RefusedCallers {
     readonly #maxCallers: number;
     readonly #refusals = new Map<string, CallerRefusal>();
 
-    /** @param maxCallers - How many callers are remembered. */
+    /** @param maxCallers - Maximum number of callers. */
     constructor(maxCallers: number) {
         this.#maxCallers = maxCallers;
     }
 
-    /** Returns how many times in a row the caller came early, this time included; 0 when it is on time. */
+    /** Returns the number of consecutive early retries of a caller, including this one; 0 when it is not early. */
     countEarlyRetries(caller: string, now: number): number {
         const refusal = this.#refusals.get(caller);
         return refusal !== undefined && now < refusal.notBefore ? refusal.earlyRetries + 1 : 0;
     }
 
-    /** Notes what a refused caller was told. */
+    /** Adds the retry time that a refused caller was given. */
     add(caller: string, refusal: CallerRefusal): void {
         this.#refusals.delete(caller);
         this.#refusals.set(caller, refusal);
@@ -36,7 +36,7 @@
         }
     }
 
-    /** Forgets a caller that was let in. */
+    /** Removes a caller that was admitted. */
     remove(caller: string): void {
         this.#refusals.delete(caller);
     }
--- a/src/decisions/limits/retryBudget.ts
+++ b/src/decisions/limits/retryBudget.ts
@@ -1,18 +1,18 @@
 /**
- * A budget for retries: a fixed part of the requests, so that retries can't multiply a failure.
+ * Retry budget: retries are limited to a fixed share of the requests, so that they cannot multiply the load during a failure.
  */
 
 /** Settings of a retry budget. */
 export interface RetryBudgetOptions {
-    /** Retries that each request pays for; 0.1 allows one in ten. */
+    /** Retries that each request adds to the budget; 0.1 allows one retry per ten requests. */
     readonly ratio: number;
-    /** Most retries that can be saved up. */
+    /** Maximum number of unused retries. */
     readonly burst: number;
 }
 
 const defaultRetryBudgetOptions: RetryBudgetOptions = { ratio: 0.1, burst: 10 };
 
-/** Counts requests in and retries out. */
+/** Token bucket of retries that is refilled by requests. */
 export class RetryBudget {
     readonly #options: RetryBudgetOptions;
     #tokens: number;
@@ -22,19 +22,19 @@
         this.#tokens = this.#options.burst;
     }
 
-    /** Returns how many retries are left. */
+    /** Returns the number of retries left. */
     getLeft(): number {
         return Math.floor(this.#tokens);
     }
 
-    /** Notes a first attempt, which pays a part of a retry. */
+    /** Records a first attempt, which adds a fraction of a retry to the budget. */
     addRequest(): void {
         this.#tokens = Math.min(this.#options.burst, this.#tokens + this.#options.ratio);
     }
 
     /**
-     * Takes a retry or hedge out of the budget.
-     * @returns Whether there was one; if not, the failure is to be passed on.
+     * Takes a retry or hedged request from the budget.
+     * @returns Whether there was one. If not, the failure has to be passed on to the caller.
      */
     take(): boolean {
         if (this.#tokens < 1) {
--- a/src/decisions/limits/retrySchedule.ts
+++ b/src/decisions/limits/retrySchedule.ts
@@ -1,15 +1,15 @@
 /**
- * When refused callers are asked to come back.
+ * Retry times of refused callers.
  *
- * A fixed `Retry-After` sends everybody who was refused in one second back in one second, where most are refused again.
- * The book gives each second of the future a number of returns that can be served, and asks each caller for the first
- * second that has one left; the more have been refused, the later that is.
+ * With a fixed `Retry-After`, all callers that were refused within one second retry within one second, and most are refused again. This
+ * schedule assigns each future second the number of retries that can be served, and each caller the first second with a free slot. The
+ * more callers are refused, the later they retry.
  */
 import type { RandomSource } from "../../common/index.js";
 
 const slotMilliseconds = 1_000;
 
-/** Spreads the return of refused callers over the seconds to come. */
+/** Distributes the retries of refused callers over future seconds. */
 export class RetrySchedule {
     readonly #random: RandomSource;
     readonly #slotCount: number;
@@ -17,8 +17,8 @@
     readonly #slotSeconds: Float64Array;
 
     /**
-     * @param random - Draws the moment within a second.
-     * @param maxMilliseconds - How far ahead callers are asked to come.
+     * @param random - Random source of the time within a second.
+     * @param maxMilliseconds - Maximum delay of a retry.
      */
     constructor(random: RandomSource, maxMilliseconds: number) {
         this.#random = random;
@@ -28,10 +28,10 @@
     }
 
     /**
-     * Gives a caller the first second that has a place left.
+     * Schedules a retry in the first second with a free slot.
      * @param now - Monotonic milliseconds.
-     * @param options - The least wait, and how many returns a second can be served.
-     * @returns Milliseconds from now.
+     * @param options - Minimum delay, and the number of retries that can be served per second.
+     * @returns The delay of the retry, in milliseconds.
      */
     add(now: number, options: { readonly minMilliseconds: number; readonly retriesPerSecond: number; }): number {
         const current = Math.floor(now / slotMilliseconds);
@@ -42,7 +42,7 @@
             offset += 1;
         }
         if (offset === this.#slotCount - 1 && this.#getCount(current + offset) >= capacity) {
-            // The book is full: the far half takes the rest evenly.
+            // The schedule is full: further retries are distributed evenly over its second half.
             offset = Math.max(minOffset, Math.floor(this.#slotCount * (1 + this.#random.next()) / 2));
         }
         this.#addCount(current + offset);
--- a/src/decisions/limits/ticket.ts
+++ b/src/decisions/limits/ticket.ts
@@ -1,15 +1,15 @@
 /**
- * Leave to do one piece of work.
+ * Permission to process one request.
  */
 import type { Release } from "./admission.js";
 
-/** Holds a place until it is released. */
+/** Represents a slot that is held until it is released. */
 export class Ticket {
-    /** How long the request waited for its place. */
+    /** Time that the request waited for its slot. */
     readonly waitedMilliseconds: number;
     /**
-     * The priority to send to the upstream: more urgent than the request's own while its workspace is below its share,
-     * since the line inside an upstream knows nothing of workspaces.
+     * Priority that is sent to the upstream. It is more urgent than the request's own while its workspace is below its share, since
+     * the queue inside an upstream does not distinguish workspaces.
      */
     readonly priority: number;
     #release: ((release: Release) => void) | undefined;
@@ -25,10 +25,10 @@
         this.#release = options.release;
     }
 
-    /** Gives the place back. A second call changes nothing: error and close often arrive together. */
+    /** Releases the slot. Further calls have no effect, since `error` and `close` events often occur together. */
     release(release: Release): void {
-        const run = this.#release;
+        const onRelease = this.#release;
         this.#release = undefined;
-        run?.(release);
+        onRelease?.(release);
     }
 }
--- a/src/decisions/limits/workspaceSlots.ts
+++ b/src/decisions/limits/workspaceSlots.ts
@@ -1,5 +1,5 @@
 /**
- * How many places each workspace holds, and how many are its fair part.
+ * Slots that each workspace holds, and its fair share of them.
  */
 
 interface WorkspaceUsage {
@@ -7,17 +7,17 @@
     share: number;
 }
 
-/** Places at work by workspace. */
+/** Counts the slots in use by workspace. */
 export class WorkspaceSlots {
     readonly #usages = new Map<string, WorkspaceUsage>();
     #activeShares = 0;
 
     /**
-     * Tells whether a workspace holds less than its part of the limit, by its share among those at work. The part is
-     * rounded to whole places; each workspace has one at least.
+     * Returns whether a workspace holds fewer slots than its part of the limit, which follows from its share among the active
+     * workspaces. The part is rounded to whole slots. A workspace without a slot is always below its share.
      * @param workspace - The workspace.
-     * @param share - Its share.
-     * @param limit - Places in all.
+     * @param share - Share of the workspace.
+     * @param limit - Total number of slots.
      */
     isBelowShare(workspace: string, share: number, limit: number): boolean {
         const usage = this.#usages.get(workspace);
@@ -28,12 +28,12 @@
         return usage.slots < Math.round(fairSlots);
     }
 
-    /** Tells whether a workspace holds a place. */
+    /** Returns whether a workspace holds a slot. */
     isActive(workspace: string): boolean {
         return this.#usages.has(workspace);
     }
 
-    /** Notes a place taken. */
+    /** Adds a slot that a workspace has taken. */
     add(workspace: string, share: number): void {
         const usage = this.#usages.get(workspace) ?? { slots: 0, share: 0 };
         this.#activeShares += share - usage.share;
@@ -42,7 +42,7 @@
         this.#usages.set(workspace, usage);
     }
 
-    /** Notes a place given back. */
+    /** Removes a slot that a workspace has released. */
     remove(workspace: string): void {
         const usage = this.#usages.get(workspace);
         if (usage === undefined) {
--- a/test/decisions/limits/admissionController.test.ts
+++ b/test/decisions/limits/admissionController.test.ts
@@ -9,7 +9,7 @@
 
 describe("AdmissionController", () => {
     describe("admit", () => {
-        it("lets in up to the capacity and takes a place back once", async () => {
+        it("admits up to the capacity and releases a slot once", async () => {
             const { controller } = createController(2);
             const first = (await controller.admit(createRequest()))._unsafeUnwrap();
             (await controller.admit(createRequest()))._unsafeUnwrap();
@@ -19,9 +19,9 @@
             expect(controller.getInFlight()).toEqual(1);
         });
 
-        // Twice as much is asked as can be done. A caller that is held until its deadline can neither go elsewhere nor
-        // come back in time; one that is told at once can.
-        it("gives the final answer at once, or within the short line", () => {
+        // Guards against late refusals. At twice the capacity, a caller that is held until its deadline can neither go elsewhere nor
+        // retry in time; a caller that is refused at once can.
+        it("decides at once, or within the short queue time", () => {
             const { offer, fill, pass } = createController(8);
             fill();
             const decisions = Array.from({ length: 20 }).map(() => offer());
@@ -33,7 +33,7 @@
             }
         });
 
-        it("refuses at once what can't meet its deadline", () => {
+        it("refuses a request at once that can't meet its deadline", () => {
             const { offer, fill, answer } = createController(4);
             answer(800, 12);
             fill();
@@ -41,7 +41,7 @@
             expect(refused.kind).toEqual("deadline");
         });
 
-        it("lets the next one in when a place comes free, and stops its timer", () => {
+        it("admits the next request when a slot is released, and cancels its timer", () => {
             const { offer, fill, pass, controller } = createController(2);
             const [first] = fill();
             const decision = offer();
@@ -51,8 +51,9 @@
             expect([controller.getInFlight(), controller.getQueueLength()]).toEqual([2, 0]);
         });
 
-        // The caller hangs up while it waits in line. Its place in line must not keep others out, nor may it be let in.
-        it("takes a caller that left out of the line", () => {
+        // Guards against leaked queue entries. When a caller disconnects while its request is queued, the request must neither block
+        // others nor be admitted.
+        it("removes the request of a disconnected caller from the queue", () => {
             const { offer, fill, controller } = createController(2);
             const [first] = fill();
             const abortController = new AbortController();
@@ -65,8 +66,9 @@
     });
 
     describe("admit, between workspaces", () => {
-        // One workspace asks for all there is. A small one that asks now and then would otherwise be refused for hours.
-        it("lets a quiet workspace in beside a loud one, and marks it as more urgent", () => {
+        // Guards against starvation. While one workspace requests the whole capacity, a small one with occasional requests would be
+        // refused for hours.
+        it("admits a quiet workspace beside a loud one, with a more urgent priority", () => {
             const { offer, fill } = createController(10);
             fill({ workspace: "loud", share: 4 });
             expect(offer({ workspace: "loud", share: 4 })()?.isOk() ?? false).toEqual(false);
@@ -74,7 +76,7 @@
             expect(ticket.priority).toEqual(0);
         });
 
-        it("lets in more of a workspace that had less than its share of late", () => {
+        it("admits more requests of a workspace that recently used less than its share", () => {
             const { offer, fill } = createController(10);
             const tickets = fill({ workspace: "loud", share: 9 });
             offer({ workspace: "quiet" })()!._unsafeUnwrap();
@@ -110,22 +112,22 @@
             return served.get("large")! / served.get("small")!;
         }
 
-        it("gives two loud workspaces work by their shares", () => {
+        it("serves two loud workspaces in proportion to their shares", () => {
             for (const options of [{ capacity: 12, every: 1 }, { capacity: 5, every: 5 }]) {
                 const ratio = getServedRatio(options);
                 expect(ratio > 2.4 && ratio < 3.6).toEqual(true);
             }
         });
 
-        it("sheds the lowest priority before places run out", () => {
+        it("refuses the lowest priority before all slots are in use", () => {
             const { offer } = createController(10);
-            const enter = (priority: number): boolean => offer({ priority })()?.isOk() ?? false;
-            const low = Array.from({ length: 12 }).filter(() => enter(3)).length;
-            const usual = Array.from({ length: 12 }).filter(() => enter(1)).length;
+            const isAdmitted = (priority: number): boolean => offer({ priority })()?.isOk() ?? false;
+            const low = Array.from({ length: 12 }).filter(() => isAdmitted(3)).length;
+            const usual = Array.from({ length: 12 }).filter(() => isAdmitted(1)).length;
             expect([low < 10, low + usual >= 10]).toEqual([true, true]);
         });
 
-        it("gives up the least urgent and newest in line first", () => {
+        it("rejects the least urgent and latest queued request first", () => {
             const { offer, fill, answer } = createController(40);
             answer(50, 30);
             fill({ workspace: "loud" });
@@ -140,7 +142,7 @@
         });
     });
 
-    describe("admit, when callers come back", () => {
+    describe("admit, when callers retry", () => {
         function refuseMany(count: number): readonly number[] {
             const { offer, fill, pass } = createController(10);
             fill({ workspace: "loud" });
@@ -149,9 +151,9 @@
             return decisions.map(decision => decision()!._unsafeUnwrapErr().retryAfterMilliseconds!);
         }
 
-        // Everybody who is refused in one second comes back at one moment if all are told the same, and most are
-        // refused again.
-        it("spreads the returns, later with more refusals, a minute at most", () => {
+        // Guards against synchronized retries. If all callers that are refused within one second get the same retry time, they retry
+        // at once and most are refused again.
+        it("spreads the retries, later with more refusals, up to a minute", () => {
             const few = refuseMany(10);
             const many = refuseMany(400);
             expect(Math.max(...few) < Math.max(...many)).toEqual(true);
@@ -164,8 +166,8 @@
             expect(Math.max(...seconds.values()) <= 15).toEqual(true);
         });
 
-        // A caller comes back at once, again and again. Each time it is told a longer wait, and its workspace pays.
-        it("tells a caller that comes too early to wait longer", () => {
+        // Guards against callers that ignore the retry time. Each early retry gets a longer wait, and its workspace is charged.
+        it("increases the wait of a caller that retries too early", () => {
             const { offer, fill, pass } = createController(4);
             fill({ workspace: "loud" });
             const requestRetryAfter = (): number => {
@@ -178,7 +180,7 @@
             expect(requestRetryAfter() >= 4_000).toEqual(true);
         });
 
-        it("keeps retries beyond the workspace's budget out of the line", () => {
+        it("does not queue retries beyond the workspace's budget", () => {
             const { offer, fill } = createController(4);
             for (let index = 0; index < 10; index += 1) {
                 release(offer({ isRetry: true })()!._unsafeUnwrap());
@@ -190,11 +192,12 @@
     });
 
     describe("limit", () => {
-        // The upstreams got slow without a word. Letting in as much as before only makes their lines longer.
-        it("falls when answers slow down and comes back when they are quick again", () => {
+        // Guards against overloading slow upstreams. When they slow down without reporting it, an unchanged limit only makes their queues
+        // longer.
+        it("falls when answers slow down and recovers when they are fast again", () => {
             const { controller, fill, pass, answer } = createController(20);
             answer(100, 40);
-            const work = (firstTokenMilliseconds: number, rounds: number): number => {
+            const serveRounds = (firstTokenMilliseconds: number, rounds: number): number => {
                 for (let round = 0; round < rounds; round += 1) {
                     for (const ticket of fill()) {
                         pass(60);
@@ -203,13 +206,13 @@
                 }
                 return controller.getLimit();
             };
-            const before = work(100, 3);
-            const slowed = work(5_000, 3);
+            const before = serveRounds(100, 3);
+            const slowed = serveRounds(5_000, 3);
             expect(slowed < before).toEqual(true);
-            expect(work(100, 30)).toEqual(22);
+            expect(serveRounds(100, 30)).toEqual(22);
         });
 
-        it("falls when answers fail, to no less than its floor", () => {
+        it("falls when answers fail, but not below its minimum", () => {
             const { controller, answer } = createController(20);
             answer(100, 400, "failed");
             expect(controller.getLimit()).toEqual(8);
@@ -217,7 +220,7 @@
             expect(controller.getLimit()).toEqual(8);
         });
 
-        it("keeps its proportion when the capacity changes, and never falls below one place", () => {
+        it("keeps its proportion when the capacity changes, and never falls below one slot", () => {
             const { controller } = createController(20);
             controller.setCapacity(10);
             expect(controller.getLimit()).toEqual(10);
--- a/test/decisions/limits/fairQueue.test.ts
+++ b/test/decisions/limits/fairQueue.test.ts
@@ -12,7 +12,7 @@
 
 describe("FairQueue", () => {
     describe("shift", () => {
-        it("goes by tokens and shares, and by priority within a workspace", () => {
+        it("orders by tokens and shares, and by priority within a workspace", () => {
             const queue = new FairQueue<FairQueueItem>();
             const urgent = createItem("short", { priority: 0 });
             for (let index = 0; index < 6; index += 1) {
@@ -25,9 +25,9 @@
             expect(order.find(waiting => waiting.workspace === "short")).toEqual(urgent);
         });
 
-        // A workspace that was away for an hour comes back with many requests. If all it did not use were kept for it,
-        // everybody else would stand still until it has caught up.
-        it("keeps only a bounded credit for a workspace that was away", () => {
+        // Guards against unbounded credit. If a workspace that was idle for an hour could use all of its unused share at once, all other
+        // workspaces would wait until it has caught up.
+        it("limits the credit of a workspace that was idle", () => {
             const queue = new FairQueue<FairQueueItem>();
             for (let index = 0; index < 1_000; index += 1) {
                 queue.start("busy", 1, 100);
@@ -40,7 +40,7 @@
             expect(served >= 8 && served <= 12).toEqual(true);
         });
 
-        it("does not hold work done on an idle site against a workspace", () => {
+        it("does not count requests served without contention against a workspace", () => {
             const queue = new FairQueue<FairQueueItem>();
             queue.start("other", 1, 100);
             for (let index = 0; index < 1_000; index += 1) {
--- a/test/decisions/limits/fixtures.ts
+++ b/test/decisions/limits/fixtures.ts
@@ -1,4 +1,4 @@
-/** Controllers and requests for the tests of admission. */
+/** Fixtures for the tests of admission control. */
 import type { Result } from "neverthrow";
 import { type Failure, ManualClock, RandomSource } from "../../../src/common/index.js";
 import {
@@ -19,7 +19,7 @@
     };
 }
 
-/** Makes a controller whose timers run when the test calls `pass`. */
+/** Creates a controller whose timers run when the test calls `pass`. */
 export function createController(capacity: number, options: Partial<LimitOptions> = {}) {
     const clock = new ManualClock(1_000);
     const timers: { at: number; run: () => void; }[] = [];
@@ -40,18 +40,18 @@
             timer.run();
         }
     };
-    /** Offers a request and returns a reader of what was decided so far. */
+    /** Offers a request and returns a function that returns the decision, if there is one yet. */
     const offer = (request: Partial<AdmissionRequest> = {}): () => Result<Ticket, Failure> | undefined => {
         let decided: Result<Ticket, Failure> | undefined;
         controller.offer(createRequest(request), result => {
             if (decided !== undefined) {
-                throw new Error("A request was decided twice.");
+                throw new Error("The request was decided twice.");
             }
             decided = result;
         });
         return () => decided;
     };
-    /** Lets in as many requests of one workspace as there are places. */
+    /** Admits requests of one workspace until all slots are in use. */
     const fill = (request: Partial<AdmissionRequest> = {}): readonly Ticket[] => {
         const tickets: Ticket[] = [];
         while (controller.getInFlight() < controller.getLimit()) {
@@ -59,7 +59,7 @@
         }
         return tickets;
     };
-    /** Makes answers take a time, so that the rate at which places come free is known. */
+    /** Completes requests of a known duration, so that the controller can estimate the rate at which slots are released. */
     const answer = (firstTokenMilliseconds: number, times: number, outcome: "ok" | "failed" = "ok"): void => {
         for (let index = 0; index < times; index += 1) {
             const ticket = offer()()!._unsafeUnwrap();
