--- a/src/decisions/retries/index.ts
+++ b/src/decisions/retries/index.ts
@@ -1,2 +1,2 @@
-/** How often a request may be sent once more. */
+/** Budget for repeated attempts. */
 export * from "./windowedRetryBudget.js";
--- a/src/decisions/retries/windowedRetryBudget.ts
+++ b/src/decisions/retries/windowedRetryBudget.ts
@@ -1,18 +1,18 @@
 /**
- * A budget for repeats over a sliding window, shared by all nodes without asking each other.
+ * Retry budget over a sliding window, shared by all nodes without communication.
  */
 import type { Clock } from "../../common/index.js";
 
-/** The window is kept in so many slices; it moves on by one at a time. */
+/** Number of slices of the window, which moves one slice at a time. */
 const sliceCount = 20;
-/** Part of the budget that is used: clocks and windows of nodes and of whoever counts differ by a slice or two. */
+/** Share of the budget that is used, since the clocks and windows of nodes and of external counters differ by a slice or two. */
 const safetyFactor = 0.88;
 
-/** How many repeats are allowed in a window. */
+/** Number of retries allowed in a window. */
 export interface RetryAllowance {
-    /** Repeats that each request of the window allows. */
+    /** Retries allowed per request in the window. */
     readonly ratio: number;
-    /** Repeats that all nodes together may make beyond that. */
+    /** Additional retries allowed for all nodes together. */
     readonly extra: number;
 }
 
@@ -21,9 +21,9 @@
     readonly clock: Clock;
     /** Length of the window in milliseconds. */
     readonly windowMilliseconds: number;
-    /** Returns the allowance in force. */
+    /** Returns the current allowance. */
     readonly getAllowance: () => RetryAllowance;
-    /** Returns the number of nodes that may be at work; each takes an equal part of the extra. */
+    /** Returns the number of nodes that may be active; each takes an equal part of the extra. */
     readonly getNodeCount: () => number;
 }
 
@@ -34,9 +34,9 @@
 }
 
 /**
- * Counts the requests and the repeats of one pool. The ratio is kept node by node: what holds for each node's own requests
- * holds for their sum, so it needs no coordination. Under a failure that hits every request, the load on the pool is
- * bounded by (1 + ratio) times the callers' own.
+ * Counts the requests and the retries of one pool. Each node applies the ratio to its own requests, so it also holds for the sum of all
+ * nodes, without coordination. When every request fails, the load on the pool is at most (1 + ratio) times the callers' load, apart from
+ * the extra.
  */
 export class WindowedRetryBudget {
     readonly #options: WindowedRetryBudgetOptions;
@@ -46,12 +46,12 @@
         this.#options = options;
     }
 
-    /** Notes the first sending of a request. */
+    /** Records the first attempt of a request. */
     addRequest(): void {
         this.#getSlice().requests += 1;
     }
 
-    /** Returns how many repeats are left in the window. */
+    /** Returns the number of retries left in the window. */
     getLeft(): number {
         this.#removeExpired();
         let requests = 0;
@@ -66,8 +66,8 @@
     }
 
     /**
-     * Takes a repeat out of the budget.
-     * @param reserve - Repeats that are left to more important work.
+     * Takes a retry from the budget.
+     * @param reserve - Retries that are reserved for more important requests.
      * @returns Whether there was one.
      */
     take(reserve = 0): boolean {
--- a/test/decisions/retries/windowedRetryBudget.test.ts
+++ b/test/decisions/retries/windowedRetryBudget.test.ts
@@ -16,10 +16,10 @@
     return { clock, budget };
 }
 
-describe("WindowedBudget", () => {
-    // Every runner fails every request, and each request is sent again as often as its route allows. Without a bound the
-    // runners would get three times their load at the moment when they can bear least.
-    it("keeps repeats below their ratio in every window while all requests fail", () => {
+describe("WindowedRetryBudget", () => {
+    // Guards against retry storms. If every runner fails every request and each request is repeated as often as its route allows, the
+    // runners would get three times their load when they can handle the least.
+    it("keeps retries below their ratio in every window while all requests fail", () => {
         const { clock, budget } = createBudget();
         const sent: { readonly at: number; readonly isRepeat: boolean; }[] = [];
         for (let step = 0; step < 4_000; step += 1) {
@@ -45,7 +45,7 @@
         }
     });
 
-    it("shares what is allowed beyond the ratio among the nodes", () => {
+    it("divides the retries beyond the ratio among the nodes", () => {
         const { budget } = createBudget({ extra: 56, nodes: 8 });
         let taken = 0;
         while (budget.take()) {
@@ -54,16 +54,16 @@
         expect(taken).toEqual(6);
     });
 
-    it("forgets what was taken when the window has passed", () => {
+    it("does not count retries after their window has passed", () => {
         const { clock, budget } = createBudget({ extra: 10 });
         while (budget.take()) {
-            // Takes everything.
+            // Uses up the budget.
         }
         clock.advance(windowMilliseconds + 1_000);
         expect(budget.take()).toEqual(true);
     });
 
-    it("leaves a reserve to more important work", () => {
+    it("keeps a reserve for more important requests", () => {
         const { budget } = createBudget({ extra: 10 });
         expect([budget.take(9), budget.take()]).toEqual([false, true]);
     });
