--- a/src/decisions/cascade/confidenceCascade.ts
+++ b/src/decisions/cascade/confidenceCascade.ts
@@ -1,43 +1,44 @@
 /**
- * Which model answers first, and whether its answer is good enough, by the model's own opinion of it.
+ * Model cascade: selection of the first model, and of a larger one if the confidence that the model reports for its answer is low.
  */
 
-/** What the choice of the first model rests on. */
+/** Options of the selection of the first model. */
 export interface FirstModelOptions {
-    /** Models that may answer, smallest first. */
+    /** Eligible models, smallest first. */
     readonly models: readonly string[];
-    /** Repeats left in the pool's budget: a second model costs one. */
+    /** Retries left in the pool's budget. A second model takes one. */
     readonly retriesLeft: number;
-    /** Runners that the request may be sent to. */
+    /** Number of runners that the request may still be sent to. */
     readonly attemptsLeft: number;
-    /** Whether the caller has a part of an answer already, which only goes on with a model at least as good. */
+    /** Whether the caller already has a part of an answer, which must be continued by a model of at least the same quality. */
     readonly isContinued: boolean;
 }
 
-/** What the decision on an answer rests on. */
+/** Options of the decision whether to accept an answer. */
 export interface AcceptanceOptions {
+    /** Eligible models, smallest first. */
     readonly models: readonly string[];
     /** The model that answered. */
     readonly model: string;
-    /** Its opinion of the answer, 0 to 100; undefined when it has none. */
+    /** Confidence of the model in its answer, from 0 to 100; undefined when it reports none. */
     readonly confidence: number | undefined;
-    /** Tells whether another model's answer would still begin in time; asked only where that decides. */
+    /** Returns whether an answer of another model would still start in time. Called only if the decision depends on it. */
     readonly isInTime: () => boolean;
 }
 
-/** Answers below this confidence go to the largest model: more of them would cost more than better answers bring. */
+/** Answers below this confidence are escalated to the largest model. A higher threshold would cost more than the better answers gain. */
 const minAcceptedConfidence = 50;
 /**
- * When a better answer would be late, it is worth a tenth to a third of one in time, so only an answer that is almost certainly
- * poor is given up for it. At the worst load this also keeps the work of second answers away from crowded runners.
+ * Threshold that applies when the better answer would be late. A late answer is worth a tenth to a third of one in time, so only an
+ * answer that is almost certainly poor is discarded for it. At peak load, this also avoids second requests to overloaded runners.
  */
 const minAcceptedLateConfidence = 20;
-/** Below this many repeats a cascade might end with a poor answer that nothing is left to better. */
+/** Minimum number of retries left for a cascade. With fewer, a poor answer could not be escalated. */
 const minRetries = 2;
 
 /**
- * Returns the model that answers first: the smallest, unless a second step would not be possible.
- * @param options - What the choice rests on.
+ * Returns the model that answers first: the smallest, or the largest when an escalation is not possible or an answer is continued.
+ * @param options - The options.
  */
 export function chooseFirstModel(options: FirstModelOptions): string | undefined {
     const { models, retriesLeft, attemptsLeft, isContinued } = options;
@@ -48,9 +49,9 @@
 }
 
 /**
- * Returns the model to ask in place of the one that answered, or undefined when its answer is good enough. The step goes
- * straight to the largest model: with a middle step in between, a request may need three runners, and none is left for a failure.
- * @param options - What the decision rests on.
+ * Returns the model that answers instead, or undefined when the answer is accepted. Escalation goes directly to the largest model: with
+ * an intermediate model, a request could need three runners, and no attempt would be left for a failure.
+ * @param options - The options.
  */
 export function chooseNextModel(options: AcceptanceOptions): string | undefined {
     const { models, model, confidence, isInTime } = options;
--- a/src/decisions/cascade/index.ts
+++ b/src/decisions/cascade/index.ts
@@ -1,2 +1,2 @@
-/** Which model answers, and whether its answer is good enough. */
+/** Model cascade: which model answers first, and whether its answer is escalated. */
 export * from "./confidenceCascade.js";
--- a/test/decisions/cascade/confidenceCascade.test.ts
+++ b/test/decisions/cascade/confidenceCascade.test.ts
@@ -6,36 +6,38 @@
 const firstModelOptions = { models, retriesLeft: 20, attemptsLeft: 3, isContinued: false };
 
 describe("chooseFirstModel", () => {
-    it("begins with the smallest", () => {
+    it("starts with the smallest model", () => {
         expect(chooseFirstModel(firstModelOptions)).toEqual("small");
     });
 
-    // The pool's repeats are used up. A small model's poor answer could not be bettered, and the caller would be left with it.
-    it("begins with the largest when no second step is possible", () => {
+    // Guards against poor answers that cannot be escalated. When the pool's retries are used up, the caller would get the small model's
+    // poor answer.
+    it("starts with the largest model when no escalation is possible", () => {
         expect(chooseFirstModel({ ...firstModelOptions, retriesLeft: 1 })).toEqual("large");
         expect(chooseFirstModel({ ...firstModelOptions, attemptsLeft: 1 })).toEqual("large");
     });
 
-    it("goes on with the largest where the caller has a part of an answer", () => {
+    it("continues a partial answer with the largest model", () => {
         expect(chooseFirstModel({ ...firstModelOptions, isContinued: true })).toEqual("large");
     });
 });
 
 describe("chooseNextModel", () => {
-    it("keeps an answer that the model trusts, or says nothing of", () => {
+    it("accepts an answer with a sufficient or no confidence", () => {
         expect(chooseNextModel({ models, model: "small", confidence: 50, isInTime: () => true })).toEqual(undefined);
         expect(chooseNextModel({ models, model: "small", confidence: undefined, isInTime: () => true })).toEqual(
             undefined,
         );
     });
 
-    it("asks the largest in place of a model that doubts itself, and nobody in place of the largest", () => {
+    it("escalates an answer with a low confidence to the largest model, and never one of the largest", () => {
         expect(chooseNextModel({ models, model: "small", confidence: 49, isInTime: () => true })).toEqual("large");
         expect(chooseNextModel({ models, model: "large", confidence: 0, isInTime: () => true })).toEqual(undefined);
     });
 
-    // Runners are crowded. A second answer would come too late to be of much use, and crowd them more.
-    it("keeps a doubtful answer when a better one would be late, and gives up one that is almost certainly poor", () => {
+    // Guards against late second answers. When runners are overloaded, a second answer would be too late to be of much use and would add
+    // to the overload.
+    it("accepts a doubtful answer when a better one would be late, unless it is almost certainly poor", () => {
         expect(chooseNextModel({ models, model: "small", confidence: 30, isInTime: () => false })).toEqual(undefined);
         expect(chooseNextModel({ models, model: "small", confidence: 10, isInTime: () => false })).toEqual("large");
     });
