--- a/src/decisions/loading/index.ts
+++ b/src/decisions/loading/index.ts
@@ -1,4 +1,4 @@
-/** Which versions each runner of a pool is to have loaded. */
+/** Decision which versions each runner of a pool loads. */
 export * from "./loading.js";
 export * from "./loadingOrders.js";
 export * from "./versionPlacement.js";
--- a/src/decisions/loading/loading.ts
+++ b/src/decisions/loading/loading.ts
@@ -1,44 +1,44 @@
 /**
- * What the placement of versions on runners depends on: plain data that is read at one moment.
+ * Input of the placement of versions on runners: a snapshot as plain data.
  */
 
-/** A runner as its engine reported. */
+/** Represents the state of a runner as reported by its engine. */
 export interface LoadingRunner {
     readonly id: string;
     readonly failureDomain: string;
-    /** Identifiers of the versions that it has loaded. */
+    /** Identifiers of the versions that the runner has loaded. */
     readonly versions: readonly string[];
-    /** Identifiers of the versions that it was ordered to load and does not report yet. */
+    /** Identifiers of the versions that the runner was ordered to load and does not report yet. */
     readonly loading: readonly string[];
-    /** Whether it works on nothing. */
+    /** Whether the runner has no requests in flight. */
     readonly isIdle: boolean;
-    /** Whether it did not load a version in time. It keeps what it has and is given nothing new. */
+    /** Whether the runner did not load a version in time. It keeps its versions and gets no new ones. */
     readonly isStalled: boolean;
 }
 
-/** A version that is to be loaded. */
+/** Represents a version that is to be loaded. */
 export interface PlacedVersion {
     readonly id: string;
-    /** Work that it gets, in any unit that all versions share. */
+    /** Demand for the version, in any unit that is the same for all versions. */
     readonly demand: number;
 }
 
-/** What is to be decided for a pool. */
+/** Input of a loading decision for a pool. */
 export interface LoadingRequest {
-    /** The runners that answer. */
+    /** The reachable runners. */
     readonly runners: readonly LoadingRunner[];
     /** Versions that are to be loaded. */
     readonly placed: readonly PlacedVersion[];
-    /** Versions that are loaded nowhere anew, and stay where they are until their room is needed. */
+    /** Versions that are not loaded on further runners, and stay loaded until their slot is needed. */
     readonly evictable: ReadonlySet<string>;
-    /** Versions that are to go once no work of theirs can be under way: at once on an idle runner. */
+    /** Versions that are unloaded as soon as none of their requests can be in flight: at once on an idle runner. */
     readonly retiring: ReadonlySet<string>;
     readonly versionsPerRunner: number;
-    /** Runners that may load at a time. */
+    /** Maximum number of runners that load at a time. */
     readonly loadsAtATime: number;
-    /** Runners that each version needs at least. */
+    /** Minimum number of runners for each version. */
     readonly minCopies: number;
 }
 
-/** Failure domains that a version is spread over at least, so that the loss of one leaves it running. */
+/** Minimum number of failure domains for a version, so that it stays available when one of them fails. */
 export const minFailureDomains = 2;
--- a/src/decisions/loading/loadingOrders.ts
+++ b/src/decisions/loading/loadingOrders.ts
@@ -1,35 +1,38 @@
 /**
- * The next orders to a pool's engines: what brings them closer to the placement without taking a version away before
- * its replacement reports ready.
+ * Next orders to a pool's engines. They bring the engines closer to the placement without unloading a version before its replacement
+ * is reported ready.
  */
 import { type LoadingRequest, type LoadingRunner, minFailureDomains } from "./loading.js";
 import { placeVersions, type VersionPlacement } from "./versionPlacement.js";
 
-/** A version takes the room of others only while it has less than this part of its runners, lest the two take turns. */
+/**
+ * A version evicts others only while it is ready on less than this share of its runners. Without the gap, two versions could evict
+ * each other in turns.
+ */
 const evictionShare = 0.75;
 
-/** The state that a runner is to be ordered into. */
+/** Represents an order to a runner: the versions that it is to have loaded. */
 export interface LoadingOrder {
     readonly runner: string;
     readonly versions: readonly string[];
-    /** The version that it begins to load with this order, or goes on to load. */
+    /** The version that the runner starts or continues to load with this order. */
     readonly loadingVersion: string | undefined;
 }
 
-/** What was decided for a pool. */
+/** Result of a loading decision for a pool. */
 export interface LoadingDecision {
     readonly placement: VersionPlacement;
-    /** Orders for the runners that are not as they are wanted now. */
+    /** Orders for the runners whose loaded versions differ from the desired ones. */
     readonly orders: readonly LoadingOrder[];
-    /** Loads that the placement still asks for, those that are ordered now among them. */
+    /** Number of loads that the placement still requires, including those ordered now. */
     readonly missing: number;
-    /** Versions that have no runner in the placement, since there is no room. */
+    /** Versions that have no runner in the placement, for lack of capacity. */
     readonly unplaced: readonly string[];
 }
 
 /**
  * Decides the next orders of a pool.
- * @param request - What is to be decided.
+ * @param request - The input of the decision.
  */
 export function decideLoading(request: LoadingRequest): LoadingDecision {
     const placement = placeVersions(request);
@@ -41,18 +44,18 @@
     readonly runner: LoadingRunner;
     readonly version: string;
     readonly isInProgress: boolean;
-    /** How urgent it is; the least first. */
+    /** Rank of the load; the lowest is the most urgent. */
     readonly rank: number;
 }
 
-/** One step from what the runners report towards the placement. */
+/** Plans one step from the reported state of the runners towards the placement. */
 class LoadingPlanner {
     readonly #request: LoadingRequest;
     readonly #placement: VersionPlacement;
-    /** For each version and failure domain, the runners that report it and are not to unload it. */
+    /** Number of runners by version and failure domain that report the version and are not ordered to unload it. */
     readonly #ready = new Map<string, Map<string, number>>();
     readonly #desiredVersions = new Map<string, Set<string>>();
-    /** For each placed version, over how many failure domains its placement spreads. */
+    /** Number of failure domains of each placed version's placement. */
     readonly #placedDomainCounts: ReadonlyMap<string, number>;
 
     constructor(request: LoadingRequest, placement: VersionPlacement) {
@@ -99,7 +102,7 @@
         return this.#request.retiring.has(version) && !runner.isIdle;
     }
 
-    /** Lists the loads that are missing: those under way first, then versions that are ready in the fewest places. */
+    /** Returns the missing loads: those in progress first, then by rank. */
     #listLoads(): readonly MissingLoad[] {
         const loads: MissingLoad[] = [];
         for (const runner of this.#request.runners) {
@@ -118,7 +121,7 @@
         );
     }
 
-    /** A first copy comes first, then the first in a second failure domain, then those that make up the number. */
+    /** Ranks a load: the first copy of a version comes first, then the first in a second failure domain, then the remaining copies. */
     #rank(version: string, failureDomain: string): number {
         const domains = this.#ready.get(version) ?? new Map<string, number>();
         if (domains.size < minFailureDomains) {
@@ -127,7 +130,7 @@
         return 1 + this.#countReady(version) / (this.#placement.get(version)?.size ?? 1);
     }
 
-    /** Takes versions off a runner until one more fits; false when none may go yet. */
+    /** Evicts versions from a runner until one more fits. Returns false when no version may be evicted yet. */
     #evictUntilFits(runner: LoadingRunner, version: string): boolean {
         const desired = this.#desiredVersions.get(runner.id) ?? new Set<string>();
         if (desired.size < this.#request.versionsPerRunner) {
@@ -148,7 +151,7 @@
         return desired.size < this.#request.versionsPerRunner || this.#evictUntilFits(runner, version);
     }
 
-    /** Finds a version that may leave a runner: one that is merely kept, or one that is ready elsewhere. */
+    /** Finds a version that may be evicted from a runner: one that is marked as evictable, or a misplaced one that is ready elsewhere. */
     #findEvictable(runner: LoadingRunner, desired: ReadonlySet<string>): string | undefined {
         for (const version of desired) {
             if (this.#request.evictable.has(version)) {
@@ -165,8 +168,8 @@
     }
 
     /**
-     * Tells whether a version is ready on enough other runners. Unloaded before, callers of a version that still serves
-     * would be refused until its replacement has loaded, which may take minutes or, with the weight store away, hours.
+     * Returns whether a version is ready on enough other runners. If it were unloaded before, its callers would be refused until the
+     * replacement has loaded, which may take minutes, or hours when the weight store is unavailable.
      */
     #isReadyWithout(version: string, runner: LoadingRunner): boolean {
         const domains = new Map(this.#ready.get(version));
--- a/src/decisions/loading/versionPlacement.ts
+++ b/src/decisions/loading/versionPlacement.ts
@@ -1,26 +1,26 @@
 /**
- * Places versions on the runners of a pool by demand and failure domain, with the least moves: what is loaded already
- * counts first.
+ * Placement of versions on the runners of a pool by demand and failure domain. Runners that already have a version loaded are used
+ * first, to minimize the number of moves.
  */
 import { type LoadingRequest, type LoadingRunner, minFailureDomains, type PlacedVersion } from "./loading.js";
 
-/** A version gets so many times its proportional part of the runners, so that requests have a choice among them. */
+/** Factor by which a version gets more runners than its proportional share, so that requests can select among several runners. */
 const overprovisioningFactor = 2;
-/** Demand that is taken for granted, so that versions that had no requests yet share empty runners evenly. */
+/** Demand that is added to each version, so that versions without requests share empty runners evenly. */
 const assumedDemand = 1;
 
-/** For each version, the runners that are to have it. */
+/** Identifiers of the runners for each version. */
 export type VersionPlacement = ReadonlyMap<string, ReadonlySet<string>>;
 
-/** A runner with what is placed on it so far. */
+/** Represents a runner with the versions placed on it so far. */
 interface RunnerAssignment {
     readonly runner: LoadingRunner;
     readonly versions: Set<string>;
 }
 
 /**
- * Returns how many runners each version gets.
- * @param request - What is to be decided.
+ * Returns the number of runners for each version.
+ * @param request - The input of the decision.
  */
 export function countCopies(request: LoadingRequest): ReadonlyMap<string, number> {
     const { runners, placed, versionsPerRunner } = request;
@@ -49,14 +49,14 @@
 
 /**
  * Places versions on runners.
- * @param request - What is to be decided.
+ * @param request - The input of the decision.
  */
 export function placeVersions(request: LoadingRequest): VersionPlacement {
     const assignments = request.runners.map(runner => ({ runner, versions: new Set<string>() }));
     const copies = countCopies(request);
     const placement = new Map<string, Set<string>>();
-    // What is loaded is placed for all versions before anything is added, or a new version would take the room of one
-    // that is loaded there, and that one would have to move without need.
+    // Loaded copies of all versions are placed before any copy is added. Otherwise a new version could take the slot of a version that
+    // is loaded there, which would have to move without need.
     for (const { id } of request.placed) {
         const loaded = assignments.filter(({ runner }) => runner.versions.includes(id) || runner.loading.includes(id));
         placement.set(id, new Set());
@@ -76,9 +76,8 @@
 }
 
 /**
- * Makes room for a version in a second failure domain: another version leaves a full runner there, for one with room or
- * in exchange. Without it a version stays in one failure domain, although there is room in all, when others were
- * placed first.
+ * Makes room for a version in a second failure domain: moves another version from a full runner there to one with free capacity, or swaps the
+ * two. Otherwise a version could stay in a single failure domain despite enough total capacity, because others were placed before it.
  */
 function spreadOverDomains(
     id: string,
@@ -87,14 +86,14 @@
     versionsPerRunner: number,
 ): void {
     const available = assignments.filter(assignment => !assignment.runner.isStalled);
-    const own = available.filter(assignment => assignment.versions.has(id));
+    const holders = available.filter(assignment => assignment.versions.has(id));
     const withFreeCapacity = available.filter(assignment => assignment.versions.size < versionsPerRunner);
     for (const assignment of available) {
-        if (own.length === 0 || assignment.runner.failureDomain === own[0].runner.failureDomain) {
+        if (holders.length === 0 || assignment.runner.failureDomain === holders[0].runner.failureDomain) {
             continue;
         }
         for (const other of assignment.versions) {
-            const target = [...withFreeCapacity, ...own.slice(1)].find(candidate =>
+            const target = [...withFreeCapacity, ...holders.slice(1)].find(candidate =>
                 !candidate.versions.has(other) && isSpreadAfterMove(other, assignment, candidate, assignments)
             );
             if (target !== undefined) {
@@ -110,7 +109,7 @@
     }
 }
 
-/** Tells whether a version that moves has a copy in another failure domain than the one it moves to. */
+/** Returns whether a version that is moved has another copy outside of the failure domain that it is moved to. */
 function isSpreadAfterMove(
     version: string,
     from: RunnerAssignment,
@@ -144,7 +143,7 @@
     readonly request: LoadingRequest;
 }
 
-/** Places a version on runners, from one failure domain after the other, until it has its number of copies. */
+/** Places a version on runners of alternating failure domains until it has its number of copies. */
 function assignCopies({ id, placement, assignments, count, request }: CopyAssignment): void {
     const assigned = placement.get(id) ?? new Set<string>();
     const domains = countDomains(request.runners, assigned);
@@ -156,7 +155,7 @@
     for (;;) {
         const domain = findLeastCoveredDomain(queues, domains);
         const isSpread = domains.size >= minFailureDomains || domain === undefined || domains.has(domain);
-        // A version whose copies all lie in one failure domain gets one more elsewhere, beyond its number.
+        // A version whose copies are all in one failure domain gets one more in another, beyond its number of copies.
         if (domain === undefined || assigned.size >= count && (isSpread || count < minFailureDomains)) {
             return;
         }
@@ -170,7 +169,7 @@
     }
 }
 
-/** Groups runners by failure domain, in each the emptiest first. */
+/** Groups runners by failure domain, with the fewest placed versions first. */
 function groupByDomain(
     assignments: readonly RunnerAssignment[],
     isFree: (assignment: RunnerAssignment) => boolean,
@@ -201,7 +200,7 @@
     return runner.versions.length >= versionsPerRunner;
 }
 
-/** Finds the failure domain with the fewest copies that has a runner left; of equal ones, that with the emptiest. */
+/** Finds the failure domain with the fewest copies that has a runner left. Ties go to the runner with the fewest placed versions. */
 function findLeastCoveredDomain(
     queues: ReadonlyMap<string, readonly RunnerAssignment[]>,
     domains: ReadonlyMap<string, number>,
--- a/test/decisions/loading/loadingOrders.test.ts
+++ b/test/decisions/loading/loadingOrders.test.ts
@@ -31,7 +31,7 @@
     return ids.map(id => ({ id, demand: 0 }));
 }
 
-/** Obeys the orders of a decision: unloads at once, and loads where the chance says so. */
+/** Applies the orders of a decision: unloads at once, and loads if `hasLoaded` returns true. */
 function applyOrders(request: LoadingRequest, hasLoaded: () => boolean): LoadingRequest {
     const orders = new Map(decideLoading(request).orders.map(order => [order.runner, order]));
     const runners = request.runners.map(runner => {
@@ -53,9 +53,9 @@
 }
 
 describe("decideLoading", () => {
-    // Two versions that serve and a candidate take turns on runners that have room for two, while loads take any time.
-    // Unloaded too early, a version that serves is nowhere for minutes and its callers are refused.
-    it("never leaves a version without a ready runner, and reaches two failure domains for each", () => {
+    // Guards against unloading a version too early. Several versions compete for runners with two slots each, while loads take any time.
+    // A version without a ready runner is unavailable for minutes, and its callers are refused.
+    it("never leaves a version without a ready runner, and spreads each over two failure domains", () => {
         const random = new RandomSource(7);
         for (let round = 0; round < 200; round += 1) {
             const names = ["a", "b", "c", "d"].slice(0, 2 + random.nextInteger(3));
@@ -85,8 +85,8 @@
         }
     });
 
-    // The weight store is slow, and another runner is still loading the version. Given up too soon for the room that it
-    // takes, the version is nowhere until that load has ended.
+    // Guards against evicting the only ready copy. While the weight store is slow and another runner is still loading the version, the
+    // version would be unavailable until that load has ended.
     it("keeps a version on its only ready runner while another one loads it", () => {
         const [loading, ready] = createRunners([[], ["a"]]);
         const runners = [{ ...loading, loading: ["a"] }, ready];
@@ -95,7 +95,7 @@
         expect(loads).toEqual([["runner-0", ["a"]]]);
     });
 
-    it("orders nothing where every version is loaded as widely as it is needed", () => {
+    it("orders nothing when every version has its copies", () => {
         const request = createRequest({
             runners: createRunners([["a", "b"], ["a", "b"]]),
             placed: createPlacedVersions("a", "b"),
@@ -103,8 +103,8 @@
         expect(decideLoading(request).orders).toEqual([]);
     });
 
-    // A version was withdrawn while an answer of it is under way. Unloaded at once, the answer would break off.
-    it("unloads a version that retires on idle runners only, and one that is gone everywhere", () => {
+    // Guards against unloading a withdrawn version while one of its answers is in flight, which would be cut off.
+    it("unloads a retiring version on idle runners only, and a removed one everywhere", () => {
         const [busy, idle] = createRunners([["a", "old"], ["a", "old"]]);
         const runners = [{ ...busy, isIdle: false }, idle];
         const retiring = createRequest({ runners, placed: createPlacedVersions("a"), retiring: new Set(["old"]) });
@@ -113,8 +113,8 @@
         expect(decideLoading(removed).orders.map(order => order.versions)).toEqual([["a"], ["a"]]);
     });
 
-    // One engine hangs on its load. Counted on for ever, the version would never reach a second failure domain.
-    it("passes over a runner that does not load in time", () => {
+    // Guards against waiting for an engine whose load hangs. If it still counted, the version would never reach a second failure domain.
+    it("skips a runner that does not load in time", () => {
         const [first, second, third] = createRunners([["a"], [], ["a"]], 3);
         const runners = [first, { ...second, isStalled: true }, third];
         const request = createRequest({ runners, placed: [...createPlacedVersions("a"), { id: "b", demand: 1 }] });
@@ -122,18 +122,21 @@
         expect(loads).toEqual([["runner-0", "b"], ["runner-2", "b"]]);
     });
 
-    it("keeps what is merely kept until its room is needed", () => {
+    it("keeps evictable versions until their slot is needed", () => {
         const runners = createRunners([["a", "spare"], ["a", "spare"]]);
-        const kept = new Set(["spare"]);
-        expect(decideLoading(createRequest({ runners, placed: createPlacedVersions("a"), evictable: kept })).orders)
+        const evictableVersions = new Set(["spare"]);
+        expect(
+            decideLoading(createRequest({ runners, placed: createPlacedVersions("a"), evictable: evictableVersions }))
+                .orders,
+        )
             .toEqual([]);
         const { orders } = decideLoading(
-            createRequest({ runners, placed: createPlacedVersions("a", "b"), evictable: kept }),
+            createRequest({ runners, placed: createPlacedVersions("a", "b"), evictable: evictableVersions }),
         );
         expect(orders.map(order => order.versions)).toEqual([["a", "b"], ["a", "b"]]);
     });
 
-    it("says which versions there is no room for", () => {
+    it("reports the versions without capacity", () => {
         const request = createRequest({
             runners: createRunners([["a"]]),
             placed: createPlacedVersions("a", "b"),
@@ -143,7 +146,7 @@
         expect([orders, unplaced]).toEqual([[], ["b"]]);
     });
 
-    it("gives a version with more demand more runners", () => {
+    it("places a version with more demand on more runners", () => {
         const runners = createRunners(Array.from({ length: 12 }, () => []), 4);
         const placed = [{ id: "a", demand: 900 }, { id: "b", demand: 100 }];
         const { placement } = decideLoading(createRequest({ runners, placed }));
