--- a/src/decisions/loading/versionPlacement.ts
+++ b/src/decisions/loading/versionPlacement.ts
@@ -76,8 +76,9 @@
 }
 
 /**
- * Makes room for a version in a second failure domain: moves another version from a full runner there to one with free capacity, or swaps the
- * two. Otherwise a version could stay in a single failure domain despite enough total capacity, because others were placed before it.
+ * Makes room for a version in a second failure domain: moves another version from a full runner there to one with free capacity, or
+ * swaps the two. Otherwise a version could stay in a single failure domain despite enough total capacity, because others were placed
+ * before it.
  */
 function spreadOverDomains(
     id: string,
--- a/src/decisions/placement/health.ts
+++ b/src/decisions/placement/health.ts
@@ -56,7 +56,7 @@
     /**
      * Ejects the runner, for twice as long each time up to a limit.
      * @param now - Monotonic milliseconds.
-     * @param randomFraction - Random number from 0 to 1 for the jitter, without which all entries would return to the runner at the same moment.
+     * @param randomFraction - Random number from 0 to 1 for the jitter. Without it, all entries would return to the runner at once.
      * @returns The duration of the ejection, in milliseconds.
      */
     eject(now: number, randomFraction: number): number {
