--- a/src/decisions/model/answerTimes.ts
+++ b/src/decisions/model/answerTimes.ts
@@ -1,22 +1,22 @@
 /**
- * How long whole answers and ratings take, from which the wait for a cascade's first answer is told beforehand.
+ * Smoothed durations of complete answers and ratings, used to predict the wait for the first token of a cascade.
  */
 import type { Clock } from "../../common/index.js";
 
-/** Weights of a new value, as TCP takes them for its retransmission timer (RFC 6298). */
+/** Smoothing factors as in TCP's retransmission timer (RFC 6298). */
 const meanWeight = 1 / 8;
 const deviationWeight = 1 / 4;
-/** Mean deviations above the mean below which about 95 in 100 values lie. */
+/** Number of mean deviations above the mean below which about 95 % of the values lie. */
 const highDeviations = 2;
 /**
- * Age after which a time is forgotten. A version that was slow for a while is used less, so that it gives no new times:
- * its old ones would keep it out for good.
+ * Age after which a duration expires. A version that was slow for a while is used less and so yields no new durations.
+ * Without expiry its old ones would exclude it permanently.
  */
 const maxAgeMilliseconds = 60_000;
-/** Classes that are kept. Callers name them, so there may be any number. */
+/** Maximum number of classes in memory. Callers choose the names, so the number of classes is unbounded. */
 const maxClasses = 1024;
 
-/** Times of one answer, in milliseconds. */
+/** Durations of one answer, in milliseconds. */
 export interface AnswerTime {
     readonly firstToken: number;
     readonly total: number;
@@ -27,10 +27,10 @@
     readonly total: SmoothedTime;
 }
 
-/** Learns how long answers take. */
+/** Records how long answers and ratings take. */
 export class AnswerTimes {
     readonly #clock: Clock;
-    /** By class, and by version within it. */
+    /** By class, then by version. */
     readonly #classes = new Map<string, Map<string, VersionTimes>>();
     readonly #rating = new SmoothedTime();
 
@@ -39,10 +39,10 @@
     }
 
     /**
-     * Adds an answer.
+     * Adds the durations of an answer.
      * @param version - Identifier of the version.
      * @param requestClass - The class of the request.
-     * @param time - How long it took.
+     * @param time - Its durations.
      */
     add(version: string, requestClass: string, time: AnswerTime): void {
         const now = this.#clock.monotonic();
@@ -59,20 +59,20 @@
     }
 
     /**
-     * Adds a rating.
-     * @param milliseconds - How long it took.
+     * Adds the duration of a rating.
+     * @param milliseconds - The duration.
      */
     addRating(milliseconds: number): void {
         this.#rating.add(milliseconds, this.#clock.monotonic());
     }
 
     /**
-     * Returns how long a caller may have to wait for the first token of a cascade: its first answer is held back until
-     * it is whole and rated, and may be followed by the second one. A version without times is taken to be as slow as
-     * the slowest one of the class; without any the wait is unknown.
+     * Returns an upper estimate of a caller's wait for the first token of a cascade. The first answer is held back
+     * until it is complete and rated, and the second one may follow it. A version without durations is assumed to be as
+     * slow as the slowest one of the class. Returns `undefined` if the class has no durations.
      * @param requestClass - The class of the request.
      * @param first - Identifier of the version that answers first.
-     * @param second - Identifier of the version that answers what the first one did not answer well.
+     * @param second - Identifier of the version that answers if the first answer is rejected.
      */
     getCascadeWaitMilliseconds(requestClass: string, first: string, second: string): number | undefined {
         const versions = this.#classes.get(requestClass);
@@ -80,8 +80,8 @@
             return undefined;
         }
         const now = this.#clock.monotonic();
-        const total = getUpperBoundOrLongest(versions, first, times => times.total.getUpperBound(now));
-        const firstToken = getUpperBoundOrLongest(versions, second, times => times.firstToken.getUpperBound(now));
+        const total = getUpperBoundOrMax(versions, first, times => times.total.getUpperBound(now));
+        const firstToken = getUpperBoundOrMax(versions, second, times => times.firstToken.getUpperBound(now));
         if (total === undefined || firstToken === undefined) {
             return undefined;
         }
@@ -106,7 +106,7 @@
         this.#addedAt = now;
     }
 
-    /** Returns the time within which about 95 in 100 stay, or `undefined` without a recent one. */
+    /** Returns the duration that about 95 % of the values stay below, or `undefined` without a recent value. */
     getUpperBound(now: number): number | undefined {
         return now - this.#addedAt > maxAgeMilliseconds
             ? undefined
@@ -114,8 +114,8 @@
     }
 }
 
-/** Gets a time of a version, or the longest of its class when it has none of its own. */
-function getUpperBoundOrLongest(
+/** Returns the upper bound of a version's duration, or the longest one of its class if the version has none. */
+function getUpperBoundOrMax(
     versions: ReadonlyMap<string, VersionTimes>,
     version: string,
     select: (times: VersionTimes) => number | undefined,
@@ -125,10 +125,10 @@
     if (ownTime !== undefined) {
         return ownTime;
     }
-    let longest: number | undefined;
+    let max: number | undefined;
     for (const times of versions.values()) {
         const time = select(times);
-        longest = time === undefined ? longest : Math.max(longest ?? 0, time);
+        max = time === undefined ? max : Math.max(max ?? 0, time);
     }
-    return longest;
+    return max;
 }
--- a/src/decisions/model/bucketSeries.ts
+++ b/src/decisions/model/bucketSeries.ts
@@ -1,13 +1,13 @@
 /**
- * A series of counts in time: fine steps for what is recent, ever coarser ones for what is old. Its size is bounded
- * by the logarithm of the time that it covers, and it still tells when a version changed.
+ * A time series of counts with fine buckets for recent epochs and increasingly coarse ones for older epochs. Its size
+ * grows with the logarithm of the covered time, and recent buckets stay fine enough to detect when a version changed.
  */
 import { Tally } from "./tally.js";
 
 const bucketsPerLevel = 3;
 const levelCount = 14;
 
-/** Counts of `2 ** level` epochs that begin at `start`. */
+/** Counts of `2 ** level` epochs, starting at `start`. */
 export interface Bucket {
     /** The first epoch; a multiple of `2 ** level`. */
     readonly start: number;
@@ -15,15 +15,15 @@
     readonly tally: Tally;
 }
 
-/** One bucket as it travels: start, level, then the encoded tally. */
+/** A bucket as it is sent to other nodes: start, level, then the encoded tally. */
 export type EncodedBucket = readonly number[];
 
-/** Holds the buckets of one version and class that one node has counted. */
+/** Holds the buckets that one node has counted for one version and class. */
 export class BucketSeries {
-    /** In ascending order of start. */
+    /** Sorted by ascending start. */
     #buckets: Bucket[] = [];
 
-    /** Reads a series back from what `encode` returned. */
+    /** Decodes a series that `encode` returned. */
     static decode(encoded: readonly EncodedBucket[]): BucketSeries {
         const series = new BucketSeries();
         for (const [start, level, ...tally] of encoded) {
@@ -38,8 +38,8 @@
     }
 
     /**
-     * Gets the tally that counts an epoch; adds one where there is none.
-     * @param epoch - The epoch in which the answer was given; it may be an old one, since ratings come late.
+     * Returns the tally of the bucket that contains an epoch. Creates the bucket if none contains it.
+     * @param epoch - The epoch in which the answer was given. It may lie in the past, since ratings arrive late.
      */
     getTally(epoch: number): Tally {
         let index = this.#buckets.length;
@@ -59,7 +59,7 @@
         return tally;
     }
 
-    /** Returns the series as arrays of numbers. */
+    /** Encodes the series as arrays of numbers. */
     encode(): readonly EncodedBucket[] {
         return this.#buckets.map(bucket => [bucket.start, bucket.level, ...bucket.tally.encode()]);
     }
@@ -74,7 +74,7 @@
         }
     }
 
-    /** Moves the oldest bucket of a level into the next coarser one; drops it at the coarsest level. */
+    /** Merges the oldest bucket of a level into the next coarser level. Drops it if the level is the coarsest one. */
     #mergeIntoCoarserLevel(oldest: Bucket): void {
         const width = 2 ** (oldest.level + 1);
         const start = Math.floor(oldest.start / width) * width;
--- a/src/decisions/model/cellCounts.ts
+++ b/src/decisions/model/cellCounts.ts
@@ -1,29 +1,32 @@
 /**
- * Reads the counts of a version in one class of request, those from before a change left out.
+ * Reads the counts of a version in one request class, excluding counts from before its last detected change.
  */
 import type { Evidence } from "./evidence.js";
 import { Moments, type ScoreSums, WeightedScores } from "./moments.js";
 import { scoreSteps } from "./tally.js";
 
-/** Variance of single scores that is assumed before any came in, and how many scores that assumption weighs. */
+/** Prior variance of single scores, and the number of scores that this prior counts as. */
 const priorScoreVariance = 0.04;
 const priorScoreWeight = 4;
-/** Ratings after a supposed change that are needed to believe in it. */
+/** Ratings needed before and after a possible change for it to be detected. */
 const minChangeRatings = 20;
-/** Standard errors by which older scores must differ from newer ones to be left out: more, if the change is welcome. */
+/**
+ * Standard errors by which older scores must differ from newer ones to be excluded. An improvement needs more of them
+ * than a deterioration.
+ */
 const worseStandardErrors = 4;
 const betterStandardErrors = 5;
 
-/** The counts of a version in a class as they were read. */
+/** The counts of a version in a class at the time they were read. */
 export interface CellCounts {
-    /** `Evidence.getRevision` at that time. */
+    /** The value of `Evidence.getRevision` at that time. */
     readonly revision: number;
-    /** Recent counts, old ones weighing less. */
+    /** Recent counts; older ones have a lower weight. */
     readonly scores: WeightedScores;
-    /** Mean and variance of single scores. The mean is 0 while there are none. */
+    /** Mean and variance of single scores. The mean is 0 without scores. */
     readonly mean: number;
     readonly variance: number;
-    /** Precision of the mean; 0 while there are no scores. */
+    /** Precision of the mean. It is 0 without scores. */
     readonly precision: number;
 }
 
@@ -42,11 +45,11 @@
 }
 
 /**
- * Sums up the counts since the version last changed. Counts from before a change would hide for a long time that a
- * version has become worse: its old good ratings outweigh the new bad ones, and callers go on getting bad answers.
+ * Sums the counts since the version last changed. Counts from before a change would conceal for a long time that a
+ * version has become worse: the old good ratings outweigh the new bad ones, and callers continue to get bad answers.
  *
- * The search for a change looks at moments only. It runs over the buckets of all entries while callers' tokens wait on
- * the same loop, and adding up whole histograms at each step held them up for milliseconds.
+ * The search for a change reads moments only. It iterates over the buckets of all entries on the event loop that also
+ * forwards callers' tokens. Summing whole histograms at each step delayed these tokens by milliseconds.
  */
 function getValidScores(evidence: Evidence, version: string, requestClass: string): WeightedScores {
     const buckets = evidence.getWeightedBuckets(version, requestClass);
@@ -78,7 +81,7 @@
     return standardErrors < -worseStandardErrors || standardErrors > betterStandardErrors;
 }
 
-/** Gets the variance of single scores, drawn towards what is assumed while there are few. */
+/** Returns the variance of single scores, shrunk towards the prior variance while there are few scores. */
 function getScoreVariance({ ratings, binSum, binSquareSum }: ScoreSums): number {
     if (ratings === 0) {
         return priorScoreVariance;
--- a/src/decisions/model/difficulty.ts
+++ b/src/decisions/model/difficulty.ts
@@ -1,42 +1,42 @@
 /**
- * How hard requests spoil the second answer too, learned from escalations: where the first answer was rated low, the
- * second one tends to be worse than its mean.
+ * How much difficult requests lower the second answer's score too, estimated from escalations: where the first answer
+ * was rated low, the second one tends to be worse than its mean.
  */
 import { type EscalationCounts, escalationSumUnit } from "./escalations.js";
 import { scoreSteps } from "./tally.js";
 
-/** Slope that is assumed at first, with its standard deviation. */
+/** Prior mean of the slope and its standard deviation. */
 const priorSlope = 0.5;
 const priorSlopeDeviation = 0.15;
-/** Standard deviation of a second score about what the first one lets expect. */
+/** Standard deviation of a second score around its expectation given the first score. */
 export const secondScoreDeviation = 0.16;
-/** How far a pair's second scores may lie from the common line, as a standard deviation. */
+/** Standard deviation of a pair's mean second score around the common regression line. */
 const pairDeviation = 0.015;
 
-/** Sums of a regression of second scores on first scores within pairs. */
+/** Sums for a regression of second scores on first scores within pairs. */
 export interface SlopeSums {
     readonly squares: number;
     readonly products: number;
 }
 
-/** How a class's hard requests spoil the second answer. */
+/** How much the difficult requests of a class lower the second answer's score. */
 export interface Difficulty {
-    /** Loss of the second answer for each unit by which the first one fell short of its mean. */
+    /** Loss of the second answer's score for each unit by which the first score was below its mean. */
     readonly slope: number;
     readonly slopeDeviation: number;
     /** The escalations of the class. */
     readonly pairs: readonly EscalationCounts[];
 }
 
-/** What escalations tell about a version's mean over all requests. */
+/** Estimate of a version's mean over all requests, derived from escalations. */
 export interface PairedMean {
     readonly mean: number;
     readonly precision: number;
 }
 
 /**
- * Gets the sums that a slope is estimated from. Only differences within a pair of versions count, so that the slope
- * doesn't depend on how well the versions' means are known.
+ * Returns the sums for a slope estimate. Only differences within a pair of versions are counted, so that the slope does
+ * not depend on the accuracy of the versions' means.
  */
 export function getSlopeSums(pairs: readonly EscalationCounts[]): SlopeSums {
     let squares = 0;
@@ -58,11 +58,11 @@
 }
 
 /** Estimates the slope from the sums of all classes. */
-export function estimateDifficulty(all: Iterable<SlopeSums>, pairs: readonly EscalationCounts[]): Difficulty {
+export function estimateDifficulty(slopeSums: Iterable<SlopeSums>, pairs: readonly EscalationCounts[]): Difficulty {
     const priorSquares = (secondScoreDeviation / priorSlopeDeviation) ** 2;
     let squares = priorSquares;
     let products = priorSquares * priorSlope;
-    for (const sums of all) {
+    for (const sums of slopeSums) {
         squares += sums.squares;
         products += sums.products;
     }
@@ -71,9 +71,10 @@
 }
 
 /**
- * Gets what escalations tell about the means of the versions that answered second. Their ratings alone would make them
- * look worse than they are; corrected for the hardness of those requests they spare trying a dear version by itself.
- * @param getFirstMean - The mean of a version that answered first, `undefined` if it isn't known.
+ * Estimates the means of the versions that answered second. Their ratings alone would bias these means downwards, since
+ * escalated requests are difficult. With a correction for that difficulty, an expensive version need not be explored by
+ * itself.
+ * @param getFirstMean - Returns the mean of a version that answered first, or `undefined` if it is unknown.
  */
 export function getPairedMeans(
     difficulty: Difficulty,
@@ -95,7 +96,7 @@
     return means;
 }
 
-/** Combines two means by their precisions. */
+/** Combines two means weighted by their precisions. */
 export function combineByPrecision(one: PairedMean | undefined, other: PairedMean): PairedMean {
     if (one === undefined || one.precision === 0) {
         return other;
--- a/src/decisions/model/escalations.ts
+++ b/src/decisions/model/escalations.ts
@@ -1,13 +1,16 @@
 /**
- * Joint counts of a low first score and the score of the answer that followed. A request that a cheap version answers
- * badly is often hard for the dear one too, so the dear version's overall mean would promise too much.
+ * Joint counts of a low first score and the score of the second answer. A request that a cheap version answers badly is
+ * often difficult for the expensive one too, so the expensive version's overall mean would be too optimistic.
  */
 import { scoreSteps } from "./tally.js";
 
-/** Scores are summed in this unit, so that sums stay integers. */
+/** Unit in which scores are summed, so that sums stay integers. */
 export const escalationSumUnit = 1000;
 
-/** Counts of one pair of versions in one class as they travel; `values` are bin, count and sum in turn. */
+/**
+ * Counts of one pair of versions in one class, as they are sent to other nodes. `values` repeats the triple of bin,
+ * count and sum.
+ */
 export interface EncodedEscalation {
     readonly first: string;
     readonly second: string;
@@ -20,9 +23,9 @@
     readonly first: string;
     readonly second: string;
     readonly requestClass: string;
-    /** Escalations for each bin of the first score. */
+    /** Number of escalations for each bin of the first score. */
     readonly counts: readonly number[];
-    /** Sum of the second scores in thousandths for each bin of the first score. */
+    /** Sum of the second scores in thousandths, for each bin of the first score. */
     readonly sums: readonly number[];
 }
 
@@ -35,7 +38,7 @@
 export class Escalations {
     readonly #classes = new Map<string, Map<string, PairCounts>>();
 
-    /** Reads the counts back from what `encode` returned. */
+    /** Decodes counts that `encode` returned. */
     static decode(encoded: readonly EncodedEscalation[]): Escalations {
         const escalations = new Escalations();
         for (const { first, second, requestClass, values } of encoded) {
@@ -69,12 +72,12 @@
         }
     }
 
-    /** Gets the counts of a class by pair of versions. */
+    /** Returns the counts of a class by pair of versions. */
     get(requestClass: string): readonly EscalationCounts[] {
         return [...this.#classes.get(requestClass)?.values() ?? []];
     }
 
-    /** Returns the counts in a compact form. */
+    /** Encodes the counts in a compact form. */
     encode(): readonly EncodedEscalation[] {
         const encoded: EncodedEscalation[] = [];
         for (const { first, second, requestClass, counts, sums } of this.#getAll()) {
--- a/src/decisions/model/evidence.ts
+++ b/src/decisions/model/evidence.ts
@@ -1,9 +1,9 @@
 /**
- * What the whole system has seen of each version in each class of request: a state-based CRDT of integer counts.
+ * Counts of what all nodes have observed of each version in each request class: a state-based CRDT of integer counts.
  *
- * Each node counts only its own answers and publishes its counts whole; a newer publication replaces an older one of
- * the same node. Repeats, losses and reordering of messages are therefore harmless, and the merged counts are the
- * same on every node once it has the newest publication of each.
+ * Each node counts only its own answers and publishes its complete counts. A newer publication replaces an older one of
+ * the same node. Repeated, lost and reordered messages are therefore harmless, and the merged counts are the same on
+ * every node that has received the newest publication of each node.
  */
 import type { Clock } from "../../common/index.js";
 import { type Bucket, BucketSeries, type EncodedBucket } from "./bucketSeries.js";
@@ -12,21 +12,24 @@
 
 const defaultEpochMilliseconds = 1000;
 const defaultHalfLifeMilliseconds = 3_600_000;
-/** After so many half-lives a departed node's counts no longer matter. */
+/** After this number of half-lives the counts of a departed node are negligible. */
 const retainedHalfLives = 8;
 
-/** Counts of one version in one class as they travel. */
+/** Counts of one version in one class, as they are sent to other nodes. */
 export interface EncodedSeries {
-    /** The node's sequence when these counts last changed; the greater one replaces the smaller one. */
+    /**
+     * The node's sequence number when these counts last changed. Counts with a greater one replace those with a
+     * smaller.
+     */
     readonly sequence: number;
     readonly version: string;
     readonly requestClass: string;
     readonly buckets: readonly EncodedBucket[];
 }
 
-/** All counts of one node as they travel; plain JSON. */
+/** All counts of one node as they are sent to other nodes, as plain JSON. */
 export interface EvidenceCounts {
-    /** Grows with each change of any count. */
+    /** Increases with each change of a count. */
     readonly sequence: number;
     readonly series: readonly EncodedSeries[];
     readonly escalations: readonly EncodedEscalation[];
@@ -35,9 +38,9 @@
 /** Options of `Evidence`. */
 export interface EvidenceOptions {
     readonly clock: Clock;
-    /** The finest step in time that is told apart. */
+    /** Time resolution of the counts. */
     readonly epochMilliseconds?: number;
-    /** After this time a count weighs half in `getRecent`. */
+    /** Half-life of a count's weight in `getDecayedTally`. */
     readonly halfLifeMilliseconds?: number;
 }
 
@@ -47,7 +50,7 @@
     readonly requestClass: string;
     /** From 0 to 1. */
     readonly score: number;
-    /** Wall-clock milliseconds of the answer; now by default. Ratings come late, and a change is dated by answers. */
+    /** Wall-clock milliseconds of the answer; now by default. Ratings arrive late, and changes are dated by answers. */
     readonly answeredAt?: number;
 }
 
@@ -56,12 +59,12 @@
     readonly version: string;
     readonly requestClass: string;
     readonly failed: boolean;
-    /** Whether it was over the latency target. */
+    /** Whether the answer exceeded the latency target. */
     readonly slow: boolean;
     readonly answeredAt?: number;
 }
 
-/** An answer that was rated too low, with the rating of the answer that it was escalated to. */
+/** An answer whose rating was too low, with the rating of the answer that it was escalated to. */
 export interface EscalationInput {
     readonly first: string;
     readonly second: string;
@@ -70,7 +73,7 @@
     readonly secondScore: number;
 }
 
-/** Counts with what they weigh at their age. */
+/** Counts with their weight at their present age. */
 export interface WeightedBucket {
     /** The first epoch. */
     readonly start: number;
@@ -79,9 +82,9 @@
 }
 
 interface Cell {
-    /** The node's sequence. */
+    /** The node's sequence number when the cell last changed. */
     sequence: number;
-    /** The revision here when the cell last changed. */
+    /** The local revision when the cell last changed. */
     revision: number;
     readonly series: BucketSeries;
 }
@@ -94,7 +97,7 @@
     escalations: Escalations;
 }
 
-/** Counts answers and ratings here and merges the counts of other nodes. */
+/** Counts answers and ratings of this node and merges the counts of other nodes. */
 export class Evidence {
     readonly #clock: Clock;
     readonly #epochMilliseconds: number;
@@ -102,7 +105,7 @@
     readonly #own: NodeCounts = createNodeCounts();
     readonly #others = new Map<string, NodeCounts>();
     #revision = 0;
-    /** The revision when a node's counts were last dropped. */
+    /** The revision at which the counts of a node were last dropped. */
     #droppedAtRevision = 0;
     #lastRatingAt: number | undefined;
 
@@ -118,17 +121,17 @@
         return this.#revision;
     }
 
-    /** Wall-clock milliseconds at which a rating last came in at this node, or `undefined`. */
+    /** Wall-clock milliseconds at which this node last received a rating, or `undefined`. */
     get lastRatingAt(): number | undefined {
         return this.#lastRatingAt;
     }
 
-    /** The finest step in time that is told apart. */
+    /** Time resolution of the counts. */
     get epochMilliseconds(): number {
         return this.#epochMilliseconds;
     }
 
-    /** Gets the epoch of a wall-clock time. */
+    /** Returns the epoch of a wall-clock time. */
     getEpoch(wallMilliseconds: number): number {
         return Math.floor(wallMilliseconds / this.#epochMilliseconds);
     }
@@ -145,8 +148,8 @@
     }
 
     /**
-     * Counts an escalation of this node. The second rating is counted here only, never by `addRating`: it belongs to a
-     * request that was hard for the first version, and would make the second one look worse than it is.
+     * Counts an escalation of this node. The second rating is counted here only and never by `addRating`: it belongs to
+     * a request that was difficult for the first version, and would bias the second version's mean downwards.
      */
     addEscalation(escalation: EscalationInput): void {
         this.#own.escalations.add(escalation);
@@ -154,8 +157,9 @@
     }
 
     /**
-     * Returns counts of this node, to be published to the others.
-     * @param since - A sequence that the receiver has: only counts that changed after it are returned. All by default.
+     * Returns the counts of this node for publication to other nodes.
+     * @param since - A sequence number that the receiver has: only counts that changed after it are returned. All by
+     * default.
      */
     exportOwn(since = 0): EvidenceCounts {
         const series: EncodedSeries[] = [];
@@ -170,9 +174,9 @@
     }
 
     /**
-     * Takes in the counts that another node published.
+     * Merges counts that another node published.
      * @param origin - The node's name, unique over time: a restarted node counts from zero under a new name.
-     * @param counts - What its `exportOwn` returned.
+     * @param counts - The result of the node's `exportOwn`.
      */
     merge(origin: string, counts: EvidenceCounts): void {
         const node = getOrInsert(this.#others, origin, createNodeCounts);
@@ -192,7 +196,7 @@
     }
 
     /**
-     * Marks a node as departed. What it saw stays known until it is too old to matter.
+     * Marks a node as departed. Its counts are retained until they are negligible.
      * @param origin - The node's name.
      */
     forget(origin: string): void {
@@ -203,7 +207,7 @@
         this.#dropExpired();
     }
 
-    /** Gets the classes in which a version was seen. */
+    /** Returns the classes in which a version has counts. */
     getClasses(version: string): ReadonlySet<string> {
         const classes = new Set<string>();
         for (const node of this.#getNodes()) {
@@ -214,7 +218,7 @@
         return classes;
     }
 
-    /** Gets a number that changes with the counts of a version and class. */
+    /** Returns a number that changes whenever the counts of a version and class change. */
     getRevision(version: string, requestClass: string): number {
         let revision = 0;
         for (const node of this.#getNodes()) {
@@ -223,7 +227,7 @@
         return revision + this.#droppedAtRevision;
     }
 
-    /** Gets the buckets of all nodes for a version and class, in no particular order. */
+    /** Returns the buckets of all nodes for a version and class, in no particular order. */
     getBuckets(version: string, requestClass: string): readonly Bucket[] {
         const buckets: Bucket[] = [];
         for (const node of this.#getNodes()) {
@@ -235,7 +239,7 @@
         return buckets;
     }
 
-    /** Gets the buckets of all nodes for a version and class with what each weighs now, in no particular order. */
+    /** Returns the buckets of all nodes for a version and class with their current weights, in no particular order. */
     getWeightedBuckets(version: string, requestClass: string): WeightedBucket[] {
         const now = this.getEpoch(this.#clock.wall());
         const buckets: WeightedBucket[] = [];
@@ -247,7 +251,7 @@
         return buckets;
     }
 
-    /** Gets the merged counts of a version and class with old ones weighing less. */
+    /** Returns the merged counts of a version and class, with older counts weighted down. */
     getDecayedTally(version: string, requestClass: string): Tally {
         const total = new Tally();
         for (const bucket of this.getBuckets(version, requestClass)) {
@@ -256,12 +260,12 @@
         return total;
     }
 
-    /** Gets how much a bucket weighs at its age: 1 when new, half of it after each half-life. */
+    /** Returns the weight of a bucket at its present age: 1 when new, halved after each half-life. */
     getWeight(bucket: Bucket): number {
         return this.#getWeightAt(bucket, this.getEpoch(this.#clock.wall()));
     }
 
-    /** Gets the merged counts of escalations in a class, by pair of versions. */
+    /** Returns the merged counts of escalations in a class, by pair of versions. */
     getEscalations(requestClass: string): readonly EscalationCounts[] {
         const total = new Escalations();
         for (const node of this.#getNodes()) {
@@ -295,9 +299,9 @@
     }
 
     #dropExpired(): void {
-        const oldest = this.getEpoch(this.#clock.wall()) - retainedHalfLives * this.#halfLifeEpochs;
+        const earliestRetainedEpoch = this.getEpoch(this.#clock.wall()) - retainedHalfLives * this.#halfLifeEpochs;
         for (const [origin, node] of this.#others) {
-            if (node.departed && getNewestEpoch(node) < oldest) {
+            if (node.departed && getLatestEpoch(node) < earliestRetainedEpoch) {
                 this.#others.delete(origin);
                 this.#revision += 1;
                 this.#droppedAtRevision = this.#revision;
@@ -314,14 +318,14 @@
     return { sequence: 0, departed: false, cells: new Map(), escalations: new Escalations() };
 }
 
-function getNewestEpoch(node: NodeCounts): number {
-    let newest = -Infinity;
+function getLatestEpoch(node: NodeCounts): number {
+    let latest = -Infinity;
     for (const classes of node.cells.values()) {
         for (const { series } of classes.values()) {
-            newest = Math.max(newest, series.getBuckets().at(-1)?.start ?? -Infinity);
+            latest = Math.max(latest, series.getBuckets().at(-1)?.start ?? -Infinity);
         }
     }
-    return newest;
+    return latest;
 }
 
 function getOrInsert<K, V>(map: Map<K, V>, key: K, create: () => V): V {
--- a/src/decisions/model/explorations.ts
+++ b/src/decisions/model/explorations.ts
@@ -1,5 +1,5 @@
 /**
- * Which plans are worth trying to learn more: those that may turn out to meet the target for less.
+ * Selects the plans that are worth exploring: those that may turn out to meet the target at a lower cost.
  */
 import type { Difficulty } from "./difficulty.js";
 import type { ModelRequest } from "./modelRequest.js";
@@ -15,29 +15,34 @@
 import { getCascadeOptions, getSingleOption, type PlanSettings } from "./planOptions.js";
 import type { QualityEstimate } from "./qualityEstimate.js";
 
-/** A version that meets the target with a lower probability isn't tried by itself. */
+/** A version that meets the target with a lower probability is not explored by itself. */
 const minProbability = 0.01;
-/** Standard deviations by which a version is hoped to be better than expected, and how likely it proves of use. */
+/**
+ * Standard deviations by which the optimistic estimate of a version exceeds its mean, and the probability of success.
+ */
 const optimisticDeviations = 1.3;
 const optimisticProbability = 0.3;
-/** Share of the time without ratings that tries prepare for, and how much dearer than the usual plan they may be. */
+/**
+ * Share of the time without ratings that explorations prepare for, and the maximum ratio of an exploration's cost to
+ * that of the current plan.
+ */
 const outageShare = 0.1;
 const maxExplorationCostRatio = 1.5;
-/** A version that would save less than this share of the cost isn't tried. */
+/** A version that would save less than this share of the cost is not explored. */
 const minSaving = 0.03;
 
-/** A plan that may turn out to meet the target for less. */
+/** A plan that may turn out to meet the target at a lower cost. */
 export interface Exploration {
     readonly option: PlanOption;
-    /** The plan that it may turn out to allow; its cost decides what may be saved. */
+    /** The plan that becomes possible if the exploration succeeds. Its cost determines the saving. */
     readonly potentialOption: PlanOption;
-    /** Probability that it turns out to be of use. */
+    /** Probability that the exploration succeeds. */
     readonly probability: number;
-    /** Quality that it is expected to cost. */
+    /** Expected loss of quality below the target. */
     readonly debit: number;
 }
 
-/** Gets the versions that may meet the target by themselves. */
+/** Returns the versions that may meet the target by themselves. */
 export function getSingleExplorations(
     estimates: readonly QualityEstimate[],
     request: ModelRequest,
@@ -53,19 +58,19 @@
     return explorations;
 }
 
-/** What cascades to try are formed from. */
+/** The inputs for cascades to explore. */
 export interface CascadeExplorationInput {
     readonly estimates: readonly QualityEstimate[];
     readonly difficulty: Difficulty;
     readonly request: ModelRequest;
-    /** The plan in use. */
+    /** The current plan. */
     readonly best: PlanOption;
     readonly settings: PlanSettings;
 }
 
 /**
- * Gets cascades that replace one step of the plan in use. A version that answers second is only known from where it was
- * used: without such tries a slightly dearer one stays in use for good.
+ * Returns cascades that replace one step of the current plan. A version that answers second is rated only where it is
+ * used: without these explorations a slightly more expensive one would stay in use permanently.
  */
 export function getCascadeExplorations(input: CascadeExplorationInput): readonly Exploration[] {
     const { estimates, best } = input;
@@ -97,7 +102,7 @@
     return { ...estimate, mean, directMean, deviation: estimate.deviation / 2 };
 }
 
-/** @param optimistic - The two steps as they are hoped to be. */
+/** @param optimistic - Optimistic estimates of the two steps. */
 function createExploration(
     { difficulty, request, best, settings }: CascadeExplorationInput,
     first: QualityEstimate,
@@ -118,9 +123,9 @@
 }
 
 /**
- * Gets what a try is worth: what it may save, by the probability that it turns out to be of use.
- * @param fallback - What is used when there are no ratings: a version that is known to meet the target by itself saves
- * that cost then, and it can only become known while there are ratings.
+ * Returns the value of an exploration: its possible saving times the probability of success.
+ * @param fallback - The plan that is used while there are no ratings. A version that is known to meet the target by
+ * itself saves that cost then, and it can become known only while there are ratings.
  */
 export function getExplorationWeight(
     candidate: Exploration,
--- a/src/decisions/model/index.ts
+++ b/src/decisions/model/index.ts
@@ -1,4 +1,4 @@
-/** Which model: the cheapest version or cascade that meets a quality target, learned from shared counts. */
+/** Model choice: selects the cheapest version or cascade that meets a quality target, based on shared counts. */
 export * from "./answerTimes.js";
 export * from "./bucketSeries.js";
 export * from "./evidence.js";
--- a/src/decisions/model/modelChooser.ts
+++ b/src/decisions/model/modelChooser.ts
@@ -15,6 +15,7 @@
 import { getUndominated, type Plan, type PlanOption } from "./plan.js";
 import {
     createPlan,
+    getAtLeastAsGood,
     getCheapest,
     getConservativeQuality,
     getDebit,
@@ -22,7 +23,6 @@
     getInTime,
     getLowerBound,
     getMostCostEffective,
-    getNoWorse,
     getReason,
     getSignature,
     isCheaper,
@@ -32,20 +32,20 @@
 import type { QualityEstimate } from "./qualityEstimate.js";
 import { QualityModel } from "./qualityModel.js";
 
-/** Evidence changes with every rating; plans needn't. */
+/** Interval between plan refreshes. The evidence changes with every rating, but the plans need not. */
 const refreshMilliseconds = 3000;
-/** Plans of this age are not used again: they may send a request to a version that has long turned bad. */
+/** Plans of this age are not used any more: they may send requests to a version that became bad long ago. */
 const maxPlanAgeMilliseconds = 10 * refreshMilliseconds;
-/** At most this share of a class's requests explores. */
+/** Maximum share of a class's requests that explore. */
 const maxExplorationShare = 0.2;
-/** Surplus quality that can be saved up, so that a good day doesn't pay for a burst of bad answers. */
+/** Maximum of the saved surplus quality, so that a long good period does not pay for a burst of bad answers. */
 const maxCredit = 5;
-/** Surplus quality that is advanced to a class never seen before, to be earned back. */
+/** Surplus quality that a new class starts with as an advance; it is earned back later. */
 const initialCredit = 1;
-/** Ratings in a class that make up for the operator's expectations. */
+/** Ratings in a class from which on its estimates rest on ratings rather than on the operator's expectations. */
 const sufficientRatings = 100;
 
-/** Standard deviations by which a version may be expected to miss the target and still be used without ratings. */
+/** Standard deviations by which a version's expected quality may be below the target for use without ratings. */
 const possibleDeviations = 0.67;
 
 /** Options of `ModelChooser`. */
@@ -53,41 +53,41 @@
     readonly evidence: Evidence;
     readonly random: RandomSource;
     readonly clock: Clock;
-    /** Runs a step later, such as `setImmediate`; by default plans are formed while a request waits. */
+    /** Runs a step later, such as `setImmediate`. By default, plans are created while a request waits. */
     readonly schedule?: (step: () => void) => void;
 }
 
 interface ClassState {
-    /** What the plans were formed for. */
+    /** The candidates that the plans were created for. */
     candidates: readonly ModelVersion[];
     signature: string;
     targetQuality: number;
     confidence: number;
     createdAt: number;
-    /** Whether new plans are under way. */
+    /** Whether new plans are being created. */
     isRefreshing: boolean;
-    /** Plans that meet the target with confidence, dominated ones left out. */
+    /** Plans that meet the target with the required confidence, without dominated ones. */
     sufficientSingles: readonly PlanOption[];
     sufficientPlans: readonly PlanOption[];
-    /** Plans that meet it more likely than not; they are used as far as saved surplus quality covers the doubt. */
+    /** Plans that meet the target more likely than not. Saved surplus quality must cover their possible shortfall. */
     probablePlans: readonly PlanOption[];
     probableSingles: readonly PlanOption[];
-    /** Single versions that may meet it, for when there are no ratings. */
+    /** Single versions that may meet the target, for use without ratings. */
     possibleSingles: readonly PlanOption[];
-    /** The surest version, for when nothing is known to meet the target. */
+    /** The version with the highest expected quality, for use when no plan is known to meet the target. */
     highestQuality: PlanOption;
-    /** Plans that are no less sure than that version; a cascade that ends with it often is, for less. */
+    /** Plans that are as good as that version or better. A cascade that ends with it often is, at a lower cost. */
     fallbacks: readonly PlanOption[];
     fallbackSingles: readonly PlanOption[];
-    /** Whether ratings and not the operator's expectations speak for the plans. */
+    /** Whether the estimates rest on ratings rather than on the operator's expectations. */
     hasSufficientRatings: boolean;
-    /** Plans that may turn out to meet the target for less. */
+    /** Plans that may turn out to meet the target at a lower cost. */
     readonly getExplorations: () => readonly Exploration[];
-    /** Surplus quality saved up in this class, in answers times quality. */
+    /** Surplus quality saved up in this class, as number of answers times quality. */
     credit: number;
 }
 
-/** Decides which version or cascade answers a request. */
+/** Chooses the version or cascade that answers a request. */
 export class ModelChooser {
     readonly #qualities: QualityModel;
     readonly #random: RandomSource;
@@ -135,7 +135,9 @@
         return createPlan(best, request, false, getReason(best, margin, hasRatings));
     }
 
-    /** Chooses the cheapest plan that surely meets the target; where none does, the cheapest that is as sure as any. */
+    /**
+     * Chooses the cheapest plan that meets the target with confidence, otherwise the cheapest one of highest quality.
+     */
     #chooseSufficient(state: ClassState, request: ModelRequest, hasRatings: boolean): PlanOption {
         const sufficient = hasRatings
             ? getInTime(state.sufficientPlans, state.sufficientSingles, request)
@@ -146,14 +148,14 @@
         return getCheapest(sufficient, request) ?? getCheapest(fallbacks, request) ?? state.highestQuality;
     }
 
-    /** Chooses a plan that probably meets the target, if saved surplus quality covers what it may fall short. */
+    /** Chooses a plan that probably meets the target, if saved surplus quality covers its expected shortfall. */
     #chooseProbable(state: ClassState, best: PlanOption, request: ModelRequest): PlanOption | undefined {
         const option = request.ratingsAvailable ?? true
             ? getCheapest([best, ...getInTime(state.probablePlans, state.probableSingles, request)], request)!
             : this.#choosePossibleSingle(state, best, request);
         const debit = getDebit(option, request);
-        // The advance is for tries while there are any: spent here, it would give a class never seen before to a version
-        // that only the operator's expectation speaks for.
+        // The initial credit is reserved for explorations while they are possible. Spent here, it would send a new
+        // class to a version that is supported by the operator's expectation only.
         if (option === best || debit > state.credit - getReservedCredit(state, request)) {
             return undefined;
         }
@@ -162,8 +164,9 @@
     }
 
     /**
-     * Chooses the cheapest version that likely meets the target, or one that may fall short of it if saved surplus covers
-     * that. Without cascades the next sure version often costs several times as much.
+     * Chooses the cheapest version that likely meets the target, or one that may miss it if saved surplus quality
+     * covers the shortfall. Without cascades, the next version that meets it with confidence often costs several times
+     * as much.
      */
     #choosePossibleSingle(state: ClassState, best: PlanOption, request: ModelRequest): PlanOption {
         const likely = state.possibleSingles.filter(option => getDebit(option, request) <= 0);
@@ -177,8 +180,8 @@
             return undefined;
         }
         const explorations = state.getExplorations();
-        // Nothing earns credit while no version meets the target. A version that had a few unlucky ratings would then
-        // never be tried again, and the class would stay below its target for good.
+        // No credit is earned while no version meets the target. Without this exception a version with a few unluckily
+        // low ratings would never be explored again, and the class would stay below its target permanently.
         const isTargetUnmet = best.quality < request.targetQuality;
         const fallback = getCheapest(state.sufficientSingles, request) ?? state.highestQuality;
         const weights: number[] = [];
@@ -202,8 +205,8 @@
     }
 
     /**
-     * Gets the plans of a class. Plans that are due are formed anew after the request, in steps that let the tokens pass
-     * that the same loop carries; only plans that nobody asked for in a long time are formed at once.
+     * Returns the plans of a class. Plans that are due for a refresh are created after the request, in steps between
+     * which the event loop can forward tokens. Only plans that no request has used for a long time are created at once.
      */
     #getState(request: ModelRequest): ClassState {
         const { requestClass, candidates } = request;
@@ -233,7 +236,7 @@
         return known;
     }
 
-    /** Reads the counts of one version, or fits what they share and then forms the plans once all were read. */
+    /** Reads the counts of one version. Once all are read, fits the shared effects and then creates the plans. */
     #refreshInSteps(state: ClassState, request: ModelRequest, next: number): void {
         const { requestClass, candidates } = request;
         if (this.#states.get(requestClass) !== state) {
@@ -271,7 +274,7 @@
         const cascades: PlanOption[] = [];
         const difficulty = this.#qualities.getDifficulty(requestClass);
         for (const first of estimates) {
-            // A cascade costs more than its first step, so it can't undercut a single version that is cheaper than that.
+            // A cascade costs more than its first step, so it cannot be cheaper than a single version that costs less.
             if (sufficientSingles.some(option => !isCheaper(first.version, option.steps[0].version))) {
                 continue;
             }
@@ -285,7 +288,7 @@
         const highestQuality = getHighestQuality(singles);
         const fallbacks = sufficientPlans.length > 0
             ? []
-            : getUndominated(getNoWorse([...singles, ...cascades], highestQuality, request));
+            : getUndominated(getAtLeastAsGood([...singles, ...cascades], highestQuality, request));
         const best = getCheapest(sufficientPlans, request) ?? getCheapest(fallbacks, request) ?? highestQuality;
         return {
             candidates,
@@ -301,7 +304,7 @@
             possibleSingles: singles.filter(isPossible),
             highestQuality,
             fallbacks,
-            fallbackSingles: getUndominated(getNoWorse(singles, highestQuality, request)),
+            fallbackSingles: getUndominated(getAtLeastAsGood(singles, highestQuality, request)),
             hasSufficientRatings: countRatings(estimates) >= sufficientRatings,
             getExplorations: memoize(() => this.#createExplorations(request, estimates, difficulty, best)),
             credit,
@@ -320,7 +323,7 @@
     }
 }
 
-/** Checks whether plans were formed for the candidates, prices and target of a request. */
+/** Checks whether plans were created for the candidates, prices and target of a request. */
 function matchesRequest(state: ClassState, request: ModelRequest): boolean {
     if (state.targetQuality !== request.targetQuality || state.confidence !== request.confidence) {
         return false;
@@ -328,13 +331,13 @@
     return state.candidates === request.candidates || state.signature === getSignature(request.candidates);
 }
 
-/** Few decisions need the tries, which take as long to form as the plans. */
+/** Defers a computation until its first use. Few decisions need explorations, which take as long to create as plans. */
 function memoize<T>(create: () => T): () => T {
     let cached: { readonly value: T; } | undefined;
     return () => (cached ??= { value: create() }).value;
 }
 
-/** Gets the credit that is kept for tries. */
+/** Returns the credit that is reserved for explorations. */
 function getReservedCredit(state: ClassState, request: ModelRequest): number {
     return (request.ratingsAvailable ?? true) || !state.hasSufficientRatings ? initialCredit : 0;
 }
--- a/src/decisions/model/moments.ts
+++ b/src/decisions/model/moments.ts
@@ -1,23 +1,23 @@
-/** Weighted sums of scores, with and without their histogram. */
+/** Weighted sums of scores, with and without a histogram. */
 import { scoreSteps, type Tally } from "./tally.js";
 
-/** What mean and variance of scores are worked out from; a `Tally` has it, too. */
+/** The sums from which mean and variance of scores are computed. `Tally` implements it too. */
 export interface ScoreSums {
     readonly ratings: number;
     readonly scoreSum: number;
-    /** Sums of the scores and their squares, each rounded to its bin and counted in bins. */
+    /** Sums of the scores and of their squares, each score rounded to its bin and measured in bins. */
     readonly binSum: number;
     readonly binSquareSum: number;
 }
 
-/** Adds up sums of scores. */
+/** Accumulates weighted sums of scores. */
 export class Moments implements ScoreSums {
     ratings = 0;
     scoreSum = 0;
     binSum = 0;
     binSquareSum = 0;
 
-    /** Adds scores, each weighing as told. */
+    /** Adds the weighted sums of some scores. */
     add(sums: ScoreSums, weight: number): void {
         this.ratings += weight * sums.ratings;
         this.scoreSum += weight * sums.scoreSum;
@@ -26,18 +26,18 @@
     }
 }
 
-/** Adds up scores with their histogram. */
+/** Accumulates weighted scores with their histogram. */
 export class WeightedScores extends Moments {
-    /** Of one element kind from the start, which makes adding up thousands of buckets several times faster. */
+    /** A typed array, which makes summing thousands of buckets several times faster. */
     readonly #bins = new Float64Array(scoreSteps + 1);
 
-    /** Adds the scores of a tally, each weighing as told. */
+    /** Adds the weighted scores of a tally. */
     addTally(tally: Tally, weight: number): void {
         this.add(tally, weight);
         tally.addBinsTo(this.#bins, weight);
     }
 
-    /** Gets the weight of the scores in a bin, from 0 to `scoreSteps`. */
+    /** Returns the weight of the scores in a bin, from 0 to `scoreSteps`. */
     getBin(bin: number): number {
         return this.#bins[bin];
     }
--- a/src/decisions/model/normal.ts
+++ b/src/decisions/model/normal.ts
@@ -1,8 +1,8 @@
-/** The normal distribution, as far as the decisions need it. */
+/** Functions of the standard normal distribution that the decisions use. */
 
 /**
- * Gets the quantile of the standard normal distribution, by bisection of an approximation of its distribution
- * function whose error stays below 1.5e-7 (Abramowitz and Stegun 7.1.26).
+ * Returns the quantile of the standard normal distribution. It bisects an approximation of the distribution function
+ * whose error is below 1.5e-7 (Abramowitz and Stegun 7.1.26).
  * @param probability - Between 0 and 1, both excluded.
  */
 export function getNormalQuantile(probability: number): number {
@@ -20,7 +20,7 @@
     return (low + high) / 2;
 }
 
-/** Gets the probability that a standard normal draw is at most `value`. */
+/** Returns the probability that a standard normal variable is at most `value`. */
 export function getNormalProbability(value: number): number {
     const x = Math.abs(value) / Math.SQRT2;
     const t = 1 / (1 + 0.3275911 * x);
--- a/src/decisions/model/planChoice.ts
+++ b/src/decisions/model/planChoice.ts
@@ -1,24 +1,25 @@
 /**
- * Compares plans for a request: by cost, by the quality that is sure, and by what trying them is worth.
+ * Compares plans for a request by cost, by confidence in their quality and by the value of exploring them.
  */
 import type { ModelVersion } from "../../world/index.js";
 import type { ModelRequest } from "./modelRequest.js";
 import { getNormalProbability, getNormalQuantile } from "./normal.js";
 import { getPlanCost, type Plan, type PlanOption } from "./plan.js";
 
-/** Less quality given up is not told apart. */
+/** Smaller quality losses are treated as equal to this one. */
 const minLoss = 0.001;
 
 const quantiles = new Map<number, number>();
 
-/** Gets the quality that an option reaches with a probability. */
+/** Returns the quality that an option reaches with a given probability. */
 export function getLowerBound(option: PlanOption, confidence: number): number {
     return option.quality - getQuantile(confidence) * option.deviation;
 }
 
 /**
- * Gets the quality by which saved surplus is reckoned: halfway from the expected quality to its lower bound. Reckoned by
- * the lower bound, the cheapest sure plan, which just meets the target, would hardly ever earn what a try costs.
+ * Returns the quality that the accounting of surplus quality uses: halfway from the expected quality to its lower
+ * bound. With the lower bound itself, the cheapest sufficient plan, which just meets the target, would hardly ever earn
+ * the cost of an exploration.
  */
 export function getConservativeQuality(option: PlanOption, confidence: number): number {
     return option.quality - getQuantile(confidence) * option.deviation / 2;
@@ -34,8 +35,8 @@
 }
 
 /**
- * Gets the option with the highest expected quality. The lower bound would not do here: it favours a version that is
- * well known to miss the target over one that nobody has tried yet.
+ * Returns the option with the highest expected quality. The lower bound is unsuitable here: it prefers a version that
+ * is well known to miss the target over one that has not been used yet.
  */
 export function getHighestQuality(options: readonly PlanOption[]): PlanOption {
     let highest = options[0];
@@ -47,18 +48,18 @@
     return highest;
 }
 
-/** Gets the options that are no less sure than one, as far as the target asks for it. */
-export function getNoWorse(
+/** Returns the options whose expected quality and lower bound reach those of `reference`, each capped at the target. */
+export function getAtLeastAsGood(
     options: readonly PlanOption[],
     reference: PlanOption,
     { targetQuality, confidence }: ModelRequest,
 ): readonly PlanOption[] {
-    const lower = Math.min(targetQuality, getLowerBound(reference, confidence));
-    const mean = Math.min(targetQuality, reference.quality);
-    return options.filter(option => option.quality >= mean && getLowerBound(option, confidence) >= lower);
+    const minLowerBound = Math.min(targetQuality, getLowerBound(reference, confidence));
+    const minQuality = Math.min(targetQuality, reference.quality);
+    return options.filter(option => option.quality >= minQuality && getLowerBound(option, confidence) >= minLowerBound);
 }
 
-/** Gets the cheapest option for a request, or `undefined`. */
+/** Returns the cheapest option for a request, or `undefined` if there are no options. */
 export function getCheapest(options: readonly PlanOption[], request: ModelRequest): PlanOption | undefined {
     let cheapest: PlanOption | undefined;
     let lowestCost = Infinity;
@@ -72,13 +73,14 @@
     return cheapest;
 }
 
-/** Checks whether a plan keeps the caller waiting no longer than it may. */
+/** Checks whether a plan's first token arrives within the caller's limit. */
 export function isInTime({ steps }: PlanOption, { isCascadeInTime }: ModelRequest): boolean {
     return steps.length < 2 || (isCascadeInTime?.(steps[0].version, steps[1].version) ?? true);
 }
 
 /**
- * Gets the options that are in time. A cascade that is not may have undercut a single version, which then counts again.
+ * Returns the options that are in time. If some are not, the single versions that they may have dominated are added
+ * again.
  */
 export function getInTime(
     options: readonly PlanOption[],
@@ -90,7 +92,7 @@
 }
 
 /**
- * Gets the option that saves most for the quality that it gives up, among those that a credit covers.
+ * Returns the option with the highest saving per lost quality, among those whose shortfall a credit covers.
  * @param best - The plan that is used otherwise.
  * @param credit - Saved surplus quality that may be spent.
  */
@@ -113,7 +115,7 @@
     return mostCostEffective;
 }
 
-/** Gets the saved cost by the quality given up. */
+/** Returns the saved cost per lost quality. */
 function getSavingPerLoss(option: PlanOption, best: PlanOption, request: ModelRequest): number {
     const { inputTokens, outputTokens, confidence } = request;
     const saved = getPlanCost(best, inputTokens, outputTokens) - getPlanCost(option, inputTokens, outputTokens);
@@ -121,7 +123,7 @@
     return saved / Math.max(minLoss, lost);
 }
 
-/** Gets how likely an option meets the target, and how much it is expected to fall short of it. */
+/** Returns the probability that an option meets the target, and its expected shortfall. */
 export function getExpectation(option: PlanOption, target: number): { probability: number; shortfall: number; } {
     const distance = (target - option.quality) / option.deviation;
     const below = getNormalProbability(distance);
@@ -135,7 +137,7 @@
         || one.inputPrice <= other.inputPrice && one.outputPrice < other.outputPrice;
 }
 
-/** Gets a text that changes with anything about the candidates that a plan depends on. */
+/** Returns a string that changes with every property of the candidates that plans depend on. */
 export function getSignature(candidates: readonly ModelVersion[]): string {
     let signature = "";
     for (const { id, inputPrice, outputPrice, expectedQuality } of candidates) {
@@ -144,12 +146,12 @@
     return signature;
 }
 
-/** Gets the surplus quality that a plan spends; a negative one is earned. */
+/** Returns the surplus quality that a plan spends. A negative value is earned. */
 export function getDebit(option: PlanOption, { targetQuality, confidence }: ModelRequest): number {
     return targetQuality - getConservativeQuality(option, confidence);
 }
 
-/** Makes the plan for a request from an option. */
+/** Creates the plan for a request from an option. */
 export function createPlan(option: PlanOption, request: ModelRequest, exploring: boolean, reason: string): Plan {
     return {
         steps: option.steps,
@@ -160,7 +162,7 @@
     };
 }
 
-/** Gets why a plan was chosen, for logs and `rattanlock status`. */
+/** Returns the reason for a plan's choice, for logs and `rattanlock status`. */
 export function getReason(option: PlanOption, margin: number, hasRatings: boolean): string {
     if (margin < 0) {
         return `surest ${option.steps.length > 1 ? "cascade" : "version"}, since nothing is known to meet the target`;
--- a/src/decisions/model/planOptions.ts
+++ b/src/decisions/model/planOptions.ts
@@ -1,5 +1,5 @@
 /**
- * Forms every plan worth weighing for a class: each single version, and each cascade of two with its thresholds.
+ * Creates all plan options of a class: each single version, and each cascade of two versions with its thresholds.
  */
 import { type Difficulty, secondScoreDeviation } from "./difficulty.js";
 import { type EscalationCounts, escalationSumUnit } from "./escalations.js";
@@ -8,21 +8,23 @@
 import { getScoreDistribution, priorDistributionWeight } from "./scoreDistribution.js";
 import { scoreSteps } from "./tally.js";
 
-/** A threshold at a bin with a smaller share of the scores is as good as the next one. */
+/**
+ * A bin with a smaller share of the scores gets no threshold of its own; the next threshold is practically the same.
+ */
 const minBinShare = 0.001;
-/** Accept thresholds that are weighed, in bins. */
+/** Lowest bin that is considered as an accept threshold. */
 const minThresholdBin = 8;
-/** What the forming of plans depends on besides evidence. */
+/** Inputs of plan creation other than evidence. */
 export interface PlanSettings {
-    /** Share of a single score's distance from the mean that is the answer's and not the rating's noise. */
+    /** Share of a single score's deviation from the mean that is due to the answer rather than to rating noise. */
     readonly ratingReliability: number;
-    /** Share of answers for which a rating arrives in time to decide about escalation. */
+    /** Share of answers whose rating arrives in time for the escalation decision. */
     readonly ratedShare: number;
-    /** Price of rating one answer; what the wait for the rating is worth is to be added. */
+    /** Price of rating one answer, including the cost of waiting for the rating. */
     readonly ratingPrice: number;
 }
 
-/** Forms the plan of one version alone. */
+/** Creates the plan option of a single version. */
 export function getSingleOption(estimate: QualityEstimate): PlanOption {
     return {
         steps: [{ version: estimate.version, acceptScore: undefined }],
@@ -35,10 +37,10 @@
 }
 
 /**
- * Forms the cascades from one version to another.
+ * Creates the cascades from one version to another, one for each threshold.
  * @param first - The version that answers first.
- * @param second - The version that answers what the first one didn't answer well.
- * @param difficulty - How much worse the second one does on such requests.
+ * @param second - The version that answers the requests whose first answer was rejected.
+ * @param difficulty - How much worse the second version does on such requests.
  */
 export function getCascadeOptions(
     first: QualityEstimate,
@@ -113,7 +115,7 @@
         + rejectedShare ** 2 * escalatedQuality.variance + (1 - ratedShare) ** 2 * second.deviation ** 2;
     return {
         steps: [
-            // Half a bin lower, so that every score of the bin is accepted.
+            // The threshold lies half a bin lower, so that every score of the bin is accepted.
             { version: first.version, acceptScore: (parts.bin - 0.5) / scoreSteps },
             { version: second.version, acceptScore: undefined },
         ],
@@ -126,9 +128,10 @@
 }
 
 /**
- * Gets the second version's quality on requests that the first one answered worse than its mean by `shortfall`: what
- * the hardness of the class lets expect, or that corrected by what this pair of versions has shown, whichever is surer.
- * What all escalations tell about the second version has this pair's in it, so that both together would count them twice.
+ * Estimates the second version's quality on requests where the first one scored `shortfall` below its mean. The
+ * estimate follows either from the difficulty of the class, or from that corrected by the escalations of this pair of
+ * versions, whichever has the smaller variance. The corrected estimate starts from the mean without escalations: the
+ * second version's full mean already contains this pair's escalations, which would then be counted twice.
  */
 function getEscalatedQuality(
     second: QualityEstimate,
@@ -158,7 +161,7 @@
     readonly variance: number;
 }
 
-/** Escalations of one pair whose first score was below a bin. */
+/** Escalations of one pair whose first score was below a given bin. */
 interface EscalationSums {
     readonly count: number;
     readonly sum: number;
--- a/src/decisions/model/qualityEstimate.ts
+++ b/src/decisions/model/qualityEstimate.ts
@@ -1,19 +1,19 @@
 /**
- * The posterior of a version's rated quality in one class of request.
+ * The posterior of a version's rated quality in one request class.
  */
 import type { ModelVersion } from "../../world/index.js";
 import type { WeightedScores } from "./moments.js";
 
-/** What is known of a version in a class. */
+/** The estimated quality of a version in a class. */
 export interface QualityEstimate {
     readonly version: ModelVersion;
-    /** Recent counts, old ones weighing less. */
+    /** Recent counts; older ones have a lower weight. */
     readonly scores: WeightedScores;
     /** Posterior mean of the quality. */
     readonly mean: number;
-    /** Posterior standard deviation of that mean. */
+    /** Posterior standard deviation of `mean`. */
     readonly deviation: number;
-    /** The same without the ratings of answers that were escalated to it. */
+    /** Mean and standard deviation without the ratings of answers that were escalated to this version. */
     readonly directMean: number;
     readonly directDeviation: number;
     /** Variance of single scores. */
--- a/src/decisions/model/qualityModel.ts
+++ b/src/decisions/model/qualityModel.ts
@@ -1,10 +1,10 @@
 /**
- * The posterior of each version's rated quality in each class, with what is known shared between classes and versions.
+ * The posterior of each version's rated quality in each class. Classes and versions share information.
  *
- * A quality is taken to be the operator's expectation, plus an effect of the class, plus an effect of the version, plus
- * a rest that belongs to the pair alone. A few ratings of any version tell how easy a class is for all of them, and
- * ratings in any class tell by how much the operator misjudged a version. Without that a class seen for the first time
- * begins from nothing, and its callers pay for the dearest version meanwhile.
+ * A quality is modelled as the operator's expectation, plus a class effect, plus a version effect, plus a residual of
+ * the pair of class and version. A few ratings of any version show how easy a class is for all versions, and ratings in
+ * any class show by how much the operator's expectation of a version is off. Without this sharing a new class would
+ * start with no information, and its callers would pay for the most expensive version until there are enough ratings.
  */
 import type { Clock } from "../../common/index.js";
 import type { ModelVersion } from "../../world/index.js";
@@ -21,18 +21,23 @@
 import type { Evidence } from "./evidence.js";
 import type { QualityEstimate } from "./qualityEstimate.js";
 
-/** Standard deviation of how easy classes are, and of how far the operator misjudges versions. */
+/**
+ * Prior standard deviations of the class effect (how easy a class is) and of the error of the operator's expectation.
+ */
 const classDeviation = 0.15;
 const versionDeviation = 0.08;
-/** Standard deviation of the rest that is assumed at first, and how many pairs that assumption weighs. */
+/** Prior standard deviation of the residual, and the number of pairs that this prior counts as. */
 const residualDeviation = 0.08;
 const residualWeight = 12;
 const minResidualDeviation = 0.04;
 const maxResidualDeviation = 0.15;
-/** A rest beyond so many standard deviations tells nothing about other classes: that version is odd in this class. */
+/**
+ * Beyond this number of standard deviations a pair's weight in the shared effects is reduced: such a residual is
+ * peculiar to the version in that class and says nothing about other classes.
+ */
 const outlierDeviations = 2;
 
-/** Counts weigh less with age; unchanged ones are read again after this time. */
+/** The weights of counts decrease with age, so unchanged counts are read again after this time. */
 const rereadMilliseconds = 60_000;
 
 interface Effect {
@@ -40,17 +45,17 @@
     readonly variance: number;
 }
 
-/** What is known of one pair, and the effects that are worked out from it. */
+/** The observations of one pair of version and class. */
 interface Cell {
     readonly expectedQuality: number;
     readonly counts: CellCounts;
-    /** Mean and precision of its scores, those of escalated requests corrected for their hardness. */
+    /** Mean and precision of the scores, with those of escalated requests corrected for their difficulty. */
     observed: PairedMean;
     /** Monotonic milliseconds. */
     readonly readAt: number;
 }
 
-/** Keeps the counts last read of every version and class, and gets posteriors from them. */
+/** Caches the counts of each version and class, and computes posteriors from them. */
 export class QualityModel {
     readonly #evidence: Evidence;
     readonly #clock: Clock;
@@ -68,7 +73,7 @@
     }
 
     /**
-     * Reads the counts of a version in a class, if they changed or grew older since they were last read.
+     * Reads the counts of a version in a class if they changed or became outdated since the last read.
      * @returns Whether they were read.
      */
     refresh(version: ModelVersion, requestClass: string): boolean {
@@ -83,7 +88,7 @@
         return true;
     }
 
-    /** Takes up a version's expected quality, and reads its counts if they never were. */
+    /** Updates a version's expected quality, and reads its counts if they have not been read yet. */
     ensureRead(version: ModelVersion, requestClass: string): void {
         const known = this.#classes.get(requestClass)?.get(version.id);
         if (known === undefined) {
@@ -103,7 +108,7 @@
         cells.set(version.id, { ...cell, expectedQuality: version.expectedQuality });
     }
 
-    /** Works out the effects of a class and its versions anew, after counts were read. */
+    /** Recomputes the effects of a class and its versions after counts were read. */
     fit(requestClass: string, versions: readonly ModelVersion[]): void {
         this.#applyEscalations(requestClass);
         this.#residualVariance = this.#estimateResidualVariance();
@@ -113,7 +118,7 @@
         }
     }
 
-    /** Gets the posterior of a version in a class, whose counts were read before. */
+    /** Returns the posterior of a version in a class. Its counts must have been read before. */
     getEstimate(version: ModelVersion, requestClass: string): QualityEstimate {
         const { counts, expectedQuality, observed } = this.#classes.get(requestClass)!.get(version.id)!;
         const classEffect = this.#getClassEffect(requestClass, version.id);
@@ -133,7 +138,7 @@
         };
     }
 
-    /** Gets how the hard requests of a class spoil the second answer. */
+    /** Returns how much the difficult requests of a class lower the second answer's score. */
     getDifficulty(requestClass: string): Difficulty {
         return this.#difficulties.get(requestClass)!;
     }
@@ -154,7 +159,7 @@
         }
     }
 
-    /** @param excludedVersion - A version whose own counts are not to be used. */
+    /** @param excludedVersion - A version whose own counts are excluded. */
     #getClassEffect(requestClass: string, excludedVersion: string | undefined): Effect {
         const sum = new EffectSum(classDeviation, this.#residualVariance);
         for (const [version, { expectedQuality, observed }] of this.#classes.get(requestClass) ?? []) {
@@ -166,7 +171,7 @@
         return sum.getEffect();
     }
 
-    /** @param excludedClass - A class whose own counts are not to be used. */
+    /** @param excludedClass - A class whose own counts are excluded. */
     #getVersionEffect(version: string, excludedClass: string | undefined): Effect {
         const sum = new EffectSum(versionDeviation, this.#residualVariance);
         for (const [requestClass, cells] of this.#classes) {
@@ -180,7 +185,7 @@
         return sum.getEffect();
     }
 
-    /** Estimates the variance of the rest from the pairs that are known well. */
+    /** Estimates the variance of the residual from the pairs with precise observations. */
     #estimateResidualVariance(): number {
         let squares = residualWeight * residualDeviation ** 2;
         let weight = residualWeight;
@@ -204,7 +209,7 @@
     }
 }
 
-/** Adds up what pairs tell about an effect that they share. */
+/** Accumulates the precision-weighted observations of an effect that several pairs share. */
 class EffectSum {
     readonly #residualVariance: number;
     #precision: number;
--- a/src/decisions/model/scoreDistribution.ts
+++ b/src/decisions/model/scoreDistribution.ts
@@ -1,24 +1,25 @@
 /**
- * How the scores of a version spread: what was counted, mixed with a normal distribution about the posterior mean while
- * little was. The cost and quality of a cascade depend on that shape, also of a version that was hardly tried yet.
+ * The distribution of a version's scores: the counted scores, mixed with a normal distribution around the posterior
+ * mean while there are few of them. The cost and quality of a cascade depend on its shape, also for a rarely used
+ * version.
  */
 import { getNormalProbability } from "./normal.js";
 import type { QualityEstimate } from "./qualityEstimate.js";
 import { scoreSteps } from "./tally.js";
 
-/** How many ratings the assumed shape weighs. */
+/** Number of ratings that the assumed normal distribution counts as. */
 export const priorDistributionWeight = 8;
 
-/** Shares of the scores by bin, with their mean. */
+/** Shares of the scores by bin, and their mean. */
 export interface ScoreDistribution {
     readonly shares: readonly number[];
     readonly mean: number;
 }
 
-/** A version stands in many cascades of the same forming of plans. */
+/** Cached distributions: plan creation uses each version in many cascades. */
 const distributions = new WeakMap<QualityEstimate, ScoreDistribution>();
 
-/** Gets the shape of a version's scores in a class. */
+/** Returns the distribution of a version's scores in a class. */
 export function getScoreDistribution(estimate: QualityEstimate): ScoreDistribution {
     let distribution = distributions.get(estimate);
     if (distribution === undefined) {
--- a/src/decisions/model/tally.ts
+++ b/src/decisions/model/tally.ts
@@ -1,9 +1,9 @@
 /**
- * Counts of what was seen of one version in one class of request. All counts are integers, so that sums are exact in
- * whatever order they are formed.
+ * Counts of the observations of one version in one request class. All counts are integers, so that sums are exact in
+ * any order of addition.
  */
 
-/** Steps of the score histogram; bin `n` holds scores nearest to `n / scoreSteps`. */
+/** Steps of the score histogram. Bin `n` holds the scores nearest to `n / scoreSteps`. */
 export const scoreSteps = 20;
 
 const sumUnit = 1000;
@@ -15,11 +15,11 @@
 /** Integer counts of answers and ratings. */
 export class Tally {
     readonly #slots: number[] = emptySlots.slice();
-    /** Sums over the scores' bins, kept so that mean and variance need no walk over the histogram. */
+    /** Sums over the bins of the scores, maintained so that mean and variance need no iteration over the histogram. */
     #binSum = 0;
     #binSquareSum = 0;
 
-    /** Reads a tally back from what `encode` returned. */
+    /** Decodes a tally that `encode` returned. */
     static decode(encoded: readonly number[]): Tally {
         const tally = new Tally();
         for (let index = 0; index + 1 < encoded.length; index += 2) {
@@ -34,7 +34,7 @@
         return tally;
     }
 
-    /** Number of answers, failed ones included. */
+    /** Number of answers, including failed ones. */
     get answers(): number {
         return this.#slots[0];
     }
@@ -44,7 +44,7 @@
         return this.#slots[1];
     }
 
-    /** Number of answers over the latency target. */
+    /** Number of answers that exceeded the latency target. */
     get slow(): number {
         return this.#slots[2];
     }
@@ -59,18 +59,18 @@
         return this.#slots[4] / sumUnit;
     }
 
-    /** Sum of the scores, each rounded to its bin and counted in bins. */
+    /** Sum of the scores, each rounded to its bin and measured in bins. */
     get binSum(): number {
         return this.#binSum;
     }
 
-    /** Sum of the squares of the scores, each rounded to its bin and counted in bins. */
+    /** Sum of the squares of the scores, each rounded to its bin and measured in bins. */
     get binSquareSum(): number {
         return this.#binSquareSum;
     }
 
     /**
-     * Gets the number of scores in a bin.
+     * Returns the number of scores in a bin.
      * @param bin - From 0 to `scoreSteps`.
      */
     getBin(bin: number): number {
@@ -97,7 +97,7 @@
     /**
      * Adds another tally.
      * @param other - The counts to add.
-     * @param weight - What each count is multiplied by; 1 keeps the sum exact.
+     * @param weight - Factor of each count. With 1 the sum stays exact.
      */
     add(other: Tally, weight = 1): void {
         const own = this.#slots;
@@ -109,14 +109,14 @@
         this.#binSquareSum += weight * other.#binSquareSum;
     }
 
-    /** Adds the numbers of scores in each bin to others, each weighing as told. */
+    /** Adds the weighted number of scores of each bin to `bins`. */
     addBinsTo(bins: Float64Array, weight: number): void {
         for (let bin = 0; bin <= scoreSteps; bin += 1) {
             bins[bin] += weight * this.#slots[binOffset + bin];
         }
     }
 
-    /** Returns the non-zero counts as pairs of slot and count, for a compact message. */
+    /** Encodes the non-zero counts as pairs of slot and count, which keeps messages small. */
     encode(): readonly number[] {
         const encoded: number[] = [];
         for (let slot = 0; slot < slotCount; slot += 1) {
--- a/test/decisions/model/evidence.test.ts
+++ b/test/decisions/model/evidence.test.ts
@@ -9,7 +9,7 @@
 
 describe("Evidence", () => {
     describe("merge", () => {
-        it("gives the same counts whatever the order and repetition of messages", () => {
+        it("results in the same counts for any order and repetition of messages", () => {
             const clock = new ManualClock(startTime);
             const random = new RandomSource(3);
             const nodes = [new Evidence({ clock }), new Evidence({ clock })];
@@ -29,7 +29,7 @@
             expect(describeCounts(twice)).toEqual(describeCounts(forward));
         });
 
-        it("takes in changes since a known sequence as well as whole counts", () => {
+        it("merges changes since a given sequence number as well as complete counts", () => {
             const clock = new ManualClock(startTime);
             const sender = new Evidence({ clock });
             const receiver = new Evidence({ clock });
@@ -46,9 +46,9 @@
     });
 
     describe("forget", () => {
-        // An entry is replaced. What it saw of a bad version must not vanish with it, or its successors would have to
-        // see as many bad answers again.
-        it("keeps what a departed node saw until it is old", () => {
+        // An entry is replaced. If the ratings of a bad version that it counted were lost, its successors would send as
+        // many requests to that version again.
+        it("retains the counts of a departed node until they are old", () => {
             const clock = new ManualClock(startTime);
             const departing = new Evidence({ clock });
             const staying = new Evidence({ clock });
@@ -63,7 +63,7 @@
     });
 
     describe("addRating", () => {
-        it("stays bounded over a day and keeps all counts of the last hour", () => {
+        it("needs bounded memory over a day and retains all counts of the last hour", () => {
             const clock = new ManualClock(startTime);
             const evidence = new Evidence({ clock });
             for (let second = 0; second < 86_400; second += 10) {
--- a/test/decisions/model/modelChooser.test.ts
+++ b/test/decisions/model/modelChooser.test.ts
@@ -12,13 +12,13 @@
 
 describe("ModelChooser", () => {
     describe("choose", () => {
-        it("takes the surest version for a class never seen before", () => {
+        it("chooses the version of the highest expected quality for a new class", () => {
             const { choose } = createFixture();
             const plan = choose({ ratingsAvailable: false });
             expect(plan.steps.map(step => step.version.id)).toEqual([large.id]);
         });
 
-        it("takes the cheapest single version that is known to meet the target", () => {
+        it("chooses the cheapest single version that is known to meet the target", () => {
             const { addRatings, choose } = createFixture();
             addRatings(small, 400, 0.6, 0.02);
             addRatings(medium, 400, 0.88, 0.02);
@@ -26,7 +26,7 @@
             expect(choose({ ratingsAvailable: false }).steps.map(step => step.version.id)).toEqual([medium.id]);
         });
 
-        it("cascades where the cheap version is often good and its ratings tell when", () => {
+        it("chooses a cascade where the cheap version is often good and its ratings show when", () => {
             const { addRatings, addEscalations, choose } = createFixture();
             addRatings(small, 300, 0.95, 0.02);
             addRatings(small, 200, 0.3, 0.02);
@@ -40,9 +40,10 @@
             expect(plan.steps[1].acceptScore).toEqual(undefined);
         });
 
-        // What the cheap version answers badly may be hard for the dear one too. A cascade that counted on the dear
-        // version's overall mean would miss the target on just the requests that it is there for.
-        it("meets the target where the dear version does worse on the same requests", () => {
+        // Guards against a cascade that relies on the expensive version's overall mean. Requests that the cheap version
+        // answers badly may be difficult for the expensive one too, so the cascade would miss the target on the very
+        // requests that it escalates.
+        it("meets the target where the expensive version does worse on the same requests", () => {
             const { addRatings, addEscalations, choose, random } = createFixture();
             addRatings(small, 300, 0.84, 0.02);
             addRatings(small, 200, 0.3, 0.02);
@@ -61,7 +62,7 @@
             expect(sum / count >= 0.8).toEqual(true);
         });
 
-        it("counts what a long history costs on both steps of a cascade", () => {
+        it("includes the cost of a long history in both steps of a cascade", () => {
             const { addRatings, choose } = createFixture();
             addRatings(small, 300, 0.95, 0.02);
             addRatings(small, 200, 0.3, 0.02);
@@ -71,9 +72,9 @@
             expect(long.expectedCost > 200 * short.expectedCost).toEqual(true);
         });
 
-        // The rating service is away: nobody can tell whether a cheap answer will do. A cascade would then escalate
-        // every request, and callers would wait and pay for two answers.
-        it("chooses no cascade and tries nothing while ratings are away", () => {
+        // Guards against cascades during an outage of the rating service. No first answer could be accepted, so every
+        // request would be escalated, and callers would wait and pay for two answers.
+        it("chooses no cascade and no exploration while ratings are unavailable", () => {
             const { addRatings, choose } = createFixture();
             addRatings(small, 300, 0.95, 0.02);
             addRatings(small, 200, 0.3, 0.02);
@@ -85,9 +86,10 @@
             }
         });
 
-        // Answers take seconds, and a cascade holds its first one back until it is whole and rated. A caller that reads along
-        // would wait for its first token far beyond its workspace's bound, while every engine is idle.
-        it("takes the cheapest single version where a cascade would come too late", () => {
+        // Guards against cascades for callers that read the answer as a stream. A cascade holds its first answer back
+        // until it is complete and rated, which takes seconds: the wait for the first token would far exceed the
+        // workspace's limit while all engines are idle.
+        it("chooses the cheapest single version where a cascade's first token would be too late", () => {
             const { addRatings, addEscalations, choose } = createFixture();
             addRatings(small, 300, 0.95, 0.02);
             addRatings(small, 200, 0.3, 0.02);
@@ -105,7 +107,7 @@
             expect(choose({ isCascadeInTime: first => first === small }).steps.length).toEqual(2);
         });
 
-        it("notices a price change at once", () => {
+        it("applies a price change at once", () => {
             const { addRatings, choose } = createFixture();
             addRatings(medium, 400, 0.88, 0.02);
             addRatings(large, 400, 0.95, 0.02);
@@ -115,9 +117,9 @@
             expect(plan.steps[0].version.id).toEqual(large.id);
         });
 
-        // A cheap version was good for an hour and then turns bad. Its many good ratings would outweigh the new bad
-        // ones for long, and callers would go on getting bad answers.
-        it("leaves a version soon after it turned bad", () => {
+        // A cheap version is good for an hour and then becomes bad. Its many good ratings would outweigh the new bad
+        // ones for a long time, and callers would continue to get bad answers.
+        it("stops choosing a version soon after it became bad", () => {
             const { addRatings, choose, clock } = createFixture();
             addRatings(large, 400, 0.95, 0.02);
             for (let minute = 0; minute < 60; minute += 1) {
@@ -131,23 +133,23 @@
             expect(choose({ ratingsAvailable: false }).steps[0].version.id).toEqual(large.id);
         });
 
-        // A good version had three unlucky ratings. If it were never tried again, the class would stay with a version that
-        // is known to miss the target, although a better one stands by.
-        it("goes on trying a version that may meet the target while none is known to", () => {
+        // A good version got three unluckily low ratings. If it were never explored again, the class would stay with a
+        // version that is known to miss the target, although a better one is available.
+        it("continues to explore a version that may meet the target while none is known to", () => {
             const { addRatings, choose } = createFixture();
             addRatings(medium, 500, 0.7, 0.02);
             addRatings(large, 3, 0.6, 0.02);
             let lateExplorations = 0;
             for (let request = 0; request < 2000; request += 1) {
-                const tried = choose({ candidates: [medium, large] }).steps[0].version === large;
-                lateExplorations += tried && request >= 1000 ? 1 : 0;
+                const isExploration = choose({ candidates: [medium, large] }).steps[0].version === large;
+                lateExplorations += isExploration && request >= 1000 ? 1 : 0;
             }
             expect(lateExplorations > 0).toEqual(true);
         });
 
-        // Forming plans takes longer than callers may wait for their next token. It runs in steps after the request, and
-        // until the last step the plans from before are used.
-        it("forms plans that are due after the request, in steps", () => {
+        // Creating plans takes longer than callers may wait for their next token. It runs in steps after the request,
+        // and the previous plans are used until the last step is done.
+        it("refreshes due plans after the request, in steps", () => {
             const steps: (() => void)[] = [];
             const { addRatings, choose, clock } = createFixture({ schedule: step => steps.push(step) });
             const getVersion = () => choose({ ratingsAvailable: false }).steps[0].version.id;
@@ -168,9 +170,9 @@
             expect(getVersion()).toEqual(large.id);
         });
 
-        // Nobody asked for this class in a while, and meanwhile a version turned bad. Plans from before would send the next
-        // callers to it.
-        it("forms outdated plans before it answers", () => {
+        // A class had no requests for a while, and meanwhile a version became bad. The old plans would send the next
+        // callers to that version.
+        it("refreshes outdated plans before it chooses", () => {
             const { addRatings, choose, clock } = createFixture({ schedule: () => {} });
             addRatings(medium, 400, 0.88, 0.02);
             addRatings(large, 400, 0.95, 0.02);
@@ -180,12 +182,12 @@
             expect(choose({ ratingsAvailable: false }).steps[0].version.id).toEqual(large.id);
         });
 
-        it("says so if there is no candidate", () => {
+        it("returns a plan without steps if there is no candidate", () => {
             const { choose } = createFixture();
             expect(choose({ candidates: [] }).steps).toEqual([]);
         });
 
-        it("keeps the mean quality at the target while it learns", () => {
+        it("keeps the mean quality at the target while it explores", () => {
             const { evidence, choose, clock, random } = createFixture();
             const qualities = new Map([[small.id, 0.55], [medium.id, 0.86], [large.id, 0.94]]);
             let sum = 0;
--- a/test/decisions/model/qualityModel.test.ts
+++ b/test/decisions/model/qualityModel.test.ts
@@ -13,28 +13,29 @@
 const [small, medium, large] = versions;
 
 describe("QualityModel", () => {
-    // A class is seen for the first time. If nothing were known of it, its callers would pay for the dearest version until
-    // each cheaper one had been rated often enough, although other classes and the first ratings tell most of it.
-    it("knows a version in a new class from other classes and other versions", () => {
-        const { model, addRatings, read } = createFixture();
+    // A class is new. Without the ratings of other classes and versions its callers would pay for the most expensive
+    // version until each cheaper one has enough ratings of its own.
+    it("estimates a version in a new class from other classes and other versions", () => {
+        const { model, addRatings, refreshAll } = createFixture();
         for (const [index, ease] of [0, 0.05, -0.05, 0.02].entries()) {
             addRatings(small, `class-${index}`, 200, 0.55 + ease);
             addRatings(medium, `class-${index}`, 200, 0.65 + ease);
             addRatings(large, `class-${index}`, 200, 0.9 + ease);
-            read(`class-${index}`);
+            refreshAll(`class-${index}`);
         }
         addRatings(large, "new", 60, 0.8);
-        read("new");
+        refreshAll("new");
         const { mean, deviation, scores } = model.getEstimate(medium, "new");
         expect(scores.ratings).toEqual(0);
         expect(Math.abs(mean - 0.55) < 0.05).toEqual(true);
         expect(deviation < 0.1).toEqual(true);
     });
 
-    // The dear version answers only what the cheap one answered badly. Its ratings there are those of hard requests, and
-    // taken as they are they would hide that it meets the target by itself, when ratings are away and cascades stop.
-    it("knows a version that only answers second", () => {
-        const { model, evidence, random, addRatings, read } = createFixture();
+    // The expensive version answers only what the cheap one answered badly, so all its ratings belong to difficult
+    // requests. Uncorrected, they would conceal that it meets the target by itself when ratings are unavailable and
+    // cascades stop.
+    it("estimates a version that only answers second", () => {
+        const { model, evidence, random, addRatings, refreshAll } = createFixture();
         addRatings(small, "plans", 400, 0.6);
         for (let escalation = 0; escalation < 400; escalation += 1) {
             const firstScore = 0.3 + 0.3 * random.next();
@@ -47,16 +48,16 @@
                 secondScore,
             });
         }
-        read("plans");
+        refreshAll("plans");
         const { mean, deviation } = model.getEstimate({ ...large, expectedQuality: 0.7 }, "plans");
         expect(Math.abs(mean - 0.9) < 0.03).toEqual(true);
         expect(deviation < 0.04).toEqual(true);
     });
 
     it("reads the counts of a version only if they changed", () => {
-        const { model, addRatings, read } = createFixture();
+        const { model, addRatings, refreshAll } = createFixture();
         addRatings(small, "plans", 10, 0.6);
-        read("plans");
+        refreshAll("plans");
         expect(model.refresh(small, "plans")).toEqual(false);
         addRatings(small, "plans", 1, 0.6);
         expect(model.refresh(small, "plans")).toEqual(true);
@@ -78,7 +79,7 @@
                 evidence.addRating({ version: id, requestClass, score: mean + 0.05 * random.nextNormal() });
             }
         },
-        read: (requestClass: string) => {
+        refreshAll: (requestClass: string) => {
             for (const version of versions) {
                 model.refresh(version, requestClass);
             }
