--- a/src/decisions/exposure/callerHash.ts
+++ b/src/decisions/exposure/callerHash.ts
@@ -1,10 +1,10 @@
-/** Maps callers to numbers by xxHash, the same on every node. */
+/** Maps callers to numbers with xxHash, identically on every node. */
 import xxhash from "xxhash-wasm";
 
-/** Maps a text to a number from 0 (included) to 1 (excluded). */
+/** Maps a string to a number from 0 (inclusive) to 1 (exclusive). */
 export type CallerHash = (text: string) => number;
 
-/** Loads xxHash. */
+/** Loads xxHash and returns the hash function. */
 export async function createCallerHash(): Promise<CallerHash> {
     const { h32 } = await xxhash();
     return text => h32(text) / 2 ** 32;
--- a/src/decisions/exposure/confirmation.ts
+++ b/src/decisions/exposure/confirmation.ts
@@ -1,30 +1,33 @@
 /**
- * Missing ratings as evidence: compares how many of a candidate's answers a rating confirmed as good with how many of
- * the baseline's at the same time.
+ * A test that treats missing ratings as evidence: it compares the share of a candidate's answers that a rating
+ * confirmed as good with the baseline's share at the same time.
  *
- * Where bad answers are rated less often than good ones, the ratings that do come in look nearly as good as ever. The
- * share of answers that were rated good still falls by every bad answer, rated or not. An outage of the rating service
- * lowers it for both versions alike, which is why the baseline's answers of the same minute are the reference.
+ * Where bad answers are rated less often than good ones, the ratings that do arrive look nearly unchanged. The share of
+ * answers that were rated good still decreases with every bad answer, whether it is rated or not. An outage of the
+ * rating service lowers this share for both versions alike, so the baseline's answers of the same minute are the
+ * reference.
  */
 import type { Bucket, Tally } from "../model/index.js";
 import { countBadRatings } from "./metric.js";
 
-/** Epochs of a slot, within which the two versions are compared. */
+/** Number of epochs in a slot of time. The two versions are compared within slots. */
 const slotEpochs = 64;
-/** How much lower the candidate's share may be, as a part of the baseline's, and still count as good. */
+/**
+ * Margin by which the candidate's share may be below the baseline's, as a part of the latter, and still count as good.
+ */
 const shareMargin = 0.01;
-/** Standard errors by which the baseline's share is lowered, since it is itself an estimate. */
+/** Standard errors by which the baseline's share is lowered, since it is an estimate too. */
 const referenceStandardErrors = 1;
-/** Answers of the baseline below which nothing is judged. */
+/** Minimum number of the baseline's answers for an evaluation. */
 const minReferenceAnswers = 100;
-/** Sizes of bets, as parts of the greatest bet that can't lose more than the capital. */
+/** Sizes of bets, as parts of the largest bet that cannot lose more than the capital. */
 const betFractions: readonly number[] = [0.08, 0.25, 0.6];
 const maxLog = 600;
 
-/** Answers of a class about which all is known that will be. */
+/** Answers of a class that are old enough for their ratings to have arrived. */
 export interface ConfirmationInput {
     readonly candidate: readonly Bucket[];
-    /** Answers of the baseline since the roll-out began. */
+    /** Answers of the baseline since the start of the roll-out. */
     readonly baseline: readonly Bucket[];
 }
 
@@ -34,9 +37,10 @@
 }
 
 /**
- * Bets that the candidate's share of confirmed answers is as high as the baseline's.
+ * Bets against the hypothesis that the candidate's share of confirmed answers is as high as the baseline's.
  * @param classes - The counts by class.
- * @returns The capital that the bets have reached. It starts at 1, and is expected not to grow for a good candidate.
+ * @returns The capital that the bets have reached. It starts at 1 and its expectation does not grow for a good
+ * candidate.
  */
 export function getConfirmationCapital(classes: readonly ConfirmationInput[]): number {
     const logs = betFractions.map(() => 0);
@@ -74,7 +78,7 @@
     }
 }
 
-/** Counts answers in slots of time. A coarse bucket is spread evenly over the slots that it covers. */
+/** Counts answers in slots of time. A coarse bucket is distributed evenly over the slots that it covers. */
 function collectSlots(buckets: readonly Bucket[]): ReadonlyMap<number, AnswerCounts> {
     const slots = new Map<number, AnswerCounts>();
     for (const bucket of buckets) {
@@ -95,7 +99,7 @@
     return Array.from({ length: Math.max(1, 2 ** level / slotEpochs) }, (...[, index]) => first + index);
 }
 
-/** Gets the baseline's share of confirmed answers in the time of a bucket, or `undefined` if it gave none. */
+/** Returns the baseline's share of confirmed answers during a bucket, or `undefined` if it gave no answers then. */
 function getConfirmedShare(
     reference: ReadonlyMap<number, AnswerCounts>,
     bucket: Bucket,
@@ -114,7 +118,7 @@
     return answered < 1 ? undefined : Math.min(1, confirmed / answered);
 }
 
-/** Gets the standard error of the baseline's share over the slots that were used. */
+/** Returns the standard error of the baseline's share over the slots that were used. */
 function getStandardError(reference: ReadonlyMap<number, AnswerCounts>, used: ReadonlySet<number>): number {
     let answered = 0;
     let confirmed = 0;
--- a/src/decisions/exposure/exposures.ts
+++ b/src/decisions/exposure/exposures.ts
@@ -1,16 +1,16 @@
 /**
- * Counts how many callers each roll-out has exposed, mergeable over nodes.
+ * Counts how many callers each roll-out has exposed. The counts of all nodes can be merged.
  */
 
-/** Counts of one node as they travel; plain JSON. */
+/** Counts of one node as they are sent to other nodes, as plain JSON. */
 export interface ExposureCounts {
-    /** Grows with each change; the greater one replaces the smaller one. */
+    /** Increases with each change. Counts with a greater sequence replace those with a smaller one. */
     readonly sequence: number;
-    /** For each roll-out, the callers that the node exposed. */
+    /** The number of callers that the node exposed, by roll-out. */
     readonly callers: Readonly<Record<string, number>>;
 }
 
-/** Counts exposed callers here and merges the counts of other nodes. */
+/** Counts exposed callers of this node and merges the counts of other nodes. */
 export class Exposures {
     readonly #own = new Map<string, number>();
     readonly #others = new Map<string, ExposureCounts>();
@@ -22,17 +22,19 @@
         this.#sequence += 1;
     }
 
-    /** Gets how many callers this node exposed. */
+    /** Returns how many callers this node has exposed. */
     getOwn(rollout: string): number {
         return this.#own.get(rollout) ?? 0;
     }
 
-    /** Gets how many callers a node exposed, as far as is known here. */
+    /** Returns how many callers another node has exposed, according to its last received counts. */
     getForNode(origin: string, rollout: string): number {
         return this.#others.get(origin)?.callers[rollout] ?? 0;
     }
 
-    /** Gets how many callers all nodes exposed, departed ones included, as far as is known here. */
+    /**
+     * Returns how many callers all nodes have exposed, including departed ones, according to the last received counts.
+     */
     getTotal(rollout: string): number {
         let total = this.getOwn(rollout);
         for (const counts of this.#others.values()) {
@@ -41,19 +43,19 @@
         return total;
     }
 
-    /** Drops the counts of a roll-out that has ended. */
+    /** Removes the counts of a roll-out that has ended. */
     remove(rollout: string): void {
         if (this.#own.delete(rollout)) {
             this.#sequence += 1;
         }
     }
 
-    /** Returns the counts of this node, to be published to the others. */
+    /** Returns the counts of this node for publication to other nodes. */
     exportOwn(): ExposureCounts {
         return { sequence: this.#sequence, callers: Object.fromEntries(this.#own) };
     }
 
-    /** Takes in the counts that another node published; repeats and reordering do no harm. */
+    /** Merges counts that another node published. Repeated and reordered messages are harmless. */
     merge(origin: string, counts: ExposureCounts): void {
         const known = this.#others.get(origin);
         if (known === undefined || known.sequence < counts.sequence) {
--- a/src/decisions/exposure/grants.ts
+++ b/src/decisions/exposure/grants.ts
@@ -1,34 +1,35 @@
 /**
- * Splits a roll-out's exposure budget over the entries, a part at a time.
+ * Distributes a roll-out's exposure budget over the entries in several steps.
  *
- * Ratings come late: a stage that let its whole share of callers through at once would expose hundreds before the first
- * rating is in. So callers are released as earlier ones have been judged, at first a handful and then ever more.
+ * Ratings arrive late: a stage that exposed its whole share of callers at once would expose hundreds of them before the
+ * first rating. So callers are released as earlier ones have been evaluated, a handful at first and then increasingly
+ * more.
  */
 
-/** What the split depends on. */
+/** The input of a distribution. */
 export interface GrantInput {
-    /** Granted so far, for each entry altogether. */
+    /** Grants so far, as a total for each entry. */
     readonly grants: Readonly<Record<string, number>>;
-    /** Entries that take callers now. */
+    /** Entries that accept callers now. */
     readonly entries: readonly string[];
-    /** Callers that may be exposed in the whole system. */
+    /** Maximum number of exposed callers in the whole system. */
     readonly budget: number;
-    /** Exposed callers about whom all is known that will be. */
+    /** Exposed callers whose answers are old enough for their ratings to have arrived. */
     readonly evaluatedCallers: number;
-    /** Callers that may be exposed before the first one is judged. */
+    /** Number of callers that may be exposed before the first one is evaluated. */
     readonly firstCallers: number;
-    /** For each judged caller, so many more may be exposed and not judged. */
+    /** For each evaluated caller, this number of further callers may be exposed without being evaluated yet. */
     readonly pendingPerEvaluated: number;
-    /** Gets how many callers an entry has exposed. */
+    /** Returns how many callers an entry has exposed. */
     readonly getSpent: (entry: string) => number;
 }
 
-/** A new split is worth a record if it adds this part of what may be waiting. */
+/** New grants are recorded only if they add at least this part of the callers that may be pending. */
 const minGrantShare = 0.25;
 
 /**
  * Plans the next grants.
- * @returns The grants of all entries altogether; `undefined` if nothing should be added yet.
+ * @returns The total grants of all entries, or `undefined` if nothing should be added yet.
  */
 export function planGrants(input: GrantInput): Readonly<Record<string, number>> | undefined {
     const granted = sumValues(input.grants);
@@ -42,13 +43,13 @@
     }
     const grants = { ...input.grants };
     for (let count = 0; count < added; count += 1) {
-        const entry = getEntryWithFewestLeft(input, grants);
+        const entry = getEntryWithFewestUnusedGrants(input, grants);
         grants[entry] = (grants[entry] ?? 0) + 1;
     }
     return grants;
 }
 
-/** Counts what was granted to entries that have gone; it stays within the budget, but nobody waits for it. */
+/** Counts unused grants of departed entries. They stay within the budget, but no exposure is expected from them. */
 function countUnusedOfDeparted(input: GrantInput): number {
     let unused = 0;
     for (const [entry, granted] of Object.entries(input.grants)) {
@@ -59,14 +60,14 @@
     return unused;
 }
 
-/** Gets the entry with the least left to spend. */
-function getEntryWithFewestLeft(input: GrantInput, grants: Readonly<Record<string, number>>): string {
+/** Returns the entry with the fewest unused grants. */
+function getEntryWithFewestUnusedGrants(input: GrantInput, grants: Readonly<Record<string, number>>): string {
     let selected = input.entries[0];
-    let minLeft = Infinity;
+    let minUnused = Infinity;
     for (const entry of input.entries) {
-        const left = (grants[entry] ?? 0) - input.getSpent(entry);
-        if (left < minLeft) {
-            minLeft = left;
+        const unused = (grants[entry] ?? 0) - input.getSpent(entry);
+        if (unused < minUnused) {
+            minUnused = unused;
             selected = entry;
         }
     }
--- a/src/decisions/exposure/index.ts
+++ b/src/decisions/exposure/index.ts
@@ -1,4 +1,4 @@
-/** Which version: staged exposure of callers, sequential tests and what should happen next with a roll-out. */
+/** Version choice: staged exposure of callers, sequential tests and decisions on roll-outs. */
 export * from "./callerHash.js";
 export * from "./exposures.js";
 export * from "./rolloutEvaluator.js";
--- a/src/decisions/exposure/metric.ts
+++ b/src/decisions/exposure/metric.ts
@@ -1,24 +1,24 @@
 /**
- * What a version is judged by. Each metric maps a tally to counts of values from 0 (worst) to 1 (best), so that one
- * test serves them all: the mean must not be lower than that of the reference.
+ * The metrics that a version is evaluated by. Each metric maps a tally to counts of values from 0 (worst) to 1 (best),
+ * so that one test serves them all: the mean must not be lower than that of the reference.
  */
 import { scoreSteps, type Tally } from "../model/index.js";
 
 /** Names of the metrics. */
 export type MetricName = "bad ratings" | "mean rating" | "errors" | "latency";
 
-/** One thing that a version is judged by. */
+/** A metric that a version is evaluated by. */
 export interface Metric {
     readonly name: MetricName;
-    /** Its part of the false alarm budget. */
+    /** Part of the false alarm budget that the metric uses. */
     readonly weight: number;
-    /** How much worse than the reference is still as good. */
+    /** Margin by which the mean may be worse than the reference and still count as good. */
     readonly margin: number;
-    /** The values that one observation can take. */
+    /** The possible values of one observation. */
     readonly values: readonly number[];
     /**
      * Counts the observations.
-     * @returns For each of `values`, how often it was seen.
+     * @returns The number of observations of each of `values`.
      */
     readonly count: (tally: Tally) => readonly number[];
 }
@@ -26,10 +26,10 @@
 const scoreValues = Array.from({ length: scoreSteps + 1 }, (...[, bin]) => bin / scoreSteps);
 const binaryValues = [0, 1];
 
-/** Scores up to this bin are bad answers. */
+/** Scores up to this bin count as bad answers. */
 const maxBadBin = scoreSteps / 2;
 
-/** Counts the ratings of a tally that call an answer bad. */
+/** Counts the ratings of a tally that mark an answer as bad. */
 export function countBadRatings(tally: Tally): number {
     let count = 0;
     for (let bin = 0; bin <= maxBadBin; bin += 1) {
@@ -38,22 +38,23 @@
     return count;
 }
 
-/** How far a version's mean rating may lie below its reference's, unless the configuration says otherwise. */
+/** Default margin by which a version's mean rating may be below that of its reference. */
 const defaultQualityMargin = 0.05;
 /**
- * The margin for bad answers, as a part of that for the mean rating. A single bad answer can do harm that no number of
- * good ones makes up for, so less of them is taken as still as good.
+ * Margin of the share of bad answers, as a part of the margin of the mean rating. A single bad answer can do harm that
+ * no number of good ones makes up for, so fewer of them are tolerated.
  */
 const badRatingMarginShare = 0.2;
 
 /**
- * Makes the metrics by which a version is judged.
- * @param qualityMargin - How far its mean rating may lie below that of its reference.
+ * Creates the metrics that a version is evaluated by.
+ * @param qualityMargin - Margin by which its mean rating may be below that of its reference.
  */
 export function createMetrics(qualityMargin: number = defaultQualityMargin): readonly Metric[] {
     return [
         {
-            // A version that answers well as a rule and badly now and then shows here much sooner than in its mean.
+            // Occasional bad answers of an otherwise good version show in this metric much sooner than in its mean
+            // rating.
             name: "bad ratings",
             weight: 0.5,
             margin: badRatingMarginShare * qualityMargin,
@@ -87,18 +88,18 @@
     ];
 }
 
-/** Mean and standard error of a metric in a reference. */
+/** Mean and standard error of a metric in the counts of a reference. */
 export interface Reference {
     readonly count: number;
     readonly mean: number;
     readonly standardError: number;
 }
 
-/** Variance of one observation that is assumed before any was seen, and how many observations that weighs. */
+/** Prior variance of one observation, and the number of observations that this prior counts as. */
 const priorVariance = 0.04;
 const priorWeight = 2;
 
-/** Gets the mean of a metric in a tally, with its standard error. */
+/** Returns the mean of a metric in a tally, with its standard error. */
 export function getReference(metric: Metric, tally: Tally): Reference {
     const counts = metric.count(tally);
     let count = 0;
@@ -114,7 +115,7 @@
     }
     const squaredDeviations = Math.max(0, squares - sum * sum / count);
     const variance = (squaredDeviations + priorWeight * priorVariance) / (count + priorWeight);
-    // One worst observation is added: a short reference without a single bad answer would otherwise promise that there are
-    // none, and the first bad answers of a good version would halt it.
+    // One observation of the worst value is added. Otherwise a small reference without any bad answer would imply that
+    // there are none, and the first bad answers of a good version would halt it.
     return { count, mean: sum / (count + 1), standardError: Math.sqrt(variance / count) };
 }
--- a/src/decisions/exposure/rolloutEvaluator.ts
+++ b/src/decisions/exposure/rolloutEvaluator.ts
@@ -1,8 +1,8 @@
 /**
- * Says what should happen next with a roll-out or a settled version, from the merged evidence.
+ * Decides the next action for a roll-out or a stable version from the merged evidence.
  *
- * Any node may act on `halt`. The other verdicts are proposals: only the holder of the lease may append them, and the
- * fold refuses them under an old fence.
+ * Any node may act on `halt`. The other decisions are proposals: only the holder of the lease may append them, and the
+ * fold rejects them with an outdated fencing token.
  */
 import type { Clock } from "../../common/index.js";
 import { getModel } from "../../configuration/allowance.js";
@@ -15,7 +15,7 @@
 import { defaultRolloutPolicy, type RolloutPolicy } from "./rolloutPolicy.js";
 import { SequentialTest, type Stratum, type TestResult } from "./sequentialTest.js";
 
-/** What should happen next. */
+/** The next action for a roll-out or version. */
 export type RolloutEvaluation =
     | { readonly action: "wait"; readonly reason: string; readonly strength: number; }
     | { readonly action: "halt"; readonly version: string; readonly reason: string; readonly strength: number; }
@@ -24,40 +24,40 @@
     | { readonly action: "grant"; readonly grants: Readonly<Record<string, number>>; readonly reason: string; };
 
 const referenceRefreshMilliseconds = 5000;
-/** Starts of a change that share the part of the capital that isn't bet on the first one. */
+/** Number of change points that share the part of the capital that is not bet on the first epoch. */
 const changePointCount = 200;
-/** The part that is bet on the candidate having been bad from the start. */
+/** Part of the capital that is bet on the candidate having been bad from the start. */
 const initialChangeWeight = 0.6;
-/** For each judged caller, so many may be waiting for judgement. */
+/** Number of callers that may be pending evaluation for each evaluated one. */
 const pendingPerEvaluated = 1;
-/** Strength of evidence against the candidate at which callers are let through only a handful at a time. */
+/** Strength of the evidence against the candidate from which on callers are exposed only a handful at a time. */
 const suspiciousStrength = 0.2;
-/** Part of the baseline's share of rated answers that the candidate must reach for its exposure to grow. */
+/** Part of the baseline's share of rated answers that the candidate must reach for its exposure to increase. */
 const minCoverage = 0.5;
 const minMatureAnswers = 10;
 /** Part of the capital that is bet on missing ratings. */
 const confirmationWeight = 0.15;
 /**
- * Capital of the bets on missing ratings from which on few callers are let through at a time. Waiting is cheap and is
- * taken back by itself, so it needs far less than a halt.
+ * Capital of the bets on missing ratings from which on few callers are exposed at a time. Waiting costs little and ends
+ * by itself when the capital falls, so it needs far less evidence than a halt.
  */
 const unconfirmedCapital = 2;
-/** Callers that may be unjudged then, in the whole system. */
+/** Maximum number of unevaluated callers in the whole system in that case. */
 const maxUnconfirmedCallers = 3;
-/** Epochs between two moments at which a settled version is supposed to have changed. */
+/** Epochs between two possible change points of a stable version. */
 const stableChangePointStep = 5;
-/** Part of the evidence needed to hold a version back, below which it is held back no longer. */
+/** A version is released when the evidence falls below this part of the evidence that is needed to hold it back. */
 const releaseStrength = 0.25;
 
-/** Options of `RolloutJudge`. */
+/** Options of `RolloutEvaluator`. */
 export interface RolloutEvaluatorOptions {
     readonly fold: RolloutFold;
     readonly evidence: Evidence;
     readonly exposures: Exposures;
     readonly clock: Clock;
     /**
-     * Gets the policy for a model. It is asked for at every judgement, so that a change holds from the next one on, also
-     * for roll-outs under way. The default policy by default.
+     * Returns the policy of a model. It is called in each evaluation, so that a change applies from the next one on,
+     * also to roll-outs in progress. Returns the default policy by default.
      */
     readonly getPolicy?: (model: string) => RolloutPolicy;
 }
@@ -72,7 +72,7 @@
     readonly confirmationCapital: number;
 }
 
-/** Judges roll-outs and settled versions. */
+/** Evaluates roll-outs and stable versions. */
 export class RolloutEvaluator {
     readonly #fold: RolloutFold;
     readonly #evidence: Evidence;
@@ -80,7 +80,7 @@
     readonly #clock: Clock;
     readonly #getPolicy: (model: string) => RolloutPolicy;
     readonly #held = new Set<string>();
-    readonly #references = new Map<string, { readonly formedAt: number; readonly tally: Tally; }>();
+    readonly #references = new Map<string, { readonly computedAt: number; readonly tally: Tally; }>();
 
     constructor(options: RolloutEvaluatorOptions) {
         this.#fold = options.fold;
@@ -91,9 +91,9 @@
     }
 
     /**
-     * Judges a roll-out.
+     * Evaluates a roll-out.
      * @param id - The roll-out.
-     * @param entries - Names of the entries that take callers now; grants are split over them.
+     * @param entries - Names of the entries that accept callers now. Grants are distributed over them.
      * @param self - Name of this entry.
      */
     evaluate(id: string, entries: readonly string[], self: string): RolloutEvaluation {
@@ -118,7 +118,7 @@
     }
 
     /**
-     * Judges a version that is fully rolled out against its own past.
+     * Evaluates a version that is fully rolled out against its own past.
      * @param version - The version.
      */
     evaluateStable(version: string): RolloutEvaluation {
@@ -144,16 +144,16 @@
     }
 
     /**
-     * Tells whether a version that was rolled out lately is held back: the evidence against it does not suffice for a
-     * halt yet, but for sending most new callers to the version before it until more is known.
+     * Checks whether a recently rolled-out version is held back: the evidence against it does not suffice for a halt
+     * yet, but it does for sending most new callers to the previous version until there is more evidence.
      */
     isHeld(version: string): boolean {
         return this.#held.has(version);
     }
 
     /**
-     * Gets the record that the holder of the lease should append for a verdict, or `undefined`.
-     * @param fencingToken - The fence of the lease.
+     * Returns the record that the holder of the lease should append for an evaluation, or `undefined`.
+     * @param fencingToken - The fencing token of the lease.
      */
     getRecord(
         rollout: string,
@@ -178,7 +178,7 @@
         }
     }
 
-    /** Checks whether the roll-out of a version ended so lately that it is watched more closely. */
+    /** Checks whether the roll-out of a version ended so recently that the version is watched more closely. */
     #isGuarded(version: string, policy: RolloutPolicy): boolean {
         const finishedAt = this.#fold.getFinishedAt(version);
         return finishedAt !== undefined && this.#clock.wall() - finishedAt < policy.guardMilliseconds;
@@ -231,7 +231,7 @@
         return { action: "wait", reason, strength };
     }
 
-    /** Counts the candidate's answers about which all is known that will be. */
+    /** Counts the candidate's answers in total, and those that are old enough for their ratings to have arrived. */
     #countCandidate(strata: readonly Stratum[], policy: RolloutPolicy) {
         const mature = new Tally();
         const total = new Tally();
@@ -271,7 +271,7 @@
         return strata;
     }
 
-    /** Gets the answers of both versions since the start about which all is known that will be. */
+    /** Returns the answers of both versions since the start that are old enough for their ratings to have arrived. */
     #getConfirmations(
         rollout: Rollout,
         strata: readonly Stratum[],
@@ -286,16 +286,16 @@
         }));
     }
 
-    /** Gets the recent counts of a baseline. They change slowly and are asked for often. */
+    /** Returns the recent counts of a baseline. They are cached, since they change slowly and are needed often. */
     #getReference(version: string, requestClass: string): Tally {
         const key = `${version}/${requestClass}`;
         const now = this.#clock.monotonic();
         const known = this.#references.get(key);
-        if (known !== undefined && now - known.formedAt < referenceRefreshMilliseconds) {
+        if (known !== undefined && now - known.computedAt < referenceRefreshMilliseconds) {
             return known.tally;
         }
         const tally = this.#evidence.getDecayedTally(version, requestClass);
-        this.#references.set(key, { formedAt: now, tally });
+        this.#references.set(key, { computedAt: now, tally });
         return tally;
     }
 
@@ -303,12 +303,12 @@
         const now = this.#evidence.getEpoch(this.#clock.wall());
         const liftedEpoch = this.#evidence.getEpoch(this.#fold.getLiftedAt(version) ?? 0);
         const window = policy.changeWindowMilliseconds / this.#evidence.epochMilliseconds;
-        const from = Math.max(now - window, liftedEpoch);
+        const windowStart = Math.max(now - window, liftedEpoch);
         const strata: Stratum[] = [];
         for (const requestClass of this.#evidence.getClasses(version)) {
             const buckets = this.#evidence.getBuckets(version, requestClass);
-            const recent = buckets.filter(({ start }) => start >= from);
-            const reference = sumTallies(buckets.filter(({ start }) => start < from && start >= liftedEpoch));
+            const recent = buckets.filter(({ start }) => start >= windowStart);
+            const reference = sumTallies(buckets.filter(({ start }) => start < windowStart && start >= liftedEpoch));
             strata.push({ requestClass, buckets: recent, reference });
         }
         return strata;
@@ -347,8 +347,8 @@
 }
 
 function describeFinding(result: TestResult, reference: string): string {
-    const where = result.requestClass === undefined ? "over all classes" : `in class ${result.requestClass}`;
-    return `It ${findings[result.metric]} than ${reference} ${where}.`;
+    const scope = result.requestClass === undefined ? "over all classes" : `in class ${result.requestClass}`;
+    return `It ${findings[result.metric]} than ${reference} ${scope}.`;
 }
 
 const findings: Readonly<Record<MetricName, string>> = {
--- a/src/decisions/exposure/rolloutPolicy.ts
+++ b/src/decisions/exposure/rolloutPolicy.ts
@@ -1,38 +1,39 @@
 /**
- * How strictly roll-outs and settled versions are judged, worked out from what operators set.
+ * How strictly roll-outs and stable versions are evaluated, computed from the operator's rules.
  */
 
-/** How roll-outs are judged. */
+/** The parameters by which roll-outs and stable versions are evaluated. */
 export interface RolloutPolicy {
-    /** How far the mean rating of a version may lie below that of its reference. */
+    /** Margin by which the mean rating of a version may be below that of its reference. */
     readonly qualityMargin: number;
     /**
-     * Upper bound of the probability that a version is halted during its roll-out that is worse than the baseline by
-     * just the margins of the metrics. One that is as good as the baseline is halted far less often, see the
-     * measurements.
+     * Upper bound of the probability that a roll-out halts a version which is worse than the baseline by exactly the
+     * margins of the metrics. A version as good as the baseline is halted far less often, see the measurements.
      */
     readonly falseHaltProbability: number;
-    /** Expected time between false halts of a settled version, for one that is worse than its past by the margins. */
+    /** Expected time between false halts of a stable version that is worse than its own past by exactly the margins. */
     readonly falseHaltMilliseconds: number;
-    /** How long after the end of its roll-out a version is watched more closely. Most trouble shows soon after a change. */
+    /**
+     * How long a version is watched more closely after the end of its roll-out, since most faults show soon after it.
+     */
     readonly guardMilliseconds: number;
-    /** Expected time between false halts within that time, as `falseHaltMilliseconds`. */
+    /** Expected time between false halts within that time, defined as `falseHaltMilliseconds` is. */
     readonly guardFalseHaltMilliseconds: number;
-    /** Expected time between two times within it at which a version as above is held back without need. */
+    /** Expected time, within that time, between two occasions on which such a version is held back unnecessarily. */
     readonly falseHoldMilliseconds: number;
-    /** How long a rating may take before it is taken to be missing. */
+    /** Timeout after which a rating counts as missing. */
     readonly ratingTimeoutMilliseconds: number;
-    /** Callers exposed before the first rating is in, in the whole system. */
+    /** Number of callers in the whole system that are exposed before the first rating arrives. */
     readonly firstCallers: number;
-    /** Ratings needed before a stage is left, unless its budget is spent. */
+    /** Minimum number of ratings before a stage ends, unless its budget is spent. */
     readonly stageRatings: number;
-    /** How long a stage lasts at least. */
+    /** Minimum duration of a stage. */
     readonly stageMilliseconds: number;
-    /** How far back a change of a settled version is looked for. What is older is what it is compared with. */
+    /** Time window in which a change of a stable version is searched for. Older counts are the reference. */
     readonly changeWindowMilliseconds: number;
 }
 
-/** The policy unless the configuration says otherwise. */
+/** The default policy. */
 export const defaultRolloutPolicy: RolloutPolicy = {
     qualityMargin: 0.05,
     falseHaltProbability: 0.1,
@@ -47,7 +48,7 @@
     changeWindowMilliseconds: 600_000,
 };
 
-/** What operators set for the roll-outs of a model. */
+/** The operator's settings for the roll-outs of a model. */
 export interface RolloutRules {
     readonly qualityMargin: number;
     readonly falseHaltRate: number;
@@ -56,21 +57,22 @@
 }
 
 /**
- * A version as good as its baseline is halted less than a tenth as often as the bound for one at the margins says
- * (docs/MEASUREMENTS.md, false halts); `false_halt_rate` is about the former.
+ * Ratio of the halt probability's bound, which applies to a version at the margins, to `false_halt_rate`, which applies
+ * to a version as good as its baseline. Such a version is halted less than a tenth as often as the bound says
+ * (docs/MEASUREMENTS.md, false halts).
  */
 const boundPerFalseHaltRate = 10;
-/** At a bound of 1 the test would halt before it has seen an answer. */
+/** With a bound of 1 the test would halt a roll-out before the first answer. */
 const maxFalseHaltProbability = 0.5;
-/** The missed rate for which the default number of ratings is meant. */
+/** The missed rate that the default number of ratings corresponds to. */
 const defaultMissedRate = 0.01;
-/** With fewer ratings than this a stage says next to nothing. */
+/** With fewer ratings than this a stage gives almost no information. */
 const minStageRatings = 20;
 
 /**
- * Works out the policy for a model.
- * @param rules - What operators set.
- * @param changes - What differs from the default otherwise.
+ * Creates the policy of a model.
+ * @param rules - The operator's settings.
+ * @param changes - Other deviations from the default policy.
  */
 export function createRolloutPolicy(rules: RolloutRules, changes: Partial<RolloutPolicy> = {}): RolloutPolicy {
     return {
@@ -83,7 +85,7 @@
     };
 }
 
-/** The chance that a bad version looks good falls exponentially with the number of its ratings. */
+/** The probability that a bad version looks good decreases exponentially with the number of its ratings. */
 function getStageRatings(missedRate: number): number {
     const ratings = defaultRolloutPolicy.stageRatings * Math.log(missedRate) / Math.log(defaultMissedRate);
     return Math.max(minStageRatings, Math.ceil(ratings));
--- a/src/decisions/exposure/rolloutRouter.ts
+++ b/src/decisions/exposure/rolloutRouter.ts
@@ -1,32 +1,32 @@
 /**
  * Decides for each caller whether a roll-out exposes it to the candidate.
  *
- * Two bounds hold at once. A stable hash of the caller keeps the same callers exposed at every entry and lets the set
- * only grow from stage to stage. And each entry exposes no more callers than the roll-out's record grants it, so that
- * the sum over all entries stays within the budget whatever each knows of the others.
+ * Two limits apply together. A stable hash of the caller exposes the same callers at every entry, and the set of them
+ * only grows from stage to stage. And each entry exposes no more callers than the roll-out's record grants it, so that
+ * the sum over all entries stays within the budget even if the entries have no information about each other.
  */
 import type { Rollout, RolloutFold } from "../../control/index.js";
 import type { CallerHash } from "./callerHash.js";
 import type { Exposures } from "./exposures.js";
 
-/** Callers remembered in each roll-out; beyond it the stage has no budget and the hash alone decides. */
+/** Maximum number of callers recorded for each roll-out. Beyond it a stage has no budget and only the hash decides. */
 const maxTrackedCallers = 200_000;
 
 /** Options of `RolloutRouter`. */
 export interface RolloutRouterOptions {
-    /** Name of this entry, as grants name it. */
+    /** Name of this entry, as used in grants. */
     readonly entry: string;
     readonly fold: RolloutFold;
     readonly exposures: Exposures;
     readonly hash: CallerHash;
-    /** Tells whether the candidate of a finished roll-out is held back for now; never by default. */
+    /** Checks whether the candidate of a finished roll-out is held back for now. By default it never is. */
     readonly isHeld?: (rollout: Rollout) => boolean;
 }
 
-/** Share of callers that go on meeting a version that is held back, so that the evidence goes on growing. */
+/** Share of callers that still get a version that is held back, so that the evidence about it continues to grow. */
 const heldShare = 0.1;
 
-/** Picks versions for callers. */
+/** Selects versions for callers. */
 export class RolloutRouter {
     readonly #entry: string;
     readonly #fold: RolloutFold;
@@ -44,9 +44,9 @@
     }
 
     /**
-     * Picks the version for a caller.
+     * Selects the version for a caller.
      * @param choice - The roll-out's identifier and the caller: workspace and session, or the key of the request.
-     * @returns The candidate or the baseline; if that one is halted, its fallback; `undefined` if there is none.
+     * @returns The candidate or the baseline. If the baseline is halted, its fallback, or `undefined` if there is none.
      */
     pick(choice: { readonly rollout: string; readonly caller: string; }): string | undefined {
         const rollout = this.#fold.getRollout(choice.rollout);
@@ -60,8 +60,8 @@
     }
 
     /**
-     * Picks the version of a model for a caller, over all its roll-outs.
-     * @returns The candidate of the first active roll-out that exposes the caller, else the settled version;
+     * Selects the version of a model for a caller, considering all roll-outs of the model.
+     * @returns The candidate of the first active roll-out that exposes the caller, otherwise the stable version.
      * `undefined` if the model was never rolled out or all its versions are halted.
      */
     pickForModel(choice: { readonly model: string; readonly caller: string; }): string | undefined {
@@ -73,7 +73,7 @@
         return this.#fold.getStableVersion(choice.model);
     }
 
-    /** Drops what is remembered of roll-outs that have ended. */
+    /** Removes the recorded callers of roll-outs that have ended. */
     removeEnded(): void {
         for (const id of this.#callers.keys()) {
             if (this.#fold.getRollout(id)?.state !== "active") {
@@ -94,7 +94,7 @@
         return point < share && this.#tryExpose(rollout, point);
     }
 
-    /** Checks whether a caller is exposed already or may be from now on. */
+    /** Checks whether a caller is exposed already or may be exposed from now on, and records it in the latter case. */
     #tryExpose(rollout: Rollout, point: number): boolean {
         const callers = this.#getCallers(rollout.id);
         if (callers.has(point)) {
--- a/src/decisions/exposure/sequentialTest.ts
+++ b/src/decisions/exposure/sequentialTest.ts
@@ -1,57 +1,58 @@
 /**
- * A sequential test that may be looked at as often as one likes.
+ * A sequential test that may be evaluated any number of times.
  *
- * For each metric it bets against "the mean is at least that of the reference": every observation multiplies a capital
- * by `1 + bet * (reference - value)`. While the version is as good as the reference no betting strategy is expected to
- * gain, so the capital ever reaches `1 / alpha` with a probability of at most `alpha` (Ville's inequality). The test
- * spreads its capital over bets of several sizes, over metrics, over single classes and all of them pooled, and over
- * the times at which the version may have turned bad; the sum of it all is again such a capital, which is what
- * corrects for the many looks. The capital depends on counts alone, so that merged counts serve as well as raw data.
+ * For each metric it bets against the hypothesis "the mean is at least that of the reference": every observation
+ * multiplies a capital by `1 + bet * (reference - value)`. While the version is as good as the reference, no betting
+ * strategy has an expected gain, so the capital ever reaches `1 / alpha` with a probability of at most `alpha` (Ville's
+ * inequality). The test distributes its capital over bets of several sizes, over metrics, over single classes and all
+ * of them pooled, and over the times at which the version may have become bad. The sum of all is such a capital again,
+ * which corrects for the repeated evaluations. The capital depends on counts only, so merged counts serve as well as
+ * raw data.
  */
 import type { Bucket, Tally } from "../model/index.js";
 import { createMetrics, getReference, type Metric, type MetricName } from "./metric.js";
 
-/** Sizes of bets, as parts of the greatest bet that can't lose more than the capital. */
+/** Sizes of bets, as parts of the largest bet that cannot lose more than the capital. */
 const betFractions: readonly number[] = [0.08, 0.25, 0.6];
-/** Part of the capital of a metric that is bet on all classes together; the rest is split over single classes. */
+/** Part of a metric's capital that is bet on all classes together. The rest is divided among the single classes. */
 const pooledWeight = 0.6;
-/** Reference observations below which a class isn't judged. */
+/** Minimum number of reference observations for the evaluation of a class. */
 const minReferenceCount = 100;
-/** Standard errors by which the reference is lowered, since it is itself an estimate. */
+/** Standard errors by which the reference is lowered, since it is an estimate too. */
 const referenceStandardErrors = 1.5;
 /** Keeps `Math.exp` finite. */
 const maxLog = 600;
 
-/** What is known of a version in one class. */
+/** The counts of a version in one class. */
 export interface Stratum {
     readonly requestClass: string;
     /** Counts of the version under test. */
     readonly buckets: readonly Bucket[];
-    /** Counts of what it is compared with. */
+    /** Counts of the reference that it is compared with. */
     readonly reference: Tally;
 }
 
 /** Options of `SequentialTest`. */
 export interface SequentialTestOptions {
-    /** Capital at which the version is judged bad. For a roll-out, one over the false alarm probability. */
+    /** Capital at which the version counts as bad. For a roll-out, 1 divided by the false alarm probability. */
     readonly threshold: number;
-    /** Part of the capital that is bet on the version having been bad from the first epoch. */
+    /** Part of the capital that is bet on the version having been bad since the first epoch. */
     readonly initialChangeWeight: number;
-    /** Part of the capital that is bet on each later epoch as the one at which it turned bad. */
+    /** Part of the capital that is bet on each later epoch as the one at which the version became bad. */
     readonly laterChangeWeight: number;
-    /** Later starts are multiples of so many epochs. */
+    /** Later change points are multiples of this number of epochs. */
     readonly changePointStep?: number;
     readonly metrics?: readonly Metric[];
 }
 
-/** What the test says. */
+/** The result of a test. */
 export interface TestResult {
     readonly bad: boolean;
-    /** The capital reached, as a part of the threshold; 1 or more is bad. */
+    /** The capital reached, as a part of the threshold. At 1 or more the version is bad. */
     readonly strength: number;
-    /** The metric that contributes most. */
+    /** The metric with the largest contribution. */
     readonly metric: MetricName;
-    /** The class that contributes most; `undefined`: all classes pooled. */
+    /** The class with the largest contribution, or `undefined` for all classes pooled. */
     readonly requestClass: string | undefined;
 }
 
@@ -61,7 +62,7 @@
     readonly tally: Tally;
 }
 
-/** Judges a version against a reference. */
+/** Tests a version against a reference. */
 export class SequentialTest {
     readonly #options: SequentialTestOptions;
 
@@ -70,7 +71,7 @@
     }
 
     /**
-     * Judges the counts so far. The answer depends on the counts only, not on earlier calls.
+     * Evaluates the counts so far. The result depends on the counts only and not on earlier calls.
      * @param strata - The counts by class.
      */
     evaluate(strata: readonly Stratum[]): TestResult {
@@ -100,7 +101,7 @@
     }
 
     #evaluateMetric(metric: Metric, strata: readonly Stratum[], orderedBuckets: readonly StratumBucket[]) {
-        const tables = strata.map(stratumIndex => createLogTable(metric, stratumIndex.reference));
+        const tables = strata.map(stratum => createLogTable(metric, stratum.reference));
         const logs = strata.map(() => betFractions.map(() => 0));
         const pooledLogs = betFractions.map(() => 0);
         const single = strata.map(() => 0);
@@ -129,7 +130,7 @@
     }
 }
 
-/** Orders all buckets from the newest to the oldest start, so that sums from each start on build up. */
+/** Sorts all buckets from the latest to the earliest start, so that the sums from each start on accumulate. */
 function collectBuckets(strata: readonly Stratum[]): readonly StratumBucket[] {
     const orderedBuckets: StratumBucket[] = [];
     for (const [index, { buckets }] of strata.entries()) {
@@ -140,7 +141,7 @@
     return orderedBuckets.sort((left, right) => right.start - left.start);
 }
 
-/** Gets, for each bet and each value, the logarithm of what an observation multiplies the capital by. */
+/** Returns, for each bet and each value, the logarithm of the factor by which an observation multiplies the capital. */
 function createLogTable(metric: Metric, reference: Tally): readonly (readonly number[])[] | undefined {
     const { count, mean, standardError } = getReference(metric, reference);
     const nullMean = mean - metric.margin - referenceStandardErrors * standardError;
--- a/test/decisions/exposure/rolloutRouter.test.ts
+++ b/test/decisions/exposure/rolloutRouter.test.ts
@@ -9,14 +9,14 @@
 
 describe("RolloutRouter", () => {
     describe("pick", () => {
-        it("exposes nobody before the first grant", async () => {
+        it("exposes no caller before the first grant", async () => {
             const { pickMany } = await createFixture();
             expect(pickMany("a", 2000)).toEqual(0);
         });
 
-        // Entries learn of each other's callers with a delay. If each spent what it believed to be left, eight entries
-        // together would expose several times the budget to what may be a bad version.
-        it("keeps the callers of all entries within the budget though they know nothing of each other", async () => {
+        // Entries receive the counts of each other's callers with a delay. If each of them used up what it estimates to
+        // be left, eight entries together would expose several times the budget to a version that may be bad.
+        it("keeps the callers of all entries within the budget without information about each other", async () => {
             const { append, pickMany } = await createFixture();
             append("rollout-grant", { rollout, fence: fencingToken, grants: { a: 10, b: 10, c: 10 } });
             let exposed = 0;
@@ -38,7 +38,7 @@
             expect(early.every(caller => router.pick({ rollout, caller }) === "label@2")).toEqual(true);
         });
 
-        it("exposes nobody to a halted candidate and falls back from a halted baseline", async () => {
+        it("exposes no caller to a halted candidate and falls back from a halted baseline", async () => {
             const { fold, append, pickMany, routers } = await createFixture();
             append("rollout-grant", { rollout, fence: fencingToken, grants: { a: 30 } });
             fold.addHalt({ id: "h1", version: "label@2", reason: "bad", at: 1 });
@@ -48,10 +48,10 @@
         });
     });
 
-    // A version looks bad soon after its roll-out. If everybody still got it until that is certain, as many callers more
-    // would be harmed; if nobody got it, it would never become certain.
+    // A version looks bad soon after its roll-out. If all callers still got it until the evidence suffices, many more
+    // would get bad answers. If none got it, the evidence would never suffice.
     describe("isHeld", () => {
-        it("leaves few callers, always the same, with a finished candidate that is held back", async () => {
+        it("sends few callers, always the same, to a finished candidate that is held back", async () => {
             const { append, pickMany, held } = await createFixture();
             append("rollout-advance", { rollout, stage: 1, fence: fencingToken });
             append("rollout-finish", { rollout, fence: fencingToken });
@@ -63,7 +63,7 @@
         });
     });
 
-    describe("pickOfModel", () => {
+    describe("pickForModel", () => {
         it("serves two roll-outs of one model at once, each caller by at most one", async () => {
             const { fold, append, routers } = await createFixture();
             const second = "rollout-2";
@@ -110,7 +110,7 @@
         append,
         held,
         routers,
-        /** Returns how many of new callers at an entry are exposed. */
+        /** Returns how many of `count` new callers at an entry are exposed. */
         pickMany: (entry: string, count: number) => {
             let exposed = 0;
             for (let index = 0; index < count; index += 1) {
--- a/test/decisions/exposure/sequentialTest.test.ts
+++ b/test/decisions/exposure/sequentialTest.test.ts
@@ -6,26 +6,26 @@
 
 describe("SequentialTest", () => {
     describe("evaluate", () => {
-        it("judges a version that gives more bad answers", () => {
+        it("detects a version that gives more bad answers", () => {
             expect(runUntilBad({ bad: 0.3, failed: 0, slow: 0 }).metric).toEqual("bad ratings");
         });
 
-        it("judges a version that fails more often", () => {
+        it("detects a version that fails more often", () => {
             expect(runUntilBad({ bad: 0.03, failed: 0.3, slow: 0 }).metric).toEqual("errors");
         });
 
-        it("judges a version that is slow but right", () => {
+        it("detects a version that is slow but otherwise good", () => {
             expect(runUntilBad({ bad: 0.03, failed: 0, slow: 0.5 }).metric).toEqual("latency");
         });
 
-        it("names the only class in which a version is bad", () => {
+        it("reports the only class in which a version is bad", () => {
             const result = runUntilBad({ bad: 0.5, failed: 0, slow: 0 }, ["allergens"]);
             expect(result.requestClass).toEqual("allergens");
         });
 
-        // A version was good for an hour and then turns bad. Summed over the whole hour its answers would still look
-        // good, and callers would be harmed for as long again.
-        it("judges a version that turns bad after a long good time", () => {
+        // A version is good for an hour and then becomes bad. Summed over the whole hour its answers would still look
+        // good, and callers would get bad answers for as long again.
+        it("detects a version that becomes bad after a long good time", () => {
             const fixture = createFixture();
             for (let epoch = 0; epoch < 200; epoch += 1) {
                 fixture.add(epoch, 20, { bad: 0.03, failed: 0, slow: 0 });
@@ -39,9 +39,10 @@
             expect(epochs < 10).toEqual(true);
         });
 
-        // The test is looked at after every few answers. One that allowed for a single look only would sooner or later
-        // halt most good versions. The versions here are worse by just the margin, the hardest case that is still good.
-        it("halts few of many versions at the margin, however often it is looked at", () => {
+        // Guards against false halts by repeated evaluation. The test is evaluated after every few answers. A test that
+        // is valid for a single evaluation only would sooner or later halt most good versions. The versions here are
+        // worse by exactly the margin, the hardest case that still counts as good.
+        it("halts few of many versions at the margin despite frequent evaluation", () => {
             let halted = 0;
             for (let seed = 1; seed <= 200; seed += 1) {
                 const fixture = createFixture(seed);
@@ -56,7 +57,7 @@
             expect(halted <= 10).toEqual(true);
         });
 
-        it("says nothing without a reference", () => {
+        it("finds nothing without a reference", () => {
             const fixture = createFixture(1, 0);
             fixture.add(0, 100, { bad: 1, failed: 1, slow: 1 });
             expect(fixture.evaluate().bad).toEqual(false);
@@ -81,7 +82,7 @@
             return result;
         }
     }
-    throw new Error("The version was not judged bad.");
+    throw new Error("The version was not found bad within 100 epochs.");
 }
 
 function createFixture(seed = 1, referenceAnswers = 20_000) {
