--- a/src/rollouts/chooseVersion.ts
+++ b/src/rollouts/chooseVersion.ts
@@ -1,26 +1,27 @@
 /**
- * Which of a pool's versions serves a session while a roll-out is under way.
+ * Chooses the version of a pool that serves a session during a roll-out.
  */
 import { isFirstStep, type RolloutOrder, type RolloutProgress } from "./rollout.js";
 
-/** What a choice rests on. */
+/** The input of a version choice. */
 export interface VersionChoiceOptions {
     readonly order: RolloutOrder;
     readonly progress: RolloutProgress | undefined;
     readonly isHalted: boolean;
-    /** From 0 to 1, the same on every node for the same session. */
+    /** Rank of the session from 0 to 1, the same on every node. */
     readonly sessionRank: number;
-    /** Whether the old version had served the session, at any node, when the first step began. */
+    /** Whether the old version had served the session, at any node, before the first step. */
     readonly isPinned: boolean;
 }
 
-/** Which version a session gets. */
+/** The version that serves a session. */
 export type VersionChoice = "candidate" | "current";
 
 /**
- * Chooses the version for a session. All nodes choose alike, whether or not they have seen the session. The share only grows and a
- * session's rank never changes, so nobody moves back; and while sessions are not to be moved yet, pinned ones stay.
- * @param options - What the choice rests on.
+ * Chooses the version for a session. All nodes make the same choice, whether or not they have served the session
+ * before. The share only grows and a session's rank never changes, so no session moves back. Pinned sessions stay on
+ * the old version during the first step.
+ * @param options - The input of the choice.
  */
 export function chooseVersion(options: VersionChoiceOptions): VersionChoice {
     const { order, progress, isHalted, sessionRank, isPinned } = options;
--- a/src/rollouts/evaluateRollout.ts
+++ b/src/rollouts/evaluateRollout.ts
@@ -1,39 +1,41 @@
 /**
- * Whether a new version is worse than the old one, by how both answered at the same time.
+ * Checks whether a new version is worse than the old one by comparing their answers over the same time.
  */
 import type { EvidenceCounts, SegmentCounts, VersionCounts } from "./rolloutEvidence.js";
 
-/** Why a version is bad. */
+/** A regression of the new version. */
 export interface Regression {
-    /** Kind of request in which it shows, or `all`. */
+    /** Kind of request in which it was found, or `all`. */
     readonly segment: string;
     readonly reason: "failures" | "slow";
     readonly candidate: number;
     readonly current: number;
 }
 
-/** Failures below this number may be chance or one bad upstream. */
+/** Fewer failures than this may be random or caused by one bad upstream. */
 const minFailures = 5;
-/** A new version may fail so much more often than the old one, as a part of its answers. */
+/** Maximum by which the new version's failure share may exceed that of the old one. */
 const maxFailureShareIncrease = 0.12;
-/** Standard errors between the two versions' failure shares: false alarms in one of some thousand looks. */
+/**
+ * Standard errors between the two versions' failure shares. A false alarm occurs in one of some thousand evaluations.
+ */
 const failureStandardErrors = 4.5;
 /**
- * The old version is taken to have failed two of twenty answers besides what is known of it. When the new version serves
- * everything there is nothing to compare with, and a fault that shows under full load must still be found.
+ * Prior of the old version: two failures in twenty answers are added to its counts. When the new version serves
+ * everything there are no answers to compare with, and faults that appear only under full load must still be found.
  */
 const priorAnswers = 20;
 const priorFailures = 2;
-/** Answers with a time, of each version, before times are compared. */
+/** Minimum number of answers with a time, of each version, for a comparison of times. */
 const minTimedAnswers = 6;
-/** A new version may take so many times as long, in the geometric mean. */
+/** Maximum ratio of the new version's time to that of the old one, as geometric means. */
 const maxSlowdownRatio = 2.5;
 const slowdownStandardErrors = 4;
 
 /**
- * Judges a new version.
+ * Compares the new version with the old one.
  * @param evidence - Counts of all nodes, by kind of request.
- * @returns Undefined while it shows nothing bad.
+ * @returns The first regression, or undefined if there is none.
  */
 export function evaluateRollout(evidence: EvidenceCounts): Regression | undefined {
     let current = emptyCounts;
--- a/src/rollouts/index.ts
+++ b/src/rollouts/index.ts
@@ -1,4 +1,4 @@
-/** Roll-outs of a pool's software under live traffic. */
+/** Roll-outs of a pool's software while it serves traffic. */
 export type { PeerReport } from "./peerReports.js";
 export type { PinReport } from "./pinnedSessions.js";
 export * from "./rollout.js";
--- a/src/rollouts/peerReports.ts
+++ b/src/rollouts/peerReports.ts
@@ -1,18 +1,18 @@
 /**
- * What the other nodes report of a roll-out, decoded once and added up.
+ * The reports of other nodes on a roll-out, each decoded once and summed.
  */
 import { addEvidence, decodeReport, type EvidenceCounts, type EvidenceReport } from "./rolloutEvidence.js";
 
-/** What a node hears from another one. */
+/** A report received from another node. */
 export interface PeerReport {
     readonly origin: string;
-    /** Another object whenever the other node published anew. */
+    /** A new object for each publication of the other node. */
     readonly value: Buffer;
 }
 
-/** All reports on one order, and this node's own counts among them. */
+/** The sum of all reports on one order, including this node's own one. */
 export interface ReportTotal {
-    /** Requests at work at upstreams of the old version. */
+    /** Requests in flight at upstreams of the old version. */
     readonly currentInFlight: number;
     readonly segments: EvidenceCounts;
 }
@@ -23,23 +23,24 @@
 }
 
 /**
- * Reads the reports of the other nodes. A node looks at all of them several times a second while a roll-out is under way, and
- * most have not changed since; decoding every one at every look cost a fleet of 195 nodes more than all requests of its callers.
+ * Reads the reports of the other nodes. During a roll-out a node reads all of them several times a second, and most
+ * have not changed since the last time. Decoding each of them every time cost a fleet of 195 nodes more than all its
+ * callers' requests.
  */
 export class PeerReports {
     readonly #decode: (value: Buffer) => EvidenceReport | undefined;
     /** By origin. */
     readonly #decoded = new Map<string, DecodedReport>();
 
-    /** @param decode - Decodes a report; tests give another. */
+    /** @param decode - Decodes a report. Tests replace it. */
     constructor(decode: (value: Buffer) => EvidenceReport | undefined = decodeReport) {
         this.#decode = decode;
     }
 
     /**
-     * Adds up what is reported of an order.
+     * Sums the reports on an order.
      * @param own - This node's own report.
-     * @param peers - The newest values of the other nodes. Origins that are not among them are forgotten.
+     * @param peers - The latest values of the other nodes. Cached reports of origins that are not listed are removed.
      */
     getTotal(own: EvidenceReport, peers: Iterable<PeerReport>): ReportTotal {
         const parts = [own.segments];
--- a/src/rollouts/pinnedSessions.ts
+++ b/src/rollouts/pinnedSessions.ts
@@ -1,10 +1,10 @@
 /**
- * The sessions that stay on the old version in a roll-out's first step, as the nodes tell each other.
+ * The sessions that stay on the old version in a roll-out's first step, as reported by all nodes.
  */
 
-/** What a node tells of the sessions that the old version has served there. */
+/** A node's report of the sessions that the old version has served there. */
 export interface PinReport {
-    /** The roll-out's order. */
+    /** Identifier of the roll-out's order. */
     readonly order: number;
     /** The sessions' ranks in that roll-out, from 0 to 1. */
     readonly ranks: readonly number[];
@@ -16,30 +16,31 @@
 }
 
 /**
- * Knows a pool's pinned sessions. A session may go on at any node, and one that has not seen it cannot tell by itself whether it is new:
- * without the others' reports it would have the new version answer a caller whom the old one has just answered.
+ * Holds a pool's pinned sessions. A session may continue at any node, and a node that has not served it cannot detect
+ * by itself whether the session is new. Without the other nodes' reports it would let the new version answer a caller
+ * whom the old version has just answered.
  */
 export class PinnedSessions {
     readonly #self: string;
-    /** By the node that reported them. */
+    /** By reporting node. */
     readonly #reports = new Map<string, PinnedRanks>();
     #own: PinnedRanks = { order: Number.NaN, ranks: new Set() };
 
-    /** @param self - This node. */
+    /** @param self - Name of this node. */
     constructor(self: string) {
         this.#self = self;
     }
 
     /**
-     * Takes in a node's newest report.
+     * Sets a node's latest report.
      * @param origin - The node.
-     * @param report - All that it has pinned.
+     * @param report - All sessions that it has pinned.
      */
     setReport(origin: string, { order, ranks }: PinReport): void {
         this.#reports.set(origin, { order, ranks: new Set(ranks) });
     }
 
-    /** Tells whether a session is pinned in a roll-out. */
+    /** Checks whether a session is pinned in a roll-out. */
     has(order: number, rank: number): boolean {
         if (contains(this.#own, order, rank)) {
             return true;
@@ -53,8 +54,8 @@
     }
 
     /**
-     * Pins a session that was served here.
-     * @returns Whether the others do not know it yet.
+     * Pins a session that was served by this node.
+     * @returns Whether it was not pinned yet and must be reported to the other nodes.
      */
     add(order: number, rank: number): boolean {
         if (this.has(order, rank)) {
@@ -64,7 +65,7 @@
         return true;
     }
 
-    /** Returns what this node is to report. What it reported before it was started anew stays in the report. */
+    /** Returns this node's report. It includes what the node reported before it was restarted. */
     getReport(order: number): PinReport {
         return { order, ranks: [...new Set([...this.#getReported(order), ...this.#getOwn(order)])] };
     }
--- a/src/rollouts/planRollout.ts
+++ b/src/rollouts/planRollout.ts
@@ -1,60 +1,64 @@
 /**
- * The next step of a roll-out, from the time since its order and what is known of both versions.
+ * Plans the next step of a roll-out from the time since its order and the state of both versions.
  */
 import { isOver, type RolloutOrder, type RolloutProgress } from "./rollout.js";
 
-/** What the next step rests on. */
+/** The input of the next step. */
 export interface RolloutSituation {
     readonly order: RolloutOrder;
     /** Undefined before the first step. */
     readonly progress: RolloutProgress | undefined;
     /** Milliseconds since the order. */
     readonly elapsedMilliseconds: number;
-    /** Milliseconds since this node heard of the first progress; 0 before. */
+    /** Milliseconds since this node received the first progress. 0 before that. */
     readonly announcementAgeMilliseconds: number;
     /** Whether the new version was found bad. */
     readonly isBad: boolean;
-    /** Upstreams of the new version that take requests, and those of other versions. */
+    /** Number of upstreams of the new version that accept requests, and of those of other versions. */
     readonly candidates: number;
     readonly currents: number;
-    /** Requests of all nodes that are at work at upstreams of the old version. */
+    /** Requests of all nodes that are in flight at upstreams of the old version. */
     readonly currentInFlight: number;
-    /** Part of all requests that a bad version may get until the deadline. */
+    /** Maximum share of all requests that a bad version may get until the deadline. */
     readonly exposureShare: number;
-    /** Nodes that may be at work. */
+    /** Number of nodes that may be running. */
     readonly members: number;
     /** Unix milliseconds. */
     readonly wallNow: number;
 }
 
-/** Part of the allowed exposure that is used until the new version may take over sessions. */
+/** Part of the allowed exposure that is used before the new version may take over sessions. */
 const firstStepExposureShare = 0.45;
 /**
- * From so many nodes on the first step takes a smaller share, in proportion: news of a bad version takes longer there, and meanwhile more
- * requests come.
+ * From this number of nodes on, the share of the first step decreases in inverse proportion to their number: in larger
+ * fleets the halt of a bad version takes longer to reach all nodes, and more requests arrive meanwhile.
  */
 const firstStepMemberThreshold = 16;
 /**
- * Between the announcement and the first step, in milliseconds. A record reaches the last node in 0.4 s, with the pause that nodes make
- * between reads; the announcement has to, and then what the nodes report.
+ * Time between the announcement and the first step, in milliseconds. A record reaches the last node within 0.4 s,
+ * including the pause of nodes between reads. Within this time first the announcement must reach all nodes, and then
+ * their reports.
  */
 const announcementLeadMilliseconds = 1_500;
 /**
- * Until half of the time is over, sessions that began on the old version stay there: only new ones go to the new version.
- * A little later than half, since nodes do not hear of an order at the same moment.
+ * Until half of the time is over, sessions that started on the old version stay there and only new ones go to the new
+ * version. The value is slightly above one half, since nodes do not receive an order at the same moment.
  */
 const firstPhaseEnd = 0.53;
-/** Share in the second step, and when it and the last one begin, in parts of the time. */
+/** Share of the second step, and the part of the time after which the last step follows it. */
 const secondShare = 0.35;
 const secondPhaseEnd = 0.61;
-/** The new version serves everything for so long before the old upstreams are let go: faults under full load show. */
+/**
+ * Minimum time for which the new version serves everything before the old upstreams are released, as a part of the
+ * total time. Faults that appear only under full load are found in it.
+ */
 const minFullPhaseShare = 0.11;
-/** From here on the old upstreams are let go even if requests are at work there. */
+/** From this part of the time on, the old upstreams are released even if requests are in flight there. */
 const forcedCompletionShare = 0.86;
 
 /**
- * Returns the next progress, or undefined when nothing changes.
- * @param situation - What is known.
+ * Returns the next progress, or undefined if nothing changes.
+ * @param situation - The state of the roll-out and both versions.
  */
 export function planRollout(situation: RolloutSituation): RolloutProgress | undefined {
     const { order, progress, isBad, wallNow, elapsedMilliseconds } = situation;
@@ -79,7 +83,10 @@
     return undefined;
 }
 
-/** Tells whether the time is over and no upstream of the new version takes requests, though others of the pool are known. */
+/**
+ * Checks whether the time is over and no upstream of the new version accepts requests, although the pool has other
+ * upstreams.
+ */
 function hasNoCandidateAtDeadline({ candidates, currents }: RolloutSituation, elapsedShare: number): boolean {
     return elapsedShare >= 1 && candidates === 0 && currents > 0;
 }
--- a/src/rollouts/poolRollout.ts
+++ b/src/rollouts/poolRollout.ts
@@ -1,5 +1,6 @@
 /**
- * One roll-out as this node sees it: it chooses versions by it, gathers evidence, judges, and takes the next step when that is its turn.
+ * A roll-out of one pool at this node. It chooses versions for requests, collects evidence, evaluates it, and takes the
+ * next step when it is this node's turn.
  */
 import { events } from "../events/index.js";
 import type { RegisteredUpstream } from "../fleet/index.js";
@@ -16,11 +17,11 @@
 import type { VersionSelection } from "./versionSelection.js";
 
 /**
- * The first nodes by rank look at all reports at every tick; the others do at every fifth. A look costs each node work in proportion to
- * all nodes, and a node further back waits its turn for longer than that anyway.
+ * The first nodes by rank read all reports at every tick, the others at every fifth. Reading them costs each node work
+ * in proportion to the number of nodes, and a node of a higher rank waits longer than five ticks for its turn anyway.
  */
 const ticksBetweenEvaluations = 5;
-/** An attempt to write is not repeated sooner, in milliseconds. */
+/** Minimum interval between attempts to write a step, in milliseconds. */
 const minWriteIntervalMilliseconds = 1_000;
 
 /** Handles one order. */
@@ -30,23 +31,23 @@
     readonly #sessions: PoolSessions;
     readonly #evidence = new RolloutEvidence();
     readonly #peerReports = new PeerReports();
-    /** Requests that are at work at upstreams of the old version. */
+    /** Requests that are in flight at upstreams of the old version. */
     readonly #inFlight = new Set<object>();
     /** Monotonic milliseconds of the order, as far as known. */
     #orderedAt: number;
     #publishedReport: Buffer | undefined;
     #progress: RolloutProgress | undefined;
-    /** Monotonic milliseconds at which this node heard of the first progress. */
+    /** Monotonic milliseconds at which this node received the first progress. */
     #announcedAt: number | undefined;
     #isHalted = false;
-    /** When the step that is due first was. */
+    /** Monotonic milliseconds since which a step has been due. */
     #dueSince: number | undefined;
     #lastWriteAt = Number.NEGATIVE_INFINITY;
     /** Number of the last step that this node wrote. */
     #lastWrittenStep = 0;
 
     /**
-     * @param options - What all roll-outs are handled with.
+     * @param options - The dependencies and settings of all roll-outs.
      * @param order - The order.
      * @param sessions - The pool's sessions.
      */
@@ -57,12 +58,12 @@
         this.#orderedAt = options.clock.monotonic();
     }
 
-    /** Tells whether it is completed or reverted. */
+    /** Checks whether the roll-out is completed or reverted. */
     isOver(): boolean {
         return this.#progress !== undefined && isOver(this.#progress);
     }
 
-    /** Takes in how far it has come. News that is no newer than what is known changes nothing. */
+    /** Updates the progress. A progress that is not newer than the current one is ignored. */
     setProgress(progress: RolloutProgress): void {
         if (this.isOver() || this.#isOutdated(progress)) {
             return;
@@ -70,7 +71,8 @@
         const { clock, journal } = this.#options;
         const now = clock.monotonic();
         if (this.#progress === undefined && progress.step > 1) {
-            // This node may have been started after the order. Otherwise its own clock is right, and the wall clock may have jumped.
+            // This node may have started after the order, so the wall clock determines the elapsed time. At the first
+            // step its monotonic clock is right, and a wall clock that jumped would falsify the elapsed time.
             const elapsed = clock.wall() - progress.orderedAt;
             const boundedElapsed = Math.min(Math.max(0, elapsed), this.order.durationMilliseconds);
             this.#orderedAt = Math.min(this.#orderedAt, now - boundedElapsed);
@@ -87,12 +89,12 @@
         journal.write(events.rolloutProgressed, { rollout: this.order.pool, version, state, share });
     }
 
-    /** Nodes of an earlier release did not count steps; theirs are taken as they come. */
+    /** Nodes of an earlier release do not number the steps. Their progress is accepted in the order of arrival. */
     #isOutdated({ step }: RolloutProgress): boolean {
         return this.#progress !== undefined && step > 0 && step <= this.#progress.step;
     }
 
-    /** Takes in that the new version was found bad. */
+    /** Halts the roll-out because the new version was found bad. */
     halt(reason: string): void {
         if (this.#isHalted) {
             return;
@@ -104,8 +106,8 @@
 
     /**
      * Returns the upstreams that may serve a request.
-     * @param session - The session, or whatever identifies the request.
-     * @param division - The pool's upstreams by version.
+     * @param session - The session, or another identifier of the request.
+     * @param partition - The pool's upstreams by version.
      */
     select(session: string, { candidateUpstreams, currentUpstreams }: VersionPartition): VersionSelection {
         const progress = this.#progress;
@@ -123,10 +125,10 @@
     }
 
     /**
-     * Notes a request that is sent to an upstream.
+     * Records a request that is sent to an upstream.
      * @param upstream - The upstream.
-     * @param session - Its session; undefined when it belongs to none.
-     * @returns Is to be called when it has ended.
+     * @param session - The request's session, or undefined if it has none.
+     * @returns A callback to call when the request has ended.
      */
     startRequest({ version }: RegisteredUpstream, session: string | undefined): () => void {
         if (version === this.order.version) {
@@ -141,9 +143,9 @@
     }
 
     /**
-     * Takes in how an upstream answered.
+     * Adds an upstream's answer to the evidence.
      * @param upstream - The upstream.
-     * @param answer - How it answered.
+     * @param answer - The outcome and duration of the answer.
      */
     addAnswer(upstream: RegisteredUpstream, answer: Omit<EvidenceAnswer, "isCandidate">): void {
         if (this.isOver()) {
@@ -157,8 +159,8 @@
     }
 
     /**
-     * Tells the others what is known here, judges, and takes the next step where it is this node's turn.
-     * @param ticks - Counts the calls.
+     * Publishes this node's evidence, evaluates all evidence, and takes the next step when it is this node's turn.
+     * @param ticks - Number of this call.
      */
     tick(ticks: number): void {
         if (this.#progress !== undefined && isFirstStep(this.#progress)) {
@@ -179,7 +181,7 @@
         return { order: this.order.id, currentInFlight: this.#inFlight.size, segments };
     }
 
-    /** What has not changed is not published again, or gossip would carry it to every node once more. */
+    /** Unchanged reports are not published again, since gossip would send them to every node once more. */
     #publish(own: EvidenceReport): void {
         const value = encodeReport(own);
         if (this.#publishedReport?.equals(value) !== true) {
--- a/src/rollouts/poolSessions.ts
+++ b/src/rollouts/poolSessions.ts
@@ -1,5 +1,5 @@
 /**
- * The sessions of a pool at this node, and which of them stay on the old version in a roll-out's first step.
+ * The sessions of a pool at this node, including those that stay on the old version in a roll-out's first step.
  */
 import type { Clock } from "../common/index.js";
 import { getUnitRank } from "../decisions/index.js";
@@ -7,32 +7,32 @@
 import { RecentSessions } from "./recentSessions.js";
 import type { RolloutOrder } from "./rollout.js";
 
-/** A report that could not be written is not tried again sooner, in milliseconds. */
+/** Delay before a failed report is retried, in milliseconds. */
 const retryDelayMilliseconds = 1_000;
 
-/** What a pool's sessions are kept with. */
+/** Options of `PoolSessions`. */
 export interface PoolSessionsOptions {
-    /** This node. */
+    /** Name of this node. */
     readonly self: string;
     readonly clock: Clock;
-    /** Requests of a session that follow each other within this time belong together. */
+    /** Maximum time between successive requests of a session. After a longer pause the session counts as new. */
     readonly sessionMilliseconds: number;
-    /** Tells the other nodes what is pinned here; resolves to whether that has succeeded. */
+    /** Reports to the other nodes what is pinned here. Resolves to whether that succeeded. */
     readonly writePins: (report: PinReport) => Promise<boolean>;
 }
 
-/** Returns a session's place among all, from 0 to 1: a roll-out takes the first ones first. */
+/** Returns a session's position among all sessions, from 0 to 1. A roll-out moves sessions in this order. */
 export function getSessionRank(order: RolloutOrder, session: string): number {
     return getUnitRank(String(order.id), session);
 }
 
-/** Keeps a pool's sessions. */
+/** Tracks a pool's sessions and pins. */
 export class PoolSessions {
     readonly #options: PoolSessionsOptions;
     readonly #recentSessions: RecentSessions;
     readonly #pins: PinnedSessions;
     #hasUnreportedPins = false;
-    /** Whether a report is on its way; the next one must not overtake it. */
+    /** Whether a report is being written. The next one must not overtake it. */
     #isReporting = false;
     #retryAt = Number.NEGATIVE_INFINITY;
 
@@ -42,27 +42,27 @@
         this.#pins = new PinnedSessions(options.self);
     }
 
-    /** Notes that a request of a session goes to a version. */
+    /** Records that a request of a session is sent to a version. */
     startRequest(session: string, version: string): void {
         this.#recentSessions.startRequest(session, version, this.#options.clock.monotonic());
     }
 
-    /** Notes that a request of a session has ended. */
+    /** Records that a request of a session has ended. */
     endRequest(session: string): void {
         this.#recentSessions.endRequest(session, this.#options.clock.monotonic());
     }
 
-    /** Takes in what is pinned at a node. */
+    /** Sets the pins that a node has reported. */
     setReport(origin: string, report: PinReport): void {
         this.#pins.setReport(origin, report);
     }
 
-    /** Tells whether a session stays on the old version in the first step. */
+    /** Checks whether a session stays on the old version in the first step. */
     isPinned(order: RolloutOrder, sessionRank: number): boolean {
         return this.#pins.has(order.id, sessionRank);
     }
 
-    /** Pins a session that the old version serves here, if the first step would take it. */
+    /** Pins a session that the old version serves here, if the first step would move it. */
     pin(order: RolloutOrder, firstShare: number, session: string): void {
         const rank = getSessionRank(order, session);
         if (rank < firstShare && this.#pins.add(order.id, rank)) {
@@ -70,7 +70,7 @@
         }
     }
 
-    /** Pins the sessions that the old version has served here lately, as far as the first step would take them. */
+    /** Pins the recent sessions that the old version has served here, as far as the first step would move them. */
     pinServedSessions(order: RolloutOrder, firstShare: number): void {
         for (
             const session of this.#recentSessions.getSessionsOnOtherVersions(
@@ -82,7 +82,7 @@
         }
     }
 
-    /** Tells the other nodes what is pinned here, unless they know it already. */
+    /** Reports to the other nodes what is pinned here, if there are unreported pins. */
     async reportPins(order: RolloutOrder): Promise<void> {
         const { clock, writePins } = this.#options;
         if (!this.#hasUnreportedPins || this.#isReporting || clock.monotonic() < this.#retryAt) {
--- a/src/rollouts/recentSessions.ts
+++ b/src/rollouts/recentSessions.ts
@@ -1,38 +1,38 @@
 /**
- * Which version serves the sessions that this node has seen lately.
+ * The versions that serve the recent sessions of this node.
  */
 
-/** Sessions that are remembered, at most. */
+/** Maximum number of sessions in memory. */
 const maxSessions = 20_000;
 
 interface RecentSession {
-    /** The version that its last request went to. */
+    /** The version that its last request was sent to. */
     readonly version: string;
-    /** Requests of the session that are at work here. */
+    /** Requests of the session that are in flight at this node. */
     readonly inFlight: number;
-    /** Monotonic milliseconds at which a request of it last began or ended. */
+    /** Monotonic milliseconds at which a request of the session last started or ended. */
     readonly lastActiveAt: number;
 }
 
-/** Remembers a session while its requests are at work here, and for a while after their end. */
+/** Tracks a session while its requests are in flight at this node, and for some time after their end. */
 export class RecentSessions {
     readonly #retentionMilliseconds: number;
-    /** The one that was noted longest ago comes first. */
+    /** Sorted by last activity, the least recent first. */
     readonly #sessions = new Map<string, RecentSession>();
 
-    /** @param retentionMilliseconds - How long after the end. */
+    /** @param retentionMilliseconds - How long a session is retained after the end of its last request. */
     constructor(retentionMilliseconds: number) {
         this.#retentionMilliseconds = retentionMilliseconds;
     }
 
-    /** Notes that a request of a session goes to a version. */
+    /** Records that a request of a session is sent to a version. */
     startRequest(session: string, version: string, now: number): void {
         const known = this.#sessions.get(session);
         this.#set(session, { version, inFlight: (known?.inFlight ?? 0) + 1, lastActiveAt: now });
         this.#removeExpired(now);
     }
 
-    /** Notes that a request of a session has ended. */
+    /** Records that a request of a session has ended. */
     endRequest(session: string, now: number): void {
         const known = this.#sessions.get(session);
         if (known !== undefined) {
--- a/src/rollouts/rolloutEvidence.ts
+++ b/src/rollouts/rolloutEvidence.ts
@@ -1,15 +1,18 @@
 /**
- * How a pool's old and new version have answered lately, in counts that nodes can add up.
+ * Recent answers of a pool's old and new version, as counts that can be summed over nodes.
  */
 import { z } from "zod";
 
-/** Evidence is kept for so many slices of this length: a version that turns bad late is not excused by its good start. */
+/**
+ * Length of a time slice, in milliseconds. Evidence covers the last `sliceCount` slices only: otherwise the good
+ * answers of a version's start would conceal that it becomes bad later.
+ */
 const sliceMilliseconds = 1_000;
 const sliceCount = 6;
 
 /**
- * Times below this part of what callers are promised count as alike. As a ratio a millisecond more is much where answers take one, and
- * a good version would be taken back for a busy moment.
+ * Times below this part of the caller's objective count as equal. Where answers take one millisecond, one more is a
+ * large ratio, and a good version would be reverted because of a short busy period.
  */
 const latencyFloorShare = 0.1;
 
@@ -17,7 +20,7 @@
 export interface VersionCounts {
     readonly answers: number;
     readonly failures: number;
-    /** Answers with a known time to their head, with the sum and the sum of squares of its logarithm. */
+    /** Number of answers with a known time to their head, and the sum and the sum of squares of its logarithm. */
     readonly timed: number;
     readonly logSum: number;
     readonly logSquares: number;
@@ -32,23 +35,23 @@
 /** Counts by kind of request. */
 export type EvidenceCounts = ReadonlyMap<string, SegmentCounts>;
 
-/** What a node tells the others of a roll-out. */
+/** A node's report on a roll-out, as it is sent to the other nodes. */
 export interface EvidenceReport {
     readonly order: number;
-    /** Requests of this node that are at work at upstreams of the old version. */
+    /** Requests of this node that are in flight at upstreams of the old version. */
     readonly currentInFlight: number;
     readonly segments: EvidenceCounts;
 }
 
 /** One answer, as evidence. */
 export interface EvidenceAnswer {
-    /** Kind of the request: answers are compared within it, since kinds differ in how long they take. */
+    /** Kind of the request. Answers are compared within a kind, since kinds differ in their typical duration. */
     readonly segment: string;
     readonly isCandidate: boolean;
     readonly hasFailed: boolean;
-    /** Time to the head of the answer, in milliseconds; undefined when there was none. */
+    /** Time to the head of the answer, in milliseconds. Undefined without a head. */
     readonly headMilliseconds: number | undefined;
-    /** The time within which the caller wants the answer, in milliseconds. */
+    /** The time within which the caller expects the answer, in milliseconds. */
     readonly objectiveMilliseconds: number;
 }
 
@@ -80,7 +83,7 @@
     }
 
     /**
-     * Returns the counts of the last seconds.
+     * Returns the counts of the last slices.
      * @param now - Monotonic milliseconds.
      */
     getCounts(now: number): EvidenceCounts {
@@ -107,7 +110,7 @@
     }
 }
 
-/** Adds up the evidence of several nodes or times. */
+/** Sums the evidence of several nodes or time slices. */
 export function addEvidence(parts: Iterable<EvidenceCounts>): EvidenceCounts {
     const total = new Map<string, SegmentCounts>();
     for (const part of parts) {
@@ -133,12 +136,12 @@
 export function encodeReport(report: EvidenceReport): Buffer {
     const lanes = Array.from(
         report.segments,
-        ([lane, { current, candidate }]) => [lane, encodeCounts(current), encodeCounts(candidate)],
+        ([segment, { current, candidate }]) => [segment, encodeCounts(current), encodeCounts(candidate)],
     );
     return Buffer.from(JSON.stringify({ order: report.order, inFlight: report.currentInFlight, lanes }));
 }
 
-/** Decodes a peer's report; undefined when it is of another release and can't be read. */
+/** Decodes a peer's report. Returns undefined if it has the format of another release that cannot be read. */
 export function decodeReport(value: Buffer): EvidenceReport | undefined {
     const parsed = reportSchema.safeParse(JSON.parse(value.toString()));
     if (!parsed.success) {
@@ -146,8 +149,8 @@
     }
     const { order, inFlight, lanes } = parsed.data;
     const decoded = new Map<string, SegmentCounts>();
-    for (const [lane, current, candidate] of lanes) {
-        decoded.set(lane, { current: decodeCounts(current), candidate: decodeCounts(candidate) });
+    for (const [segment, current, candidate] of lanes) {
+        decoded.set(segment, { current: decodeCounts(current), candidate: decodeCounts(candidate) });
     }
     return { order, currentInFlight: inFlight, segments: decoded };
 }
--- a/src/rollouts/rollouts.ts
+++ b/src/rollouts/rollouts.ts
@@ -1,8 +1,8 @@
 /**
- * All roll-outs as one node sees them: it chooses versions by them, gathers evidence, and takes them further.
+ * All roll-outs at one node. They choose versions for requests, collect evidence and take further steps.
  *
- * Every node can take the next step. The store takes each step once; nodes wait in the order of their rank, so that usually only
- * the first one writes.
+ * Every node can take the next step, and the store accepts each step once. Nodes wait in the order of their rank, so
+ * that usually only the first one writes.
  */
 import { events } from "../events/index.js";
 import type { RegisteredUpstream } from "../fleet/index.js";
@@ -22,9 +22,9 @@
     readonly #options: RolloutsOptions;
     /** By pool. */
     readonly #rollouts = new Map<string, PoolRollout>();
-    /** By pool: progress of an order that this node has not heard of yet. */
+    /** By pool: progress of an order that this node has not received yet. */
     readonly #pendingProgress = new Map<string, RolloutProgress>();
-    /** By pool: versions that serve nothing any more. A set that changes is another set. */
+    /** By pool: versions that serve nothing any more. The sets are immutable: a change creates a new one. */
     readonly #revertedVersions = new Map<string, ReadonlySet<string>>();
     /** By pool. */
     readonly #sessions = new Map<string, PoolSessions>();
@@ -36,17 +36,17 @@
         this.#options = options;
     }
 
-    /** Begins to take steps. */
+    /** Starts to take steps. */
     start(): void {
         this.#timer = setInterval(() => this.tick(), tickMilliseconds);
     }
 
-    /** Ends taking steps. */
+    /** Stops taking steps. */
     stop(): void {
         clearInterval(this.#timer);
     }
 
-    /** Takes in an operator's order. */
+    /** Sets an operator's order. An order that is not newer than the pool's current one is ignored. */
     setOrder(order: RolloutOrder): void {
         const { id, pool, version } = order;
         const known = this.#rollouts.get(pool);
@@ -62,13 +62,13 @@
         }
     }
 
-    /** A version that was reverted may be ordered again. */
+    /** Makes a version eligible again after a reversion, since it may be ordered again. */
     #clearReverted({ pool, version }: RolloutOrder): void {
         const remaining = [...this.#revertedVersions.get(pool) ?? []].filter(reverted => reverted !== version);
         this.#revertedVersions.set(pool, new Set(remaining));
     }
 
-    /** Takes in how far a pool's roll-out has come. */
+    /** Updates the progress of a pool's roll-out. */
     setProgress(pool: string, progress: RolloutProgress): void {
         if (progress.state === "reverted") {
             this.#revertedVersions.set(pool, new Set([...this.#revertedVersions.get(pool) ?? [], progress.version]));
@@ -81,12 +81,12 @@
         rollout.setProgress(progress);
     }
 
-    /** Takes in which sessions of a pool are pinned at a node. */
+    /** Sets the sessions of a pool that are pinned at a node. */
     setPins(pool: string, origin: string, report: PinReport): void {
         this.#getSessions(pool).setReport(origin, report);
     }
 
-    /** Takes in that another node found a pool's roll-out bad. */
+    /** Halts a pool's roll-out that another node found bad. */
     setHalted(pool: string, order: number): void {
         const rollout = this.#rollouts.get(pool);
         if (rollout !== undefined && rollout.order.id === order) {
@@ -97,8 +97,8 @@
     /**
      * Returns the upstreams that may serve a request.
      * @param pool - The pool.
-     * @param session - The session, or whatever identifies the request.
-     * @param upstreams - The pool's upstreams that take requests.
+     * @param session - The session, or another identifier of the request.
+     * @param upstreams - The pool's upstreams that accept requests.
      */
     select(pool: string, session: string, upstreams: readonly RegisteredUpstream[]): VersionSelection {
         const rollout = this.#rollouts.get(pool);
@@ -110,10 +110,10 @@
     }
 
     /**
-     * Notes a request that is sent to an upstream.
+     * Records a request that is sent to an upstream.
      * @param upstream - The upstream.
-     * @param session - Its session; undefined when it belongs to none.
-     * @returns Is to be called when it has ended.
+     * @param session - The request's session, or undefined if it has none.
+     * @returns A callback to call when the request has ended.
      */
     startRequest(upstream: RegisteredUpstream, session: string | undefined): () => void {
         const endRolloutRequest = this.#rollouts.get(upstream.pool)?.startRequest(upstream, session);
@@ -129,15 +129,15 @@
     }
 
     /**
-     * Takes in how an upstream answered.
+     * Adds an upstream's answer to the evidence.
      * @param upstream - The upstream.
-     * @param answer - How it answered.
+     * @param answer - The outcome and duration of the answer.
      */
     addAnswer(upstream: RegisteredUpstream, answer: Omit<EvidenceAnswer, "isCandidate">): void {
         this.#rollouts.get(upstream.pool)?.addAnswer(upstream, answer);
     }
 
-    /** Takes all roll-outs further that are under way. */
+    /** Advances all roll-outs in progress. */
     tick(): void {
         this.#ticks += 1;
         for (const rollout of this.#rollouts.values()) {
--- a/src/rollouts/rolloutsOptions.ts
+++ b/src/rollouts/rolloutsOptions.ts
@@ -1,5 +1,5 @@
 /**
- * What roll-outs are handled with.
+ * Dependencies and settings of roll-outs.
  */
 import type { Clock } from "../common/index.js";
 import type { Journal } from "../events/index.js";
@@ -8,9 +8,9 @@
 import type { PinReport } from "./pinnedSessions.js";
 import type { RolloutOrder, RolloutProgress } from "./rollout.js";
 
-/** What roll-outs are handled with. */
+/** Dependencies and settings of roll-outs. */
 export interface RolloutsOptions {
-    /** This node. */
+    /** Name of this node. */
     readonly self: string;
     readonly clock: Clock;
     readonly journal: Journal;
@@ -19,16 +19,16 @@
     readonly sessionMilliseconds: number;
     /** Returns how many nodes rank before this one. */
     readonly getRank: () => number;
-    /** Returns how many nodes may be at work. */
+    /** Returns how many nodes may be running. */
     readonly getMemberCount: () => number;
-    /** Tells the other nodes this node's evidence on a pool's roll-out. */
+    /** Publishes this node's evidence on a pool's roll-out to the other nodes. */
     readonly publishEvidence: (pool: string, value: Buffer) => void;
     /** Returns the evidence of the other nodes. */
     readonly getEvidence: (pool: string) => Iterable<PeerReport>;
-    /** Tells all nodes at once that a pool's roll-out was found bad. */
+    /** Notifies all nodes at once that a pool's roll-out was found bad. */
     readonly publishHalt: (pool: string, order: number) => void;
-    /** Writes a step, if nobody else has written; resolves when that has succeeded or failed. */
+    /** Writes a step unless another node has written it already. Resolves when the write has succeeded or failed. */
     readonly writeProgress: (order: RolloutOrder, progress: RolloutProgress) => Promise<void>;
-    /** Writes which sessions are pinned here; resolves to whether that has succeeded. */
+    /** Writes which sessions are pinned here. Resolves to whether that succeeded. */
     readonly writePins: (pool: string, report: PinReport) => Promise<boolean>;
 }
--- a/src/rollouts/stepTurn.ts
+++ b/src/rollouts/stepTurn.ts
@@ -1,23 +1,32 @@
 /**
- * Which node takes a step of a roll-out that is due.
+ * Determines when a node may take a due step of a roll-out.
  */
 
-/** So many nodes, the first by rank, watch a roll-out closely and take their turns one after another. */
+/** Number of nodes, the first by rank, that follow a roll-out closely and take turns one after another. */
 export const leadingNodeCount = 4;
-/** How long each of them waits for each node before it, in milliseconds: a step takes less to be written and heard of. */
+/**
+ * Delay of each leading node for each node before it, in milliseconds. It is longer than it takes to write a step and
+ * receive it at the other nodes.
+ */
 const rankDelayMilliseconds = 500;
-/** The same for the nodes behind them. They only come in when all of the first have died, and the store takes a step once anyhow. */
+/**
+ * Delay of the other nodes for each further node before them, in milliseconds. They take a step only if all leading
+ * nodes have failed, and the store accepts a step once in any case.
+ */
 const trailingRankDelayMilliseconds = 5;
 
-/** What a node's turn rests on. */
+/** The input of a node's turn. */
 export interface StepTurn {
-    /** How many nodes rank before this one, dead ones that are not known to be dead among them. */
+    /** Number of nodes that rank before this one, including failed ones whose failure is not detected yet. */
     readonly rank: number;
-    /** Whether this node took the step before: whoever ranks before it did not, and need not be waited for again. */
+    /**
+     * Whether this node took the previous step. The nodes before it did not take it, so it does not wait for them
+     * again.
+     */
     readonly tookLastStep: boolean;
 }
 
-/** Returns how long a node leaves a step that is due to those before it, in milliseconds. */
+/** Returns how long a node waits for the nodes before it to take a due step, in milliseconds. */
 export function getTurnDelay({ rank, tookLastStep }: StepTurn): number {
     if (tookLastStep) {
         return 0;
--- a/src/rollouts/versionPartitions.ts
+++ b/src/rollouts/versionPartitions.ts
@@ -3,21 +3,21 @@
  */
 import type { RegisteredUpstream } from "../fleet/index.js";
 
-/** What upstreams are divided by. */
+/** The key of a partition. */
 export interface PartitionKey {
-    /** Versions that serve nothing any more; a set that changes is another set. */
+    /** Versions that serve nothing any more. The set is immutable: a change creates a new one. */
     readonly reverted: ReadonlySet<string> | undefined;
     /** The version that a roll-out moves to, if there is one. */
     readonly candidate: string | undefined;
 }
 
-/** Upstreams by version. */
+/** A pool's upstreams by version. */
 export interface VersionPartition {
-    /** All but those of reverted versions. */
+    /** All upstreams except those of reverted versions. */
     readonly eligible: readonly RegisteredUpstream[];
-    /** Those of the version that a roll-out moves to. */
+    /** Eligible upstreams of the version that a roll-out moves to. */
     readonly candidateUpstreams: readonly RegisteredUpstream[];
-    /** The other sound ones. */
+    /** All other eligible upstreams. */
     readonly currentUpstreams: readonly RegisteredUpstream[];
 }
 
@@ -27,16 +27,16 @@
 }
 
 /**
- * Divides each list of upstreams once. The same lists come back for every request until something changes, so that whatever the
- * choice of an upstream works out for a list of hundreds can be kept too.
+ * Partitions each list of upstreams once and caches the result. All requests get the same lists until something
+ * changes, so that values which the choice of an upstream computes for a list of hundreds can be cached too.
  */
 export class VersionPartitions {
     readonly #cache = new WeakMap<readonly RegisteredUpstream[], CachedPartition>();
 
     /**
      * Returns the upstreams by version.
-     * @param upstreams - A list; one that changes is another list.
-     * @param key - What it is divided by.
+     * @param upstreams - An immutable list: a change creates a new one.
+     * @param key - The key of the partition.
      */
     get(upstreams: readonly RegisteredUpstream[], key: PartitionKey): VersionPartition {
         const cached = this.#cache.get(upstreams);
--- a/test/rollouts/chooseVersion.test.ts
+++ b/test/rollouts/chooseVersion.test.ts
@@ -22,21 +22,22 @@
 }
 
 describe("chooseVersion", () => {
-    it("serves the new version to the share of new sessions", () => {
+    it("chooses the new version for the share of new sessions", () => {
         expect([choose(), choose({ sessionRank: 0.2 })]).toEqual(["candidate", "current"]);
     });
 
-    // A conversation goes on while its pool is being moved. Two answers by unlike versions in a row contradict each other.
-    it("keeps a session that began on the old version there in the first step", () => {
+    // Guards against answers by two versions within a session: a conversation continues while its pool is being moved,
+    // and successive answers by different versions contradict each other.
+    it("keeps a session that started on the old version there in the first step", () => {
         expect(choose({ isPinned: true })).toEqual("current");
         expect(choose({ isPinned: true, progress: createProgress(0.35) })).toEqual("candidate");
     });
 
-    it("moves nobody while the first step is only announced", () => {
+    it("moves no session while the first step is only announced", () => {
         expect(choose({ progress: createProgress(0), sessionRank: 0 })).toEqual("current");
     });
 
-    it("serves nothing by a version that is halted here, or not begun, or reverted", () => {
+    it("does not choose a version that is halted at this node, not started or reverted", () => {
         expect(choose({ isHalted: true })).toEqual("current");
         expect(choose({ progress: undefined })).toEqual("current");
         expect(choose({ progress: createProgress(0, "reverted") })).toEqual("current");
--- a/test/rollouts/evaluateRollout.test.ts
+++ b/test/rollouts/evaluateRollout.test.ts
@@ -10,7 +10,7 @@
     readonly median: number;
 }
 
-/** Answers of the old and the new version over some seconds, one in seven by the new one. */
+/** Creates evidence of both versions over some seconds. The new version gives one of seven answers. */
 function createEvidence(seed: number, current: Behaviour, candidate: Behaviour, count = 400): RolloutEvidence {
     const random = new RandomSource(seed);
     const evidence = new RolloutEvidence();
@@ -30,36 +30,37 @@
 
 const good: Behaviour = { failures: 0.01, median: 100 };
 
-describe("judgeRollout", () => {
+describe("evaluateRollout", () => {
     it("finds a version that fails half of its requests", () => {
-        const verdict = evaluateRollout(createEvidence(1, good, { failures: 0.5, median: 100 }).getCounts(4_000));
-        expect(verdict?.reason).toEqual("failures");
+        const regression = evaluateRollout(createEvidence(1, good, { failures: 0.5, median: 100 }).getCounts(4_000));
+        expect(regression?.reason).toEqual("failures");
     });
 
-    it("finds a version that takes eight times as long", () => {
-        const verdict = evaluateRollout(createEvidence(2, good, { failures: 0.01, median: 800 }).getCounts(4_000));
-        expect(verdict?.reason).toEqual("slow");
+    it("finds a version that is eight times as slow", () => {
+        const regression = evaluateRollout(createEvidence(2, good, { failures: 0.01, median: 800 }).getCounts(4_000));
+        expect(regression?.reason).toEqual("slow");
     });
 
-    // The new version is as good as the old one, and both lose answers on the way. Halting it would keep callers on the old
-    // version for no reason.
-    it("does not blame a good version for failures that both have", () => {
+    // The new version is as good as the old one, and both lose answers for another reason. A halt would keep callers on
+    // the old version unnecessarily.
+    it("does not find a good version bad for failures that both versions have", () => {
         for (let seed = 0; seed < 200; seed += 1) {
             const lossy: Behaviour = { failures: 0.2, median: 150 };
             expect(evaluateRollout(createEvidence(seed, lossy, lossy).getCounts(4_000))).toEqual(undefined);
         }
     });
 
-    // A busy moment makes answers of a millisecond take four. Callers are promised a second, and a good version was taken back.
-    it("does not blame a good version for a difference that no caller notices", () => {
+    // Guards against reverting a good version because of a short busy period. It raises the time of an answer from one
+    // millisecond to four, which no caller with an objective of a second notices.
+    it("does not find a good version bad for a difference that no caller notices", () => {
         for (let seed = 0; seed < 200; seed += 1) {
             const [quick, busy] = [1.2, 4].map(median => ({ failures: 0.01, median }));
             expect(evaluateRollout(createEvidence(seed, quick, busy).getCounts(4_000))).toEqual(undefined);
         }
     });
 
-    // The new version breaks under the load of all callers, when nobody is served by the old one any more.
-    it("finds a version that fails when there is nothing left to compare it with", () => {
+    // The new version fails only under the load of all callers, when the old one serves none any more.
+    it("finds a version that fails when there are no answers to compare with", () => {
         const evidence = new RolloutEvidence();
         for (let index = 0; index < 40; index += 1) {
             evidence.add(
@@ -76,23 +77,23 @@
         expect(evaluateRollout(evidence.getCounts(800))?.reason).toEqual("failures");
     });
 
-    it("judges by the last seconds only", () => {
+    it("uses the answers of the last seconds only", () => {
         const evidence = createEvidence(3, good, { failures: 0.5, median: 100 });
         expect(evaluateRollout(evidence.getCounts(20_000))).toEqual(undefined);
     });
 
-    // No node alone has seen enough of a bad version; together they have.
-    it("adds up what several nodes have seen", () => {
+    // Each node alone has too little evidence of a bad version. Only the sum over nodes suffices.
+    it("sums the evidence of several nodes", () => {
         const parts = [11, 12, 13, 14].map(seed => createEvidence(seed, good, { failures: 0.5, median: 100 }, 45));
-        const heard = parts.map(part =>
+        const received = parts.map(part =>
             decodeReport(encodeReport({ order: 1, currentInFlight: 0, segments: part.getCounts(400) }))!
         );
-        expect(heard.map(report => evaluateRollout(report.segments))).toEqual([
+        expect(received.map(report => evaluateRollout(report.segments))).toEqual([
             undefined,
             undefined,
             undefined,
             undefined,
         ]);
-        expect(evaluateRollout(addEvidence(heard.map(report => report.segments)))?.reason).toEqual("failures");
+        expect(evaluateRollout(addEvidence(received.map(report => report.segments)))?.reason).toEqual("failures");
     });
 });
--- a/test/rollouts/peerReports.test.ts
+++ b/test/rollouts/peerReports.test.ts
@@ -18,13 +18,13 @@
 }
 
 describe("PeerReports", () => {
-    it("adds up this node's counts and those of all others", () => {
+    it("sums this node's counts and those of all others", () => {
         const total = new PeerReports().getTotal(createReport(7, 3), createPeers(4));
         expect(total.currentInFlight).toEqual(11);
         expect(total.segments.get("route")?.current.answers).toEqual(50);
     });
 
-    it("passes over reports on another order, and what it cannot read", () => {
+    it("ignores reports on another order and unreadable reports", () => {
         const peers = [
             { origin: "n-0", value: encodeReport(createReport(6, 2)) },
             { origin: "n-1", value: Buffer.from("{}") },
@@ -32,16 +32,16 @@
         expect(new PeerReports().getTotal(createReport(7, 3), peers).currentInFlight).toEqual(3);
     });
 
-    // In a fleet of 195 nodes each one looks at the reports of all others while a roll-out is under way. When every look decodes
-    // every report, the nodes spend more time on that than on their callers, whose answers then come late.
-    it("decodes a report once, however often it is looked at", () => {
+    // In a fleet of 195 nodes each one reads the reports of all others during a roll-out. If it decoded every report at
+    // each read, the nodes would spend more time on that than on requests, and callers would get late answers.
+    it("decodes a report once, however often it is read", () => {
         let decoded = 0;
         const reports = new PeerReports(value => {
             decoded += 1;
             return decodeReport(value);
         });
         const peers = createPeers(194);
-        for (let look = 0; look < 100; look += 1) {
+        for (let read = 0; read < 100; read += 1) {
             reports.getTotal(createReport(7, 3), peers);
         }
         expect(decoded).toEqual(194);
@@ -50,7 +50,7 @@
         expect(decoded).toEqual(195);
     });
 
-    it("forgets nodes that report nothing more", () => {
+    it("drops the reports of nodes that are not listed any more", () => {
         const reports = new PeerReports();
         const peers = createPeers(2);
         reports.getTotal(createReport(7, 0), peers);
--- a/test/rollouts/pinnedSessions.test.ts
+++ b/test/rollouts/pinnedSessions.test.ts
@@ -3,7 +3,7 @@
 import { PinnedSessions } from "../../src/rollouts/pinnedSessions.js";
 
 describe("PinnedSessions", () => {
-    it("knows what this node and the others have pinned, by order", () => {
+    it("has the sessions that this node and the others have pinned, by order", () => {
         const pins = new PinnedSessions("n-1");
         pins.setReport("n-2", { order: 7, ranks: [0.1] });
         expect([pins.add(7, 0.1), pins.add(7, 0.2), pins.add(7, 0.2)]).toEqual([false, true, false]);
@@ -17,9 +17,9 @@
         expect(pins.getReport(8)).toEqual({ order: 8, ranks: [] });
     });
 
-    // A node is stopped and started as planned. Its next report would take back what it had pinned, and other nodes would move
-    // those sessions.
-    it("goes on reporting what it had reported before it was started anew", () => {
+    // A node is restarted as planned. If its next report withdrew its earlier pins, other nodes would move those
+    // sessions.
+    it("includes in its report what it had reported before a restart", () => {
         const pins = new PinnedSessions("n-1");
         pins.setReport("n-1", { order: 7, ranks: [0.1] });
         pins.add(7, 0.2);
--- a/test/rollouts/planRollout.test.ts
+++ b/test/rollouts/planRollout.test.ts
@@ -23,7 +23,7 @@
     };
 }
 
-/** Runs a roll-out to its end, a step each 200 ms, and returns what it went through. */
+/** Runs a roll-out to its end, with a step every 200 ms, and returns its steps. */
 function runRollout(
     change: (elapsed: number) => Partial<RolloutSituation>,
 ): { readonly at: number; readonly progress: RolloutProgress; }[] {
@@ -55,41 +55,43 @@
         expect(steps.at(-1)!.at < 18_000).toEqual(true);
     });
 
-    // Nodes move sessions by their rank alone. Had they not told each other before which of them the old version serves, a caller
-    // would be answered by the new version after the old one.
+    // Nodes move sessions by their rank alone. Unless they first report to each other which of them the old version
+    // serves, a caller would be answered by the new version after the old one.
     it("announces the first step before it takes it", () => {
         const steps = runRollout(() => ({}));
         expect([steps[0].at, steps[0].progress.share, steps[0].progress.firstShare]).toEqual([0, 0, 0.0675]);
         expect([steps[1].at, steps[1].progress.share]).toEqual([1_600, 0.0675]);
     });
 
-    it("begins with fewer sessions at a large site", () => {
+    it("starts with fewer sessions in a large fleet", () => {
         const [small, large] = [16, 89].map(members => planRollout(createSituation({ members })));
         expect(small?.firstShare).toEqual(0.0675);
         expect(large!.firstShare < 0.013).toEqual(true);
     });
 
-    // The announcement could not be written for long. Sessions may move by now, so the nodes need not know which are new.
-    it("leaves the first step out when half of the time is over", () => {
+    // The announcement could not be written for a long time. Sessions may move by now, so the nodes need not
+    // distinguish new ones.
+    it("skips the first step when half of the time is over", () => {
         const late = planRollout(createSituation({ elapsedMilliseconds: 11_000 }));
         expect(late?.share).toEqual(0.35);
     });
 
-    // Requests at work at the old upstreams are broken off when the roll-out completes: they stop at once.
-    it("waits for requests at the old upstreams, but not beyond the time", () => {
+    // Requests in flight at the old upstreams are aborted when the roll-out completes, since these upstreams stop at
+    // once.
+    it("waits for requests at the old upstreams, but not beyond its duration", () => {
         const steps = runRollout(() => ({ currentInFlight: 2 }));
         expect([steps.at(-1)?.at, steps.at(-1)?.progress.state]).toEqual([17_200, "completed"]);
     });
 
-    it("reverts a bad version at once, and stays with that", () => {
+    it("reverts a bad version at once and permanently", () => {
         const steps = runRollout(elapsed => ({ isBad: elapsed >= 4_000 }));
         expect(steps.map(step => step.progress.state)).toEqual(["moving", "moving", "reverted"]);
         expect(steps.at(-1)?.at).toEqual(4_000);
     });
 
-    // The new version's upstreams never come, or all of them crash. The roll-out would stay under way for good, and the operator would
-    // never be told that the old version goes on.
-    it("is reverted when its time is over and nobody runs the new version", () => {
+    // The new version's upstreams never start, or all of them crash. Without an end the roll-out would stay in progress
+    // forever, and the operator would never be notified that the old version continues to serve.
+    it("is reverted when its time is over and no upstream runs the new version", () => {
         const steps = runRollout(() => ({ candidates: 0 }));
         expect([steps.at(-1)?.at, steps.at(-1)?.progress.state]).toEqual([20_000, "reverted"]);
         const unknown = runRollout(() => ({ candidates: 0, currents: 0 }));
@@ -101,7 +103,7 @@
         expect(steps.slice(0, 2).map(step => [step.at, step.progress.share])).toEqual([[0, 0], [3_000, 0.0675]]);
     });
 
-    it("never lessens the share and never leaves an end, whatever happens", () => {
+    it("never decreases the share and never leaves a final state", () => {
         const events = fc.array(fc.record({ isBad: fc.boolean(), candidates: fc.nat(3), currentInFlight: fc.nat(3) }), {
             minLength: 121,
             maxLength: 121,
--- a/test/rollouts/poolSessions.test.ts
+++ b/test/rollouts/poolSessions.test.ts
@@ -6,7 +6,7 @@
 
 const order: RolloutOrder = { id: 7, pool: "app", version: "v2", durationMilliseconds: 20_000 };
 
-/** A pool's sessions whose writes end when a test says so. */
+/** Creates a pool's sessions. A test determines when their writes end. */
 function createSessions() {
     const clock = new ManualClock();
     const written: PinReport[] = [];
@@ -39,7 +39,8 @@
         expect(written).toEqual([{ order: order.id, ranks: [getSessionRank(order, "s-1")] }]);
     });
 
-    // Two reports of a node are on their way at once, and the older one arrives last. What the newer one had pinned is forgotten.
+    // Guards against reports that overtake each other: if two reports of a node are in flight and the older one arrives
+    // last, the pins that only the newer one contains are lost.
     it("writes one report after the other", async () => {
         const { sessions, written, endWrite } = createSessions();
         sessions.pin(order, 1, "s-1");
@@ -52,8 +53,9 @@
         expect(written.map(report => report.ranks.length)).toEqual([1, 2]);
     });
 
-    // The store turns all nodes away. Hundreds of nodes that try again at each tick would keep it from coming back.
-    it("waits before it tries again what could not be written", async () => {
+    // The store rejects the writes of all nodes. If hundreds of nodes retried at each tick, they would keep it from
+    // recovering.
+    it("waits before it retries a failed write", async () => {
         const { clock, sessions, written, endWrite } = createSessions();
         sessions.pin(order, 1, "s-1");
         void sessions.reportPins(order);
--- a/test/rollouts/rolloutEnd.test.ts
+++ b/test/rollouts/rolloutEnd.test.ts
@@ -4,23 +4,25 @@
 import { rereadDelayMilliseconds, RolloutFleet } from "../fixtures/rolloutFleet.js";
 
 const durationMilliseconds = 6_000;
-/** After its time is over a roll-out has to end within this, as long as one node lives and reaches the store. */
+/**
+ * Maximum time between the end of the duration and the end of the roll-out, while one node runs and reaches the store.
+ */
 const completionSlackMilliseconds = 5_000;
-/** The order and each step, of which the next one waits for the news of the one before. */
+/** Maximum number of records: the order and each step. Each step waits until the previous record was received. */
 const maxRecords = 6;
 
 async function createFleet(
     nodes: number,
     seed: number,
-    mostHearingMilliseconds = 300,
-    unsteadyShare = 0,
+    maxDeliveryMilliseconds = 300,
+    unreliableDeliveryShare = 0,
 ): Promise<RolloutFleet> {
     const fleet = new RolloutFleet({
         nodes,
         seed,
         requestsPerSecond: 20,
-        maxDeliveryMilliseconds: mostHearingMilliseconds,
-        unreliableDeliveryShare: unsteadyShare,
+        maxDeliveryMilliseconds,
+        unreliableDeliveryShare,
         sessionMilliseconds: 5_000,
         durationMilliseconds,
     });
@@ -30,8 +32,8 @@
 }
 
 describe("a roll-out's end", () => {
-    // The nodes that would take the next step are killed together and never come back. The others wait in the order of their rank,
-    // behind all that they still take for alive.
+    // The nodes that would take the next step are killed together and never return. The others wait in the order of
+    // their rank, behind all nodes that still count as running.
     for (const nodes of [2, 3, 90, 350]) {
         it(`comes in time when only the last by rank is left, at ${nodes} nodes`, async () => {
             for (let killedAt = 0; killedAt <= durationMilliseconds; killedAt += 500) {
@@ -46,8 +48,9 @@
         });
     }
 
-    // Nodes die and come back, and news of a step comes late, by the next read only, or twice. The operator waits for an end.
-    it("comes in time whichever nodes die and come back, while one lives", async () => {
+    // Nodes fail and restart, and records of a step arrive late, only with the next read, or twice. The operator waits
+    // for the end of the roll-out.
+    it("comes in time whichever nodes fail and restart, while one runs", async () => {
         const events = fc.array(
             fc.record({
                 pauseMilliseconds: fc.nat(1_500),
@@ -61,10 +64,10 @@
                 fc.constantFrom(2, 3, 90),
                 fc.nat(89),
                 fc.nat(1_000),
-                fc.record({ hearing: fc.nat(600), unsteadyShare: fc.constantFrom(0, 0.1, 0.5) }),
+                fc.record({ deliveryMilliseconds: fc.nat(600), unreliableDeliveryShare: fc.constantFrom(0, 0.1, 0.5) }),
                 events,
-                async (nodes, survivor, seed, { hearing, unsteadyShare }, changes) => {
-                    const fleet = await createFleet(nodes, seed, hearing, unsteadyShare);
+                async (nodes, survivor, seed, { deliveryMilliseconds, unreliableDeliveryShare }, changes) => {
+                    const fleet = await createFleet(nodes, seed, deliveryMilliseconds, unreliableDeliveryShare);
                     let elapsed = 0;
                     for (const { pauseMilliseconds, node, isStart } of changes) {
                         await fleet.run(pauseMilliseconds);
@@ -77,7 +80,7 @@
                             fleet.kill(index);
                         }
                     }
-                    const lateMilliseconds = unsteadyShare === 0 ? 0 : maxRecords * rereadDelayMilliseconds;
+                    const lateMilliseconds = unreliableDeliveryShare === 0 ? 0 : maxRecords * rereadDelayMilliseconds;
                     await fleet.run(
                         Math.max(0, durationMilliseconds + completionSlackMilliseconds + lateMilliseconds - elapsed),
                     );
--- a/test/rollouts/rollouts.test.ts
+++ b/test/rollouts/rollouts.test.ts
@@ -26,11 +26,11 @@
     readonly registry: UpstreamRegistry;
     readonly written: RolloutProgress[];
     readonly counts: { evidenceReads: number; published: number; };
-    /** Lets time pass, tick by tick. */
+    /** Advances the time tick by tick. */
     readonly run: (ticks: number) => void;
 }
 
-/** A node of a rank, before the reports of others. Its wall clock may be ahead of the others'. */
+/** Creates a node of a rank with the reports of its peers. Its wall clock may be ahead of the others'. */
 function createNode(rank: number, peers: readonly Buffer[], clockAheadMilliseconds = 0): RolloutNode {
     const clock = new ManualClock();
     const registry = new UpstreamRegistry(clock);
@@ -76,9 +76,9 @@
 }
 
 describe("Rollouts", () => {
-    // Every node of a large fleet gathers what all others report. Done at each tick by each of them, the work grows with the
-    // square of the fleet, and callers wait behind it.
-    it("looks at the others' reports at each tick only where it is among the first by rank", () => {
+    // Each node of a large fleet reads the reports of all others. If every node did so at each tick, the work would
+    // grow with the square of the number of nodes, and callers would wait behind it.
+    it("reads the others' reports at each tick only if it is among the first by rank", () => {
         const peers = Array.from({ length: 194 }, () => createBadReport());
         const first = createNode(0, peers);
         const late = createNode(100, peers);
@@ -88,62 +88,63 @@
         expect(late.counts.evidenceReads).toEqual(10);
     });
 
-    it("finds a bad version by what others saw, on a node far back in rank within a second", () => {
-        const site = createNode(100, [createBadReport()]);
-        site.run(5);
-        expect(site.rollouts.select("pool", "session", []).upstreams).toEqual([]);
-        site.run(1_000);
-        expect(site.written[0]?.state).toEqual("reverted");
+    it("finds a bad version by the reports of others within a second, also on a node of a high rank", () => {
+        const node = createNode(100, [createBadReport()]);
+        node.run(5);
+        expect(node.rollouts.select("pool", "session", []).upstreams).toEqual([]);
+        node.run(1_000);
+        expect(node.written[0]?.state).toEqual("reverted");
     });
 
-    // A caller was answered by two versions, and the nodes' lines did not say what each of them knew of its session.
-    it("says why a request gets its version, while a roll-out is under way", () => {
-        const site = createNode(0, []);
+    // A caller was answered by two versions, and the nodes' log lines did not contain the reason for each choice.
+    it("returns the reason for a request's version while a roll-out is in progress", () => {
+        const node = createNode(0, []);
         const upstream = createUpstream("u1", { pool: "pool" });
-        site.rollouts.startRequest(upstream, "session");
-        expect(site.rollouts.select("pool", "session", [upstream]).reason?.startsWith("current: share 0")).toEqual(
+        node.rollouts.startRequest(upstream, "session");
+        expect(node.rollouts.select("pool", "session", [upstream]).reason?.startsWith("current: share 0")).toEqual(
             true,
         );
-        expect(site.rollouts.select("other", "session", [upstream]).reason).toEqual(undefined);
+        expect(node.rollouts.select("other", "session", [upstream]).reason).toEqual(undefined);
     });
 
-    // A VM's time of day jumps. Its node took the difference for time that had passed since the order, and moved sessions before
-    // half of the time was over.
-    it("takes no step too soon when its wall clock is ahead of that of the node which began", () => {
-        const site = createNode(0, [], 10_000);
-        site.registry.set(createUpstream("u1", { pool: "pool", version: "v2" }));
-        site.rollouts.setProgress("pool", { ...announced, orderedAt: 0 });
-        site.run(55);
-        expect(site.written.filter(({ share }) => share > announced.firstShare)).toEqual([]);
+    // The wall clock of a VM jumps. If its node took the difference for time elapsed since the order, it would move
+    // sessions before half of the time is over.
+    it("takes no step too early when its wall clock is ahead of that of the node that took the first step", () => {
+        const node = createNode(0, [], 10_000);
+        node.registry.set(createUpstream("u1", { pool: "pool", version: "v2" }));
+        node.rollouts.setProgress("pool", { ...announced, orderedAt: 0 });
+        node.run(55);
+        expect(node.written.filter(({ share }) => share > announced.firstShare)).toEqual([]);
     });
 
-    it("knows by the wall clock how much time is left when it was started after the order", () => {
-        const site = createNode(0, [], 20_000);
-        site.registry.set(createUpstream("u1", { pool: "pool", version: "v2" }));
-        site.rollouts.setProgress("pool", { ...announced, step: 2, share: announced.firstShare, orderedAt: 0 });
-        site.run(1);
-        expect(site.written[0]?.share).toEqual(1);
+    it("computes the remaining time from the wall clock when it was started after the order", () => {
+        const node = createNode(0, [], 20_000);
+        node.registry.set(createUpstream("u1", { pool: "pool", version: "v2" }));
+        node.rollouts.setProgress("pool", { ...announced, step: 2, share: announced.firstShare, orderedAt: 0 });
+        node.run(1);
+        expect(node.written[0]?.share).toEqual(1);
     });
 
-    // News of an earlier step comes once more, after the later one. Sessions that have moved would go back to the old version.
-    it("does not go back to an earlier step that it hears of again", () => {
-        const site = createNode(1, []);
+    // The record of an earlier step is received again after that of a later one. Sessions that have moved would go back
+    // to the old version.
+    it("does not go back to an earlier step that it receives again", () => {
+        const node = createNode(1, []);
         const upstreams = ["v1", "v2"].map(version => createUpstream(version, { pool: "pool", version }));
-        const select = (): string => site.rollouts.select("pool", "session", upstreams).upstreams[0].version;
-        site.rollouts.setProgress("pool", { ...announced, step: 4, share: 1 });
-        site.rollouts.setProgress("pool", { ...announced, step: 3, share: 0 });
+        const select = (): string => node.rollouts.select("pool", "session", upstreams).upstreams[0].version;
+        node.rollouts.setProgress("pool", { ...announced, step: 4, share: 1 });
+        node.rollouts.setProgress("pool", { ...announced, step: 3, share: 0 });
         expect(select()).toEqual("v2");
     });
 
-    it("publishes nothing that is known already", () => {
-        const site = createNode(100, []);
-        site.run(50);
-        expect(site.counts.published).toEqual(1);
+    it("does not publish unchanged evidence again", () => {
+        const node = createNode(100, []);
+        node.run(50);
+        expect(node.counts.published).toEqual(1);
     });
 
-    it("takes the first step at once where it is the first by rank", () => {
-        const site = createNode(0, []);
-        site.run(2);
-        expect(site.written[0]?.state).toEqual("moving");
+    it("takes the first step at once if it is the first by rank", () => {
+        const node = createNode(0, []);
+        node.run(2);
+        expect(node.written[0]?.state).toEqual("moving");
     });
 });
--- a/test/rollouts/sessionVersions.test.ts
+++ b/test/rollouts/sessionVersions.test.ts
@@ -20,9 +20,10 @@
 }
 
 describe("sessions during a roll-out", () => {
-    // The caller of a session that goes on at another node was answered by the new version after the old one.
+    // Guards against answers by two versions within a session: a session that continues at another node was answered by
+    // the old version and then by the new one.
     for (const [nodes, requestsPerSecond] of [[2, 60], [18, 80], [90, 405], [350, 1_600]]) {
-        it(`stay on the old version in the first half, also at a node that has not seen them, at ${nodes} nodes`, async () => {
+        it(`stay on the old version in the first half, also at a node that has not served them, at ${nodes} nodes`, async () => {
             for (const seed of [1, 2, 3]) {
                 const fleet = await runRollout(nodes, requestsPerSecond, seed);
                 const early = fleet.changes.filter(({ at, to }) => to === "v2" && at < durationMilliseconds / 2);
@@ -39,11 +40,12 @@
         }
     });
 
-    // A bad version is to show by few callers; without any in the first half it would be found among all of them.
-    it("begin on the new version in small numbers in the first half", async () => {
+    // A bad version must be found while few callers use it. Without any caller in the first half it would be found only
+    // when all of them use it.
+    it("start on the new version in small numbers in the first half", async () => {
         const fleet = await runRollout(90, 405, 1);
-        const met = fleet.answeredInFirstHalf.get("v2") ?? 0;
-        expect(met >= 10).toEqual(true);
-        expect(met < 0.0975 * 0.5 * 405 * 12).toEqual(true);
+        const answered = fleet.answeredInFirstHalf.get("v2") ?? 0;
+        expect(answered >= 10).toEqual(true);
+        expect(answered < 0.0975 * 0.5 * 405 * 12).toEqual(true);
     });
 });
--- a/test/rollouts/versionPartitions.test.ts
+++ b/test/rollouts/versionPartitions.test.ts
@@ -13,8 +13,8 @@
     return list.map(({ id }) => id);
 }
 
-describe("VersionDivisions", () => {
-    it("divides by the version that a roll-out moves to, and leaves reverted versions out", () => {
+describe("VersionPartitions", () => {
+    it("partitions by the version that a roll-out moves to, and excludes reverted versions", () => {
         const key = { reverted: new Set(["v3"]), candidate: "v2" };
         const { eligible, candidateUpstreams, currentUpstreams } = new VersionPartitions().get(upstreams, key);
         expect(getIds(eligible)).toEqual(["old", "new"]);
@@ -22,14 +22,14 @@
         expect(getIds(currentUpstreams)).toEqual(["old"]);
     });
 
-    // A pool of a hundred runners is moved to a new version. Were its list another one for each request, everything that is worked
-    // out for a list would be worked out anew for each of them, and callers wait for that.
+    // A pool of a hundred runners is moved to a new version. With a new list for each request, all values that are
+    // cached for a list would be computed again for each request, and callers would wait for that.
     it("returns the same lists until something changes", () => {
-        const divisions = new VersionPartitions();
+        const partitions = new VersionPartitions();
         const key = { reverted: undefined, candidate: "v2" };
-        const first = divisions.get(upstreams, key);
-        expect(divisions.get(upstreams, { ...key }).currentUpstreams === first.currentUpstreams).toEqual(true);
-        expect(getIds(divisions.get(upstreams, { ...key, candidate: "v3" }).candidateUpstreams)).toEqual(["bad"]);
-        expect(getIds(divisions.get([...upstreams], key).eligible)).toEqual(["old", "new", "bad"]);
+        const first = partitions.get(upstreams, key);
+        expect(partitions.get(upstreams, { ...key }).currentUpstreams === first.currentUpstreams).toEqual(true);
+        expect(getIds(partitions.get(upstreams, { ...key, candidate: "v3" }).candidateUpstreams)).toEqual(["bad"]);
+        expect(getIds(partitions.get([...upstreams], key).eligible)).toEqual(["old", "new", "bad"]);
     });
 });
