--- a/src/control/controlReader.ts
+++ b/src/control/controlReader.ts
@@ -1,5 +1,5 @@
 /**
- * Follows the `control` stream and keeps the folds of leases and roll-outs, through retention and outages.
+ * Follows the `control` stream and maintains the folds of leases and roll-outs, also after retention and outages.
  */
 import { z } from "zod";
 import type { LogEntry } from "../log/index.js";
@@ -11,7 +11,7 @@
 /** Kind of the record that holds a snapshot of the control stream's folds. */
 export const controlSnapshotKind = "control-snapshot";
 
-/** Records kept while a snapshot is awaited, at most. */
+/** Maximum number of records in memory while a snapshot is awaited. */
 const maxPendingEntries = 4096;
 
 const snapshotSchema = z.object({
@@ -30,12 +30,12 @@
     readonly rollouts: RolloutFold;
 }
 
-/** Keeps the folds of leases and roll-outs current. */
+/** Keeps the folds of leases and roll-outs up to date. */
 export class ControlReader {
     readonly #leases: LeaseFold;
     readonly #rollouts: RolloutFold;
     readonly #stream: StreamReader;
-    /** Records after a hole; they are folded once a snapshot covers the hole. */
+    /** Records after a gap. They are folded once a snapshot covers the gap. */
     #pending: LogEntry[] = [];
     #hasGap = false;
     #nextOffset = 0;
@@ -53,17 +53,17 @@
         });
     }
 
-    /** Begins to follow the log. */
+    /** Starts to follow the log. */
     start(): void {
         this.#stream.start();
     }
 
-    /** Ends following the log. */
+    /** Stops following the log. */
     stop(): Promise<void> {
         return this.#stream.stop();
     }
 
-    /** Returns the offset to fold next. */
+    /** Returns the offset of the next entry to fold. */
     getOffset(): number {
         return this.#nextOffset;
     }
@@ -78,10 +78,10 @@
     }
 
     /**
-     * Takes over a state if it is newer than this one. A state that is not newer changes nothing: a slow writer's
-     * snapshot must not bring back a roll-out that was halted since.
+     * Imports a state if it is newer than the current one. Any other state is ignored: a snapshot of a slow writer must
+     * not bring back a roll-out that was halted since.
      * @param state - The state, from a snapshot or a peer.
-     * @returns Whether it was taken over.
+     * @returns Whether it was imported.
      */
     importState(state: unknown): boolean {
         const parsed = snapshotSchema.safeParse(state);
@@ -113,7 +113,7 @@
             this.#addPending(entry);
             return;
         }
-        // Leases first: whether a roll-out's record counts depends on the fence in force at its place.
+        // Leases come first: whether a roll-out's record is accepted depends on the fencing token at its offset.
         this.#leases.apply(entry);
         this.#rollouts.apply(entry);
         this.#nextOffset = entry.offset + 1;
--- a/src/control/index.ts
+++ b/src/control/index.ts
@@ -1,7 +1,7 @@
-/** The state that the nodes share through the `control` stream. */
+/** The state that the nodes share through the `control` stream: roll-outs, halts and stable versions. */
 export * from "./rollout.js";
 export * from "./rolloutFold.js";
-/** Leases over the log's stream `control`, and orders to engines under them. */
+/** Leases on the `control` stream, and orders to engines under them. */
 export * from "./controlReader.js";
 export * from "./leaseFold.js";
 export * from "./leaseHolder.js";
--- a/src/control/leaseFold.ts
+++ b/src/control/leaseFold.ts
@@ -1,18 +1,19 @@
 /**
- * Who holds which lease, by the order of the log.
+ * Determines the holder of each lease from the order of the log.
  *
- * The log has no conditional append, so a take names the record that it supersedes, and only the first that names the
- * newest record counts. A renewal is a newer record: a take that was decided on before it, and arrives after it, names
- * the wrong one and fails. The offset of the accepted take is the fencing number, which therefore only grows.
+ * The log has no conditional append. Therefore a take names the record that it supersedes, and only the first take that
+ * names the newest record is accepted. A renewal is a newer record: a take that was decided before the renewal and
+ * arrives after it names the wrong record and is rejected. The offset of the accepted take is the fencing token, which
+ * therefore only grows.
  */
 import type { LogEntry } from "../log/record.js";
 import { leaseReleaseKind, leaseRenewKind, leaseRenewSchema, leaseTakeKind, leaseTakeSchema } from "./leaseRecord.js";
 
-/** A lease as the fold knows it. */
+/** The folded state of a lease. */
 export interface LeaseState {
     readonly lease: string;
     readonly holder: string;
-    /** Offset of the accepted take: the fencing number. */
+    /** Offset of the accepted take, which is the fencing token. */
     readonly fence: number;
     /** Offset of the newest accepted record about the lease. */
     readonly lastOffset: number;
@@ -22,7 +23,7 @@
     readonly isReleased: boolean;
 }
 
-/** Takes a lease that has changed. */
+/** Receives a lease that has changed. */
 export type LeaseListener = (state: LeaseState) => void;
 
 /** Folds the records about leases. */
@@ -31,7 +32,7 @@
     readonly #listeners: LeaseListener[] = [];
     #offset = -1;
 
-    /** Returns the last offset that is folded in, or -1. */
+    /** Returns the last folded offset, or -1. */
     getOffset(): number {
         return this.#offset;
     }
@@ -53,16 +54,17 @@
     }
 
     /**
-     * Tells whether a fencing number is the newest of its lease. Orders under an older one come from a former holder.
+     * Checks whether a fencing token is the current one of its lease. Orders with an older one come from a former
+     * holder.
      * @param lease - The lease's name.
-     * @param fencingToken - The fencing number.
+     * @param fencingToken - The fencing token.
      */
     isCurrentFencingToken(lease: string, fencingToken: number): boolean {
         return this.#leases.get(lease)?.fence === fencingToken;
     }
 
     /**
-     * Folds an entry in. Entries of other kinds, and those at or before the folded offset, are passed over.
+     * Folds an entry. Entries of other kinds, and those at or before the folded offset, are ignored.
      * @param entry - The next entry of the stream.
      */
     apply(entry: LogEntry): void {
@@ -86,7 +88,7 @@
     }
 
     /**
-     * Takes the leases of a snapshot in. It never moves the fold back.
+     * Restores the leases of a snapshot. A snapshot that is not newer than the fold is ignored.
      * @param offset - The offset that the snapshot covers.
      * @param leases - The leases.
      */
--- a/src/control/leaseHolder.ts
+++ b/src/control/leaseHolder.ts
@@ -1,13 +1,13 @@
 /**
- * Takes a lease, renews it and knows when it no longer holds it.
+ * Takes and renews a lease, and determines when it no longer holds it.
  *
- * The holder counts its validity from before it wrote the record that renewed the lease, on its monotonic clock, and
- * only once it has read that record back as accepted. Others wait for the term and the drift after they read the last
- * record, so they begin later than the holder and wait longer: between two holders there is always a time without one.
- * A holder that was paused finds its validity lapsed at its next look. An order that it was about to send may still go
- * out; the fencing number on the order is there for that.
+ * The holder counts the validity on its monotonic clock from before it wrote the record that renewed the lease, and
+ * only after it has read that record back as accepted. Others wait for the term and the drift after they read the last
+ * record. They start to count later than the holder and wait longer, so there is always a time without a holder between
+ * two holders. A holder that was paused finds its lease expired at its next check. An order that it was about to send
+ * may still be sent; the fencing token in the order guards against that.
  *
- * While the log is away no renewal comes through, every validity lapses, and nobody holds a lease.
+ * While the log is unavailable no renewal succeeds, all leases expire, and no node holds one.
  */
 import { randomUUID } from "node:crypto";
 import type { Clock } from "../common/index.js";
@@ -17,7 +17,7 @@
 import type { LeaseFold, LeaseState } from "./leaseFold.js";
 import { leaseFormat, leaseReleaseKind, leaseRenewKind, leaseTakeKind } from "./leaseRecord.js";
 
-/** A holder renews when this share of its term has passed. */
+/** A holder renews its lease after this share of the term. */
 const renewShare = 1 / 3;
 const checkIntervalShare = 1 / 10;
 
@@ -25,17 +25,19 @@
 export interface LeaseHolderOptions {
     /** Name of the lease. */
     readonly name: string;
-    /** Who wants to hold it: unique for each run of a process, so that a restarted one is not taken for its old self. */
+    /**
+     * Name of the prospective holder, unique for each run of a process, so that a restarted process is a new holder.
+     */
     readonly holder: string;
     readonly append: AppendRecord;
-    /** Fed from the stream `control` by its owner. */
+    /** The fold, to which its owner applies the `control` stream. */
     readonly fold: LeaseFold;
     readonly clock: Clock;
     readonly journal: Journal;
     readonly termMilliseconds: number;
-    /** The most that two machines' clocks may differ over a term. */
+    /** Maximum difference between the clocks of two machines over a term. */
     readonly driftMilliseconds: number;
-    /** Tells whether this node may take the lease now, such as not while it is leaving. */
+    /** Checks whether this node may take the lease now. A node that is leaving may not. */
     readonly isCandidate?: () => boolean;
 }
 
@@ -45,13 +47,13 @@
     readonly sentAt: number;
 }
 
-/** Holds one lease, or tries to. */
+/** Holds one lease, or tries to take it. */
 export class LeaseHolder {
     readonly #options: LeaseHolderOptions;
     #timer: NodeJS.Timeout | undefined;
     #validUntil = Number.NEGATIVE_INFINITY;
     #fencingToken: number | undefined;
-    /** When this node last read a record about the lease, and which: others' validity is judged from then. */
+    /** The last record about the lease and when this node read it. Another holder's expiry is counted from then. */
     #lastObserved: { readonly offset: number | undefined; readonly since: number; };
     #sent: SentRecord[] = [];
     #isAppending = false;
@@ -62,7 +64,7 @@
         options.fold.onChange(state => this.#handleChange(state));
     }
 
-    /** Begins to take and renew the lease. */
+    /** Starts to take and renew the lease. */
     start(): void {
         this.#lastObserved = {
             offset: this.#options.fold.get(this.#options.name)?.lastOffset,
@@ -72,7 +74,7 @@
         this.#timer.unref();
     }
 
-    /** Gives the lease up, so that the next holder need not wait for it to lapse. */
+    /** Releases the lease, so that the next holder need not wait until it expires. */
     async stop(): Promise<void> {
         clearInterval(this.#timer);
         this.#timer = undefined;
@@ -83,12 +85,12 @@
         }
     }
 
-    /** Returns the fencing number while the lease is held, or undefined as soon as it may have lapsed. */
+    /** Returns the fencing token while the lease is held, or undefined as soon as the lease may have expired. */
     getFencingToken(): number | undefined {
         return this.#options.clock.monotonic() < this.#validUntil ? this.#fencingToken : undefined;
     }
 
-    /** Takes or renews the lease if it is time to. Runs by itself after `start`. */
+    /** Takes or renews the lease if it is due. Runs periodically after `start`. */
     async check(): Promise<void> {
         if (this.#isAppending) {
             return;
@@ -122,14 +124,16 @@
         await this.#append(leaseTakeKind, { lease: name, holder, supersedes, termMilliseconds });
     }
 
-    /** Tells whether the lease was released, never taken, or watched unrenewed for longer than its term and drift. */
+    /**
+     * Checks whether the lease was released, was never taken, or was not renewed for longer than its term and drift.
+     */
     #isFree(): boolean {
         const state = this.#options.fold.get(this.#options.name);
         if (state === undefined || state.isReleased) {
             return true;
         }
         if (this.#lastObserved.offset !== state.lastOffset) {
-            // A snapshot brought the record: nobody knows how old it is, so the watch begins now.
+            // The record came from a snapshot, so its age is unknown and the waiting time starts now.
             this.#lastObserved = { offset: state.lastOffset, since: this.#options.clock.monotonic() };
         }
         const observedMilliseconds = this.#options.clock.monotonic() - this.#lastObserved.since;
@@ -170,7 +174,7 @@
     async #append(kind: string, body: unknown): Promise<void> {
         const id = randomUUID();
         const record: LogRecord = { id, kind, format: leaseFormat, writer: this.#options.holder, body };
-        // Taken before the append: an append may take effect at once and its answer, or this process, stand still after.
+        // Read before the append, since the append may take effect at once while its answer or this process is delayed.
         const sentAt = this.#options.clock.monotonic();
         const { termMilliseconds } = this.#options;
         this.#sent = [...this.#sent.filter(sent => sentAt - sent.sentAt < termMilliseconds), { id, sentAt }];
--- a/src/control/leaseRecord.ts
+++ b/src/control/leaseRecord.ts
@@ -3,20 +3,20 @@
  */
 import { z } from "zod";
 
-/** Kinds of records about leases. */
+/** Kind of the record that takes a lease. */
 export const leaseTakeKind = "lease-take";
-/** A holder goes on. */
+/** Kind of the record with which a holder renews its lease. */
 export const leaseRenewKind = "lease-renew";
-/** A holder gives the lease up. */
+/** Kind of the record with which a holder releases its lease. */
 export const leaseReleaseKind = "lease-release";
-/** The format in which this version writes them. */
+/** The format in which this release writes these records. */
 export const leaseFormat = 1;
 
 /** @internal */
 export const leaseTakeSchema = z.object({
     lease: z.string(),
     holder: z.string(),
-    /** Offset of the last record about the lease that the taker knew; absent when it knew none. */
+    /** Offset of the last record about the lease that the taker has read. Absent if it has read none. */
     supersedes: z.number().int().optional(),
     termMilliseconds: z.number(),
 });
@@ -24,6 +24,6 @@
 /** @internal */
 export const leaseRenewSchema = z.object({
     lease: z.string(),
-    /** The fencing number under which the holder has it. */
+    /** The fencing token of the holder. */
     fence: z.number().int(),
 });
--- a/src/control/orderChannel.ts
+++ b/src/control/orderChannel.ts
@@ -1,10 +1,10 @@
 /**
- * Sends orders to engines as desired states, and believes only what the engine then reports.
+ * Sends orders to engines as desired states, and relies only on what the engine reports afterwards.
  *
- * Engines that check fencing numbers refuse an order of a former holder. Others obey it, so for them three things stand
- * in its place: the holder looks at its lease right before each order, an order has a short deadline, and the current
- * holder reads the engine back and orders again until the engine reports what is wanted. Until then routing goes by
- * the versions that the engine reports, never by the order.
+ * Engines that check fencing tokens refuse an order of a former holder. Others accept it, so three measures replace the
+ * check for them: the holder checks its lease immediately before each order, an order has a short deadline, and the
+ * current holder reads the engine's state and repeats the order until the engine reports the desired state. Until then
+ * requests are routed by the versions that the engine reports, never by the order.
  */
 import { err, ok, type Result } from "neverthrow";
 import { type Clock, Failure } from "../common/index.js";
@@ -14,7 +14,7 @@
 const readBackDelayMilliseconds = 200;
 const defaultAttempts = 5;
 
-/** What an engine is to run. */
+/** The state that an engine is ordered to reach. */
 export interface EngineOrder {
     readonly fence: number;
     /** Identifiers of the versions, in any order. */
@@ -22,13 +22,13 @@
     readonly role: string;
 }
 
-/** What an engine reports of itself. */
+/** The state that an engine reports. */
 export interface EngineState {
     readonly versions: readonly string[];
     readonly checksFencing: boolean;
 }
 
-/** Reaches one engine. */
+/** Communicates with one engine. */
 export interface EngineControl {
     readonly order: (order: EngineOrder, deadlineMilliseconds: number) => Promise<Result<void, Failure>>;
     readonly read: (deadlineMilliseconds: number) => Promise<Result<EngineState, Failure>>;
@@ -36,17 +36,17 @@
 
 /** Options of a channel. */
 export interface OrderChannelOptions {
-    /** Gives the fencing number of the lease that orders are sent under; undefined when it is not held. */
+    /** Returns the fencing token of the lease that orders are sent under, or undefined if the lease is not held. */
     readonly getFencingToken: () => number | undefined;
     readonly clock: Clock;
     readonly journal: Journal;
     readonly deadlineMilliseconds?: number;
-    /** How often the engine is ordered and read before giving up. */
+    /** Maximum number of orders before giving up, each followed by a read of the engine's state. */
     readonly attempts?: number;
     readonly sleep?: (milliseconds: number) => Promise<unknown>;
 }
 
-/** What is wanted of an engine. */
+/** The desired state of an engine. */
 export interface DesiredState {
     /** Identifier of the engine, for events. */
     readonly engine: string;
@@ -54,7 +54,7 @@
     readonly role: string;
 }
 
-/** Brings engines to wanted states. */
+/** Brings engines to desired states. */
 export class OrderChannel {
     readonly #options: OrderChannelOptions;
 
@@ -63,9 +63,10 @@
     }
 
     /**
-     * Sends one order, if the lease is held at this moment. Whether the engine obeyed shows in its report only.
-     * @param order - Reaches the engine.
-     * @param desired - What it is to run.
+     * Sends one order if the lease is held at this moment. Only the engine's report shows whether it followed the
+     * order.
+     * @param order - Sends the order to the engine.
+     * @param desired - The desired state.
      */
     async send(order: EngineControl["order"], desired: DesiredState): Promise<Result<void, Failure>> {
         const { getFencingToken, journal, deadlineMilliseconds } = this.#options;
@@ -82,13 +83,14 @@
     }
 
     /**
-     * Orders an engine until it reports what is wanted.
+     * Orders an engine until it reports the desired state.
      *
-     * Ordering again is harmless: an order is the whole wanted state. It is also what mends an engine without fencing
-     * checks after a former holder's late order: the next look sees the wrong versions and orders once more.
-     * @param control - Reaches the engine.
-     * @param desired - What it is to run.
-     * @returns What the engine reports, or why it could not be brought there.
+     * Repeating an order is harmless, since an order contains the complete desired state. The repetition also corrects
+     * an engine without fencing checks after a late order of a former holder: the next read shows the wrong versions,
+     * and the engine is ordered once more.
+     * @param control - Communicates with the engine.
+     * @param desired - The desired state.
+     * @returns The state that the engine reports, or the reason why it did not reach the desired state.
      */
     async reconcile(control: EngineControl, desired: DesiredState): Promise<Result<EngineState, Failure>> {
         const deadline = this.#options.deadlineMilliseconds ?? defaultDeadlineMilliseconds;
@@ -124,17 +126,17 @@
 function createLeaseNotHeldFailure(engine: string): Failure {
     return new Failure({
         kind: "stale",
-        message: `The lease for orders is not held here, so the engine ${engine} was not ordered.`,
-        remedy: "Leave the engine to the lease's present holder.",
+        message: `This node does not hold the lease for orders, so no order was sent to the engine ${engine}.`,
+        remedy: "Leave the engine to the current holder of the lease.",
     });
 }
 
 function createStateNotReachedFailure(desired: DesiredState, state: EngineState): Failure {
     return new Failure({
         kind: "upstream-failed",
-        message: `The engine ${desired.engine} reports ${state.versions.join(", ")} in place of ${
+        message: `The engine ${desired.engine} reports ${state.versions.join(", ")} instead of ${
             desired.versions.join(", ")
         }.`,
-        remedy: "Try again later; keep routing by what the engine reports.",
+        remedy: "Try again later, and route by the versions that the engine reports.",
     });
 }
--- a/src/control/rollout.ts
+++ b/src/control/rollout.ts
@@ -1,5 +1,5 @@
 /**
- * Roll-outs, halts and the records of the `control` stream that make them.
+ * Roll-outs and halts, and the records of the `control` stream that define them.
  */
 import { z } from "zod";
 
@@ -17,59 +17,61 @@
 const shareSchema = z.number().gt(0).lte(1);
 const countSchema = z.number().int().nonnegative();
 
-/** Checks the body of `rollout-start`. */
+/** Validates the body of `rollout-start`. */
 export const rolloutStartBody = z.object({
     rollout: z.string().min(1),
     model: z.string().min(1),
     candidate: z.string().min(1),
     baseline: z.string().min(1),
-    /** Share of callers at each stage, ascending; the last one is 1. */
+    /** Share of callers at each stage, ascending. The last one is 1. */
     stages: z.array(shareSchema).min(1).refine(stages =>
         stages.every((value, index) => index === 0 || value > stages[index - 1])
     ),
-    /** Callers exposed in the whole system up to the end of each stage. A stage without a number has no such bound. */
+    /**
+     * Maximum number of callers exposed in the whole system up to the end of each stage. Without a number: no limit.
+     */
     budget: z.union([countSchema, z.array(countSchema)]),
     startedBy: z.string(),
 });
 
-/** Checks the body of `rollout-grant`. */
+/** Validates the body of `rollout-grant`. */
 export const rolloutGrantBody = z.object({
     rollout: z.string(),
     fence: z.number().int(),
-    /** For each entry, how many callers it may have exposed altogether. */
+    /** Total number of callers that each entry may have exposed. */
     grants: z.record(z.string(), countSchema),
 });
 
-/** Checks the body of `rollout-advance`. */
+/** Validates the body of `rollout-advance`. */
 export const rolloutAdvanceBody = z.object({ rollout: z.string(), stage: countSchema, fence: z.number().int() });
 
-/** Checks the body of `rollout-finish`. */
+/** Validates the body of `rollout-finish`. */
 export const rolloutFinishBody = z.object({ rollout: z.string(), fence: z.number().int() });
 
-/** Checks the body of `rollout-abort`, by which an operator ends a roll-out without halting the version. */
+/** Validates the body of `rollout-abort`. With it an operator ends a roll-out without halting the version. */
 export const rolloutAbortBody = z.object({ rollout: z.string(), by: z.string() });
 
-/** Checks the body of `halt`. */
+/** Validates the body of `halt`. */
 export const haltBody = z.object({
-    /** The halt's own identifier; that of the record by default. */
+    /** Identifier of the halt. By default that of the record. */
     id: z.string().optional(),
     version: z.string().min(1),
     reason: z.string(),
     evidence: z.unknown().optional(),
 });
 
-/** Checks the body of `lift`. */
+/** Validates the body of `lift`. */
 export const liftBody = z.object({
     version: z.string().min(1),
     /**
-     * The halts that the operator has seen and lifts. A halt that isn't named stays, since it may have been raised
-     * for a reason that the operator hasn't seen.
+     * The halts that the operator has seen and lifts. A halt that is not listed stays in force, since it may have a
+     * reason that the operator has not seen.
      */
     halts: z.array(z.string()),
     by: z.string(),
 });
 
-/** Whether a roll-out is under way. */
+/** The state of a roll-out. Only an active one is in progress. */
 export type RolloutState = "active" | "finished" | "halted" | "aborted";
 
 /** A staged exposure of callers to a new version. */
@@ -79,25 +81,27 @@
     readonly candidate: string;
     readonly baseline: string;
     readonly stages: readonly number[];
-    /** Callers exposed in the whole system up to the end of each stage; `undefined` where there is no bound. */
+    /**
+     * Maximum number of callers exposed in the whole system up to the end of each stage, `undefined` without a limit.
+     */
     readonly budgets: readonly (number | undefined)[];
     readonly startedBy: string;
     /** Wall-clock milliseconds of the log at the start. */
     readonly startedAt: number;
     /** Index into `stages`. */
     readonly stage: number;
-    /** Wall-clock milliseconds of the log when the stage began. */
+    /** Wall-clock milliseconds of the log at the start of the stage. */
     readonly stageSince: number;
     readonly state: RolloutState;
-    /** Wall-clock milliseconds of the log when it finished; absent before, and in snapshots of older releases. */
+    /** Wall-clock milliseconds of the log at the end; absent before the end, and in snapshots of older releases. */
     readonly finishedAt?: number;
-    /** For each entry, how many callers it may have exposed altogether. */
+    /** Total number of callers that each entry may have exposed. */
     readonly grants: Readonly<Record<string, number>>;
 }
 
-/** A decision that a version gets no new work. */
+/** A decision that a version gets no new requests. */
 export interface Halt {
-    /** Unique; the same halt comes by gossip and by the log. */
+    /** Unique identifier. The same halt arrives by gossip and through the log. */
     readonly id: string;
     readonly version: string;
     readonly reason: string;
@@ -105,7 +109,7 @@
     readonly at: number;
 }
 
-/** What the fold has taken in, as a snapshot keeps it; plain JSON. */
+/** The state of the fold in a snapshot, as plain JSON. */
 export interface RolloutSnapshot {
     readonly offset: number;
     readonly rollouts: readonly Rollout[];
@@ -115,7 +119,7 @@
     readonly settled: Readonly<Record<string, readonly string[]>>;
 }
 
-/** Whether a record took effect, and if not, why. */
+/** Whether a record was accepted, and if not, why. */
 export interface RolloutDecision {
     readonly accepted: boolean;
     readonly reason: string;
--- a/src/control/rolloutFold.ts
+++ b/src/control/rolloutFold.ts
@@ -1,6 +1,6 @@
 /**
  * Folds the records about roll-outs into their present state. Every node folds the same records in the same order and
- * so agrees with every other, which is what lets any VM carry on an interrupted roll-out.
+ * so reaches the same state. Therefore any VM can continue an interrupted roll-out.
  */
 import type { LogEntry } from "../log/index.js";
 import {
@@ -20,12 +20,12 @@
 import { RolloutHalts } from "./rolloutHalts.js";
 import { StableVersions } from "./stableVersions.js";
 
-/** Ended roll-outs that are remembered. */
+/** Maximum number of roll-outs in memory. Beyond it, ended ones are dropped. */
 const maxRetainedRollouts = 64;
 
 /** Options of `RolloutFold`. */
 export interface RolloutFoldOptions {
-    /** Tells whether a fence is that of the lease in force at this point of the stream. */
+    /** Checks whether a fencing token is that of the current lease at this offset of the stream. */
     readonly isCurrentFencingToken: (fence: number) => boolean;
 }
 
@@ -41,14 +41,14 @@
         this.#isCurrentFencingToken = options.isCurrentFencingToken;
     }
 
-    /** The offset of the newest entry taken in; -1 before the first. */
+    /** The offset of the newest applied entry, or -1 before the first. */
     get offset(): number {
         return this.#offset;
     }
 
     /**
-     * Takes in the next entry of the `control` stream. Entries of other kinds and entries already taken in do nothing.
-     * @returns Whether it took effect; `undefined` for an entry that isn't about roll-outs or isn't new.
+     * Applies the next entry of the `control` stream. Entries of other kinds and entries applied before have no effect.
+     * @returns Whether it was accepted. `undefined` for an entry that is not about roll-outs or is not new.
      */
     apply(entry: LogEntry): RolloutDecision | undefined {
         if (entry.offset <= this.#offset) {
@@ -76,14 +76,14 @@
     }
 
     /**
-     * Takes in a halt that came by gossip, or that this node raises itself. It holds at once, log or no log.
+     * Adds a halt that was received by gossip or raised by this node. It takes effect at once, even without the log.
      * @returns Whether it was new.
      */
     addHalt(halt: Halt): boolean {
         return this.#halts.addFromGossip(halt);
     }
 
-    /** Gets the halts in force, to be passed on by gossip and named in a `lift`. */
+    /** Returns the halts in force, for gossip and for the operator to list in a `lift`. */
     getHalts(): readonly Halt[] {
         return this.#halts.getAll();
     }
@@ -93,27 +93,29 @@
         return this.#halts.has(version);
     }
 
-    /** Gets when an operator last lifted a halt of a version, in the log's wall-clock milliseconds, or `undefined`. */
+    /**
+     * Returns when an operator last lifted a halt of a version, in wall-clock milliseconds of the log, or `undefined`.
+     */
     getLiftedAt(version: string): number | undefined {
         return this.#halts.getLiftedAt(version);
     }
 
-    /** Gets all roll-outs, in the order of their start. */
+    /** Returns all roll-outs, in the order of their start. */
     getRollouts(): readonly Rollout[] {
         return [...this.#rollouts.values()];
     }
 
-    /** Gets a roll-out, or `undefined`. */
+    /** Returns a roll-out, or `undefined`. */
     getRollout(id: string): Rollout | undefined {
         return this.#rollouts.get(id);
     }
 
-    /** Gets the active roll-outs of a model. */
+    /** Returns the active roll-outs of a model. */
     getActiveRollouts(model: string): readonly Rollout[] {
         return this.getRollouts().filter(rollout => rollout.model === model && rollout.state === "active");
     }
 
-    /** Gets the share of callers that a roll-out exposes now, from 0 to 1. */
+    /** Returns the share of callers that a roll-out exposes now, from 0 to 1. */
     getShare(id: string): number {
         const rollout = this.#rollouts.get(id);
         if (rollout === undefined || this.isHalted(rollout.candidate)) {
@@ -125,7 +127,7 @@
         return rollout.state === "active" ? rollout.stages[rollout.stage] : 0;
     }
 
-    /** Gets when a version was last fully rolled out, in the log's wall-clock milliseconds, or `undefined`. */
+    /** Returns when a version was last fully rolled out, in wall-clock milliseconds of the log, or `undefined`. */
     getFinishedAt(version: string): number | undefined {
         const finished = this.getRollouts().findLast(({ candidate, state }) =>
             candidate === version && state === "finished"
@@ -133,15 +135,15 @@
         return finished?.finishedAt;
     }
 
-    /** Gets the newest version of a model that was fully rolled out and isn't halted, or `undefined`. */
+    /** Returns the newest version of a model that was fully rolled out and is not halted, or `undefined`. */
     getStableVersion(model: string): string | undefined {
         return this.#stableVersions.get(model).findLast(version => !this.isHalted(version));
     }
 
     /**
-     * Gets the version that takes over the traffic of a halted one: the newest that was settled before it.
+     * Returns the version that takes over the traffic of a halted one: the newest one that became stable before it.
      * @param version - The halted version.
-     * @param isAllowed - Tells whether a version may be used; any by default.
+     * @param isAllowed - Checks whether a version may be used. By default any may.
      */
     getFallback(version: string, isAllowed: (version: string) => boolean = () => true): string | undefined {
         const earlierVersions = this.#stableVersions.getBefore(version);
@@ -157,7 +159,7 @@
         return usable ? rollout.baseline : this.getFallback(rollout.baseline, isAllowed);
     }
 
-    /** Returns the state for a snapshot or for a node that can't read the log. */
+    /** Returns the state, for a snapshot or for a node that cannot read the log. */
     exportState(): RolloutSnapshot {
         return {
             offset: this.#offset,
@@ -170,7 +172,7 @@
     }
 
     /**
-     * Takes over a snapshot if it is newer. Halts from gossip stay in force, unless the snapshot says they were lifted.
+     * Imports a snapshot if it is newer. Halts from gossip stay in force unless the snapshot contains a lift.
      * @returns Whether it was newer.
      */
     importState(snapshot: RolloutSnapshot): boolean {
@@ -313,10 +315,10 @@
         return accept();
     }
 
-    /** Gets the active roll-out that a leased record is about, or the reason why it is refused. */
+    /** Returns the active roll-out of a record that requires the lease, or the reason for rejecting the record. */
     #getActiveForLeasedRecord(body: { readonly rollout: string; readonly fence: number; }): Rollout | string {
-        // A node that was paused while its lease lapsed may still write; its fence is then no longer the current one.
-        // Without this check two holders could each advance the same roll-out.
+        // A node that was paused while its lease expired may still write, but its fencing token is no longer the
+        // current one. Without this check two holders could each advance the same roll-out.
         if (!this.#isCurrentFencingToken(body.fence)) {
             return "The fence isn't that of the lease in force.";
         }
--- a/src/control/rolloutHalts.ts
+++ b/src/control/rolloutHalts.ts
@@ -1,10 +1,10 @@
 /**
- * The halts in force. Halts from the log are the same on every node; those from gossip come sooner and also while the
- * log is away. Both only ever add up, until an operator lifts a halt by its identifier.
+ * The halts in force. Halts from the log are the same on every node. Those from gossip arrive sooner, and also while
+ * the log is unavailable. Both only accumulate until an operator lifts a halt by its identifier.
  */
 import type { Halt } from "./rollout.js";
 
-/** Lifted halts that are remembered, so that a late message can't raise them again. */
+/** Maximum number of lifted halts in memory. They prevent a late message from raising a lifted halt again. */
 const maxRetainedLifts = 4096;
 
 /** Holds the halts of one node. */
@@ -16,7 +16,7 @@
     #versions = new Set<string>();
 
     /**
-     * Adds a halt that came by gossip or was raised here.
+     * Adds a halt that was received by gossip or raised by this node.
      * @returns Whether it was new.
      */
     addFromGossip(halt: Halt): boolean {
@@ -59,12 +59,12 @@
         this.#collectVersions();
     }
 
-    /** Checks whether a version is halted, by whatever way the halt came. */
+    /** Checks whether a version is halted, through the log or by gossip. */
     has(version: string): boolean {
         return this.#versions.has(version);
     }
 
-    /** Checks whether a version is halted by the log, which every node agrees on. */
+    /** Checks whether a version is halted in the log. All nodes agree on that. */
     hasInLog(version: string): boolean {
         for (const halt of this.#fromLog.values()) {
             if (halt.version === version) {
@@ -74,32 +74,34 @@
         return false;
     }
 
-    /** Gets all halts in force. */
+    /** Returns all halts in force. */
     getAll(): readonly Halt[] {
         return [...this.#fromLog.values(), ...this.#fromGossip.values()];
     }
 
-    /** Gets the halts of the log. */
+    /** Returns the halts of the log. */
     getFromLog(): readonly Halt[] {
         return [...this.#fromLog.values()];
     }
 
-    /** Gets the identifiers of lifted halts. */
+    /** Returns the identifiers of lifted halts. */
     getLifted(): readonly string[] {
         return [...this.#lifted];
     }
 
-    /** Gets when a halt of a version was last lifted, or `undefined`. */
+    /** Returns when a halt of a version was last lifted, or `undefined`. */
     getLiftedAt(version: string): number | undefined {
         return this.#liftedAt.get(version);
     }
 
-    /** Gets, for each version with a lifted halt, when that was. */
+    /** Returns the time of the last lift for each version with a lifted halt. */
     getLiftTimes(): Readonly<Record<string, number>> {
         return Object.fromEntries(this.#liftedAt);
     }
 
-    /** Takes over the halts of a snapshot; halts from gossip stay, unless the snapshot says they were lifted. */
+    /**
+     * Replaces the halts of the log by those of a snapshot. Halts from gossip stay unless the snapshot contains a lift.
+     */
     replaceFromLog(
         halts: readonly Halt[],
         lifted: readonly string[],
--- a/src/control/stableVersions.ts
+++ b/src/control/stableVersions.ts
@@ -1,27 +1,27 @@
 /**
- * The versions of each model that were fully rolled out: what traffic falls back to when a newer one is halted.
+ * The versions of each model that were fully rolled out. Traffic falls back to them when a newer version is halted.
  */
 
-/** Settled versions of a model that are remembered. */
+/** Maximum number of stable versions in memory, for each model. */
 const maxRetainedVersions = 16;
 
-/** Holds the settled versions of all models. */
+/** Holds the stable versions of all models. */
 export class StableVersions {
-    /** The newest last. */
+    /** By model, the newest version last. */
     readonly #models = new Map<string, readonly string[]>();
 
-    /** Adds a version as the newest of its model. */
+    /** Adds a version as the newest one of its model. */
     add(model: string, version: string): void {
         const others = this.get(model).filter(other => other !== version);
         this.#models.set(model, [...others, version].slice(-maxRetainedVersions));
     }
 
-    /** Gets the versions of a model, the newest last. */
+    /** Returns the stable versions of a model, the newest last. */
     get(model: string): readonly string[] {
         return this.#models.get(model) ?? [];
     }
 
-    /** Gets the versions of the same model that were settled before a version, the newest last. */
+    /** Returns the versions of the same model that became stable before a version, the newest last. */
     getBefore(version: string): readonly string[] {
         for (const versions of this.#models.values()) {
             const index = versions.lastIndexOf(version);
@@ -32,12 +32,12 @@
         return [];
     }
 
-    /** Gets the versions of all models. */
+    /** Returns the stable versions of all models. */
     getAll(): Readonly<Record<string, readonly string[]>> {
         return Object.fromEntries(this.#models);
     }
 
-    /** Takes over the versions of a snapshot. */
+    /** Replaces the versions by those of a snapshot. */
     replace(models: Readonly<Record<string, readonly string[]>>): void {
         this.#models.clear();
         for (const [model, versions] of Object.entries(models)) {
--- a/test/control/leaseFold.test.ts
+++ b/test/control/leaseFold.test.ts
@@ -32,7 +32,7 @@
 
 describe("LeaseFold", () => {
     describe("apply", () => {
-        it("accepts the first take, with its offset as the fencing number", () => {
+        it("accepts the first take, with its offset as the fencing token", () => {
             const result = fold([["other", {}], take("a"), take("b")]);
             expect([result.get(lease)?.holder, result.get(lease)?.fence]).toEqual(["a", 1]);
             expect(result.isCurrentFencingToken(lease, 1)).toEqual(true);
@@ -42,27 +42,28 @@
             expect(fold([take("a"), take("b", 0), take("c", 0)]).get(lease)?.holder).toEqual("b");
         });
 
-        // A taker watched the lease unrenewed and writes its take, while the holder's renewal is already on its way and
-        // arrives first. Accepted, there would be two holders.
-        it("rejects a take that was decided on before a renewal", () => {
+        // A node saw no renewal for the term and writes its take, while the holder's renewal is in flight and arrives
+        // first. If the take were accepted, there would be two holders.
+        it("rejects a take that was decided before a renewal", () => {
             const result = fold([take("a"), renew(0), take("b", 0)]);
             expect(result.get(lease)?.holder).toEqual("a");
             expect(fold([take("a"), renew(0), take("b", 1)]).get(lease)?.holder).toEqual("b");
         });
 
-        // A holder was paused past its term, another took the lease, and the paused one's renewal arrives.
+        // A holder was paused for longer than its term and another node took the lease. The renewal of the former
+        // holder arrives afterwards.
         it("rejects a former holder's renewal and release", () => {
             const result = fold([take("a"), take("b", 0), renew(0), release(0)]);
             expect([result.get(lease)?.fence, result.get(lease)?.isReleased]).toEqual([1, false]);
             expect(result.isCurrentFencingToken(lease, 0)).toEqual(false);
         });
 
-        it("takes no renewal after a release", () => {
+        it("rejects a renewal after a release", () => {
             const result = fold([take("a"), release(0), renew(0)]);
             expect([result.get(lease)?.isReleased, result.get(lease)?.lastOffset]).toEqual([true, 1]);
         });
 
-        it("gives every reader the same leases and fencing numbers that only grow, with any repeats", () => {
+        it("gives every reader the same leases and growing fencing tokens, also with repeated entries", () => {
             const step = fc.oneof(
                 fc.tuple(fc.constantFrom("a", "b"), fc.option(fc.nat(12), { nil: undefined })).map(([holder, offset]) =>
                     take(holder, offset)
--- a/test/control/leaseHolder.test.ts
+++ b/test/control/leaseHolder.test.ts
@@ -16,7 +16,7 @@
     isDisconnected: boolean;
 }
 
-/** Creates a node that wants the lease. It starts watching at once; `check` is called by the test. */
+/** Creates a node that wants the lease. It observes the lease at once, and the test calls `check`. */
 function createCandidate(log: MemoryLog, id: string): Candidate {
     const clock = new ManualClock();
     const fold = new LeaseFold();
@@ -38,7 +38,7 @@
     return candidate;
 }
 
-/** Lets a node read what the log holds. */
+/** Applies the entries of the log to the folds of nodes. */
 function read(log: MemoryLog, ...candidates: Candidate[]): void {
     for (const { fold } of candidates) {
         for (const entry of log.getEntries(name)) {
@@ -78,7 +78,7 @@
             }
         });
 
-        it("lets one of two racing takers hold it", async () => {
+        it("lets one of two concurrent takers hold it", async () => {
             const log = new MemoryLog();
             const candidates = ["a", "b"].map(id => createCandidate(log, id));
             await Promise.all(candidates.map(({ holder }) => holder.check()));
@@ -97,7 +97,7 @@
             expect(second.holder.getFencingToken()).toEqual(1);
         });
 
-        it("takes a lease that only a snapshot told of, after watching it", async () => {
+        it("takes a lease known from a snapshot only, after observing it for the term and the drift", async () => {
             const { log, first } = await createHeldLease();
             const fresh = createCandidate(log, "fresh");
             fresh.fold.restore(first.fold.getOffset(), first.fold.getSnapshot());
@@ -107,9 +107,9 @@
             expect(fresh.holder.getFencingToken()).toEqual(1);
         });
 
-        // The renewal was written, but its acknowledgement was lost. The holder reads it back and goes on; the other
-        // one reads it too and waits.
-        it("goes on when the acknowledgement of its renewal was lost", async () => {
+        // The renewal was written but its acknowledgement was lost. The holder reads the renewal back and continues.
+        // The other node reads it too and waits.
+        it("continues to hold it when the acknowledgement of its renewal was lost", async () => {
             const { log, first, second } = await createHeldLease();
             log.decideOutcome = () => "lost";
             advance(term / 2, first, second);
@@ -122,9 +122,9 @@
         });
     });
 
-    describe("getFence", () => {
-        // The holder is paused past its term while another takes the lease. At its first look after waking it must not
-        // believe that it still holds it, before it has read anything.
+    describe("getFencingToken", () => {
+        // Guards against two holders: a holder is paused for longer than its term while another node takes the lease.
+        // At its first check afterwards, before it has read anything, it must not assume that it still holds the lease.
         it("is undefined for a holder that was paused past its term", async () => {
             const { log, first, second } = await createHeldLease();
             advance(term + drift + 1, first, second);
@@ -135,9 +135,9 @@
             expect(first.holder.getFencingToken()).toEqual(undefined);
         });
 
-        // The append takes longer than the term, or the holder is paused between sending it and reading it back. The
-        // time since it was sent is gone: others have been waiting since they read it.
-        it("counts from before the append", async () => {
+        // The append takes longer than the term, or the holder is paused between the append and reading the record
+        // back. That time counts too, since the others have been waiting since they read the record.
+        it("counts the validity from before the append", async () => {
             const { log, first } = await createHeldLease();
             log.onAppended = () => first.clock.advance(term * 0.6);
             advance(term * 0.5, first);
@@ -147,7 +147,7 @@
             expect(first.holder.getFencingToken()).toEqual(undefined);
         });
 
-        it("is undefined for everybody while the log is away, and one holds it afterwards", async () => {
+        it("is undefined on all nodes while the log is unavailable, and one node holds it afterwards", async () => {
             const { log, first, second } = await createHeldLease();
             log.decideOutcome = () => "dropped";
             for (let step = 0; step < 40; step += 1) {
@@ -165,7 +165,7 @@
     });
 
     describe("stop", () => {
-        it("frees the lease for the next at once", async () => {
+        it("releases the lease for the next holder at once", async () => {
             const { log, first, second } = await createHeldLease();
             await first.holder.stop();
             read(log, second);
@@ -174,15 +174,16 @@
         });
     });
 
-    describe("under random pauses and cuts", () => {
-        // Three nodes whose clocks run the same but who stand still, are cut from reading or lose appends at random.
-        // Whatever happens, no two of them may hold the lease at the same moment, and somebody holds it now and then.
+    describe("under random pauses and disconnections", () => {
+        // The clocks of three nodes run at the same rate, but the nodes pause, are disconnected from reading or lose
+        // appends at random. Two of them must never hold the lease at the same time, and one must hold it at some
+        // times.
         it("never has two holders", async () => {
             for (let seed = 1; seed <= 60; seed += 1) {
                 const random = new RandomSource(seed);
                 const log = new MemoryLog();
-                const fates = ["taken", "taken", "taken", "lost", "dropped"] as const;
-                log.decideOutcome = () => fates[random.nextInteger(fates.length)];
+                const outcomes = ["taken", "taken", "taken", "lost", "dropped"] as const;
+                log.decideOutcome = () => outcomes[random.nextInteger(outcomes.length)];
                 const candidates = ["a", "b", "c"].map(id => createCandidate(log, id));
                 log.onAppended = () => advance(random.nextInteger(300), ...candidates);
                 let held = 0;
--- a/test/control/orderChannel.test.ts
+++ b/test/control/orderChannel.test.ts
@@ -5,13 +5,13 @@
 import { type EngineControl, type EngineOrder, type EngineState, OrderChannel } from "../../src/control/index.js";
 import { createJournal } from "../fixtures/journals.js";
 
-/** An engine in memory that may check fencing numbers. */
+/** An engine in memory. It checks fencing tokens if so configured. */
 class Engine {
     versions: readonly string[] = ["m@1"];
     readonly orders: EngineOrder[] = [];
     readonly #checksFencing: boolean;
     #maxFencingToken = -1;
-    /** Whether orders are obeyed but their answers lost. */
+    /** Whether orders are followed but their answers are lost. */
     isAnswerLost = false;
 
     constructor(checksFencing: boolean) {
@@ -25,7 +25,13 @@
 
     applyOrder(order: EngineOrder) {
         if (this.#checksFencing && order.fence < this.#maxFencingToken) {
-            return err(new Failure({ kind: "stale", message: "An older fence.", remedy: "Stop." }));
+            return err(
+                new Failure({
+                    kind: "stale",
+                    message: "The fencing token is older than the last one.",
+                    remedy: "Stop.",
+                }),
+            );
         }
         this.#maxFencingToken = Math.max(this.#maxFencingToken, order.fence);
         this.orders.push(order);
@@ -55,46 +61,46 @@
 }
 
 describe("OrderChannel", () => {
-    describe("bring", () => {
-        it("orders an engine and believes what it reports, also when the order's answer was lost", async () => {
+    describe("reconcile", () => {
+        it("orders an engine and relies on its report, also when the order's answer was lost", async () => {
             for (const isAnswerLost of [false, true]) {
                 const engine = new Engine(true);
                 engine.isAnswerLost = isAnswerLost;
-                const brought = await createChannel(() => 5).reconcile(
+                const result = await createChannel(() => 5).reconcile(
                     engine.control,
                     createDesiredState("m@2", "m@1"),
                 );
-                expect(brought._unsafeUnwrap().versions).toEqual(["m@2", "m@1"]);
+                expect(result._unsafeUnwrap().versions).toEqual(["m@2", "m@1"]);
                 expect(engine.orders.length).toEqual(1);
             }
         });
 
-        it("orders nothing when the engine reports what is wanted", async () => {
+        it("sends no order when the engine reports the desired state", async () => {
             const engine = new Engine(true);
             await createChannel(() => 5).reconcile(engine.control, createDesiredState("m@1"));
             expect(engine.orders).toEqual([]);
         });
 
-        it("orders nothing without the lease", async () => {
+        it("sends no order without the lease", async () => {
             const engine = new Engine(false);
-            const brought = await createChannel(() => undefined).reconcile(engine.control, createDesiredState("m@2"));
-            expect(brought._unsafeUnwrapErr().kind).toEqual("stale");
+            const result = await createChannel(() => undefined).reconcile(engine.control, createDesiredState("m@2"));
+            expect(result._unsafeUnwrapErr().kind).toEqual("stale");
             expect(engine.orders).toEqual([]);
         });
 
-        // A former holder was paused between its look at the lease and its order. An engine that checks refuses the
-        // order, and the former holder learns from the refusal.
-        it("is refused by an engine that has seen a newer fencing number", async () => {
+        // A former holder was paused between its check of the lease and its order. An engine that checks fencing tokens
+        // refuses the order, and the refusal notifies the former holder.
+        it("is refused by an engine that has received a newer fencing token", async () => {
             const engine = new Engine(true);
             await createChannel(() => 9).reconcile(engine.control, createDesiredState("m@2"));
-            const brought = await createChannel(() => 5).reconcile(engine.control, createDesiredState("m@1"));
-            expect(brought._unsafeUnwrapErr().kind).toEqual("stale");
+            const result = await createChannel(() => 5).reconcile(engine.control, createDesiredState("m@1"));
+            expect(result._unsafeUnwrapErr().kind).toEqual("stale");
             expect(engine.versions).toEqual(["m@2"]);
         });
 
-        // The same with an engine that ignores fencing numbers: it obeys the late order and loads the old version. The
-        // present holder must see that in what the engine reports, and order once more.
-        it("mends an engine that obeyed a former holder's late order", async () => {
+        // The engine ignores fencing tokens, follows the late order of a former holder and loads the old version. The
+        // current holder must see that in the engine's report and order once more.
+        it("corrects an engine that followed a former holder's late order", async () => {
             const engine = new Engine(false);
             let isLate = true;
             const channel = createChannel(() => 9, () => {
@@ -103,21 +109,21 @@
                     engine.applyOrder({ fence: 5, versions: ["m@1"], role: "decode" });
                 }
             });
-            const brought = await channel.reconcile(engine.control, createDesiredState("m@2"));
-            expect(brought._unsafeUnwrap().versions).toEqual(["m@2"]);
+            const result = await channel.reconcile(engine.control, createDesiredState("m@2"));
+            expect(result._unsafeUnwrap().versions).toEqual(["m@2"]);
             expect(engine.orders.map(order => order.fence)).toEqual([9, 5, 9]);
         });
 
-        // The lease lapses between two orders of a longer change.
-        it("stops ordering when the lease lapses in between", async () => {
+        // The lease expires between two orders of a longer change. A further order would be that of a former holder.
+        it("sends no further orders when the lease expires in between", async () => {
             const engine = new Engine(false);
             let fence: number | undefined = 9;
             const channel = createChannel(() => fence, () => {
                 engine.versions = ["m@1"];
                 fence = undefined;
             });
-            const brought = await channel.reconcile(engine.control, createDesiredState("m@2"));
-            expect(brought.isErr()).toEqual(true);
+            const result = await channel.reconcile(engine.control, createDesiredState("m@2"));
+            expect(result.isErr()).toEqual(true);
             expect(engine.orders.length).toEqual(1);
         });
     });
--- a/test/control/rolloutFold.test.ts
+++ b/test/control/rolloutFold.test.ts
@@ -18,9 +18,9 @@
             expect(fold.getStableVersion("label")).toEqual("label@2");
         });
 
-        // The holder of the lease is paused, another takes over and advances, then the first wakes up and appends what
-        // it had decided before. Callers would be exposed a stage too far.
-        it("refuses a step under an old fence and a step made twice", () => {
+        // The holder of the lease is paused, another node takes over and advances the roll-out, and then the first one
+        // appends what it had decided before. Callers would be exposed a stage too far.
+        it("rejects a step with an old fencing token and a repeated step", () => {
             const { fold, append, start } = createFixture();
             start();
             expect(append("rollout-advance", { rollout, stage: 1, fence: fence - 1 })?.accepted).toEqual(false);
@@ -30,13 +30,13 @@
             expect(append("rollout-advance", { rollout, stage: 1, fence })?.accepted).toEqual(false);
         });
 
-        it("refuses grants beyond the budget of the stage", () => {
+        it("rejects grants beyond the budget of the stage", () => {
             const { append, start } = createFixture();
             start();
             expect(append("rollout-grant", { rollout, fence, grants: { a: 9, b: 2 } })?.accepted).toEqual(false);
         });
 
-        it("ignores entries that it has taken in", () => {
+        it("ignores entries that it has applied already", () => {
             const { fold, start } = createFixture();
             start();
             const entry = { offset: 0, time: 5, record: createRecord("rollout-abort", { rollout, by: "operator" }) };
@@ -44,7 +44,7 @@
             expect(fold.getRollout(rollout)?.state).toEqual("active");
         });
 
-        it("refuses malformed bodies", () => {
+        it("rejects malformed bodies", () => {
             const { append } = createFixture();
             for (
                 const kind of ["rollout-start", "rollout-grant", "rollout-advance", "rollout-finish", "halt", "lift"]
@@ -55,9 +55,9 @@
     });
 
     describe("addHalt", () => {
-        // The log is away when a version turns bad. A halt that had to wait for the log would let callers be harmed
-        // until it is back.
-        it("holds at once, and only a lift that names the halt undoes it", () => {
+        // The log is unavailable when a version becomes bad. If a halt had to wait for the log, callers would get bad
+        // answers until the log is available again.
+        it("takes effect at once, and only a lift that lists the halt ends it", () => {
             const { fold, append, start } = createFixture();
             start();
             expect(fold.addHalt({ id: "h1", version: "label@2", reason: "bad", at: 1 })).toEqual(true);
@@ -70,7 +70,7 @@
             expect(fold.isHalted("label@2")).toEqual(false);
         });
 
-        it("does not change what the log alone decides", () => {
+        it("does not affect decisions that depend on the log alone", () => {
             const { fold, append, start } = createFixture();
             start();
             fold.addHalt({ id: "h1", version: "label@2", reason: "bad", at: 1 });
@@ -82,7 +82,7 @@
     });
 
     describe("getFallback", () => {
-        it("goes back over settled versions to the newest that is good and allowed", () => {
+        it("returns the newest earlier stable version that is not halted and is allowed", () => {
             const { fold, append, start } = createFixture();
             start();
             append("rollout-advance", { rollout, stage: 1, fence });
@@ -100,9 +100,9 @@
     });
 
     describe("importState", () => {
-        // A VM that led a roll-out is replaced halfway. Its successor knows only a snapshot and must neither start
-        // over nor go back behind what is in force.
-        it("carries on an interrupted roll-out and never goes back", () => {
+        // A VM that led a roll-out is replaced halfway. Its successor starts from a snapshot and must neither restart
+        // the roll-out nor return to an earlier state.
+        it("continues an interrupted roll-out and never returns to an earlier state", () => {
             const { fold, append, start } = createFixture();
             start();
             append("rollout-grant", { rollout, fence, grants: { a: 4 } });
