--- a/src/decisions/model/modelChooser.ts
+++ b/src/decisions/model/modelChooser.ts
@@ -136,7 +136,8 @@
     }
 
     /**
-     * Chooses the cheapest plan that meets the target with confidence, otherwise the cheapest one of highest quality.
+     * Chooses the cheapest plan that meets the target with confidence. If there is none, chooses the cheapest plan that
+     * is at least as good as the version with the highest expected quality.
      */
     #chooseSufficient(state: ClassState, request: ModelRequest, hasRatings: boolean): PlanOption {
         const sufficient = hasRatings
--- a/src/rollouts/poolRollout.ts
+++ b/src/rollouts/poolRollout.ts
@@ -71,8 +71,8 @@
         const { clock, journal } = this.#options;
         const now = clock.monotonic();
         if (this.#progress === undefined && progress.step > 1) {
-            // This node may have started after the order, so the wall clock determines the elapsed time. At the first
-            // step its monotonic clock is right, and a wall clock that jumped would falsify the elapsed time.
+            // This node may have started after the order, so the wall clock gives the elapsed time. A node that has
+            // received the first step relies on its monotonic clock instead, since the wall clock may have jumped.
             const elapsed = clock.wall() - progress.orderedAt;
             const boundedElapsed = Math.min(Math.max(0, elapsed), this.order.durationMilliseconds);
             this.#orderedAt = Math.min(this.#orderedAt, now - boundedElapsed);
--- a/test/rollouts/evaluateRollout.test.ts
+++ b/test/rollouts/evaluateRollout.test.ts
@@ -41,7 +41,7 @@
         expect(regression?.reason).toEqual("slow");
     });
 
-    // The new version is as good as the old one, and both lose answers for another reason. A halt would keep callers on
+    // The new version is as good as the old one, and both lose answers in transit. A halt would keep callers on
     // the old version unnecessarily.
     it("does not find a good version bad for failures that both versions have", () => {
         for (let seed = 0; seed < 200; seed += 1) {
