--- a/src/platform/callerServer.ts
+++ b/src/platform/callerServer.ts
@@ -1,5 +1,5 @@
 /**
- * Serves callers over HTTP: decodes their requests, and writes answers back unchanged.
+ * Serves callers over HTTP: decodes their requests and writes answers back unchanged.
  */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from "node:http";
 import type { Server as ListeningServer } from "node:net";
@@ -12,28 +12,28 @@
 import type { Endpoint } from "./nodeSettings.js";
 import { headerNames } from "./wire.js";
 
-/** Limits until the first configuration has been read. */
+/** Limits until the first configuration is in force. */
 const initialLimits: CallerLimits = {
     headerBytes: 16_384,
     bodyBytes: 4 * 1024 * 1024,
     headerMilliseconds: 3_000,
     idleMilliseconds: 15_000,
 };
-/** A connection is kept a little longer than callers use it again, so that none of their requests crosses its close. */
+/** Idle connections stay open a little longer than callers reuse them, so that no request arrives while its connection closes. */
 const idleMarginMilliseconds = 1_000;
-/** Headers are bounded here by what the program can take; the configured bound is checked for each request. */
+/** Hard limit of the HTTP parser. The configured limit is checked for each request. */
 const maxHeaderBytes = 64 * 1024;
 
-/** Takes a decoded request. */
+/** Handles a decoded request. */
 export type HandleRequest = (request: CallerRequest, reply: CallerReply) => Promise<void>;
 
-/** Options of the face. */
+/** Options of `CallerServer`. */
 export interface CallerServerOptions {
     readonly clock: Clock;
     readonly handle: HandleRequest;
     /** Returns the limits in force, or undefined before there are any. */
     readonly getLimits: () => CallerLimits | undefined;
-    /** Tells of a request whose handling threw: a programming mistake. */
+    /** Reports a request whose handler threw, which is a programming error. */
     readonly onCrash: (requestId: string, error: unknown) => void;
 }
 
@@ -53,8 +53,8 @@
     }
 
     /**
-     * Begins to listen.
-     * @param target - An address, or a server that listens already and whose connections are taken over.
+     * Starts to listen.
+     * @param target - An address, or a server that already listens and whose connections this server accepts.
      */
     listen(target: Endpoint | ListeningServer): Promise<void> {
         return new Promise((resolve, reject) => {
@@ -63,20 +63,20 @@
         });
     }
 
-    /** Takes over the limits of a new configuration. */
+    /** Applies the limits of a new configuration. */
     applyLimits(): void {
         const { headerMilliseconds, idleMilliseconds } = this.#getLimits();
         this.#server.headersTimeout = headerMilliseconds;
         this.#server.keepAliveTimeout = idleMilliseconds + idleMarginMilliseconds;
     }
 
-    /** Closes each connection after the answer under way from now on; new connections are still served. */
+    /** Closes each connection after its current answer from now on. New connections are still served. */
     announceLeaving(): void {
         this.#isLeaving = true;
         this.#server.closeIdleConnections();
     }
 
-    /** Stops listening and closes what is left. */
+    /** Stops listening and closes all remaining connections. */
     close(): void {
         this.#server.close();
         this.#server.closeAllConnections();
@@ -123,7 +123,7 @@
         failure: new Failure({
             kind: "too-large",
             message: `The request's ${what} are above the limit of ${bytes} bytes.`,
-            remedy: "Send less, or have the limit raised.",
+            remedy: "Send a smaller request or have the limit raised.",
         }),
     };
 }
@@ -131,6 +131,10 @@
 function createMalformed(message: string): Refusal {
     return {
         outcome: "not-run",
-        failure: new Failure({ kind: "invalid-input", message, remedy: "Mend the header and send the request again." }),
+        failure: new Failure({
+            kind: "invalid-input",
+            message,
+            remedy: "Correct the header and send the request again.",
+        }),
     };
 }
--- a/src/platform/decodeConfiguration.ts
+++ b/src/platform/decodeConfiguration.ts
@@ -10,7 +10,7 @@
 const routeKinds: Readonly<Record<string, RouteKind>> = {
     idempotent: "idempotent",
     non_idempotent: "at-most-once",
-    // A keyed request runs once for its key; without the key's meaning here it is safe to treat it as the strictest kind.
+    // A keyed request runs once for each key. This node does not interpret keys, so it applies the strictest kind.
     keyed: "at-most-once",
     streaming: "stream",
 };
@@ -21,7 +21,7 @@
     path_prefix: z.string(),
     route_kind: z.string(),
     timeout_ms: z.number(),
-    /** Time within which an answer is on time, not a bound on it. */
+    /** Target latency. An answer that takes longer is late but still valid. */
     goal_ms: z.number(),
     gap_goal_ms: z.number().optional(),
     priority: z.number().default(0),
@@ -92,14 +92,14 @@
     }));
 }
 
-/** The operator's words for how a roll-out stands. */
+/** Maps the state of a roll-out to the operator's name for it. */
 const rolloutStates: Readonly<Record<RolloutState, string>> = {
     moving: "in_progress",
     completed: "completed",
     reverted: "reverted",
 };
 
-/** Encodes how a roll-out stands, for the operator. */
+/** Encodes the state of a roll-out for the operator. */
 export function encodeRolloutStatus(order: RolloutOrder, progress: RolloutProgress): Buffer {
     const state = rolloutStates[progress.state];
     return Buffer.from(JSON.stringify({ service: order.pool, target: order.version, state }));
@@ -109,22 +109,22 @@
     order: z.number(),
     version: z.string(),
     state: z.enum(["moving", "completed", "reverted"]),
-    /** Nodes of an earlier release did not count steps. */
+    /** 0 for nodes of an earlier release, which did not count steps. */
     step: z.number().default(0),
     share: z.number(),
-    /** Nodes of an earlier release announced no first step. */
+    /** 0 for nodes of an earlier release, which did not publish the first step. */
     firstShare: z.number().default(0),
     orderedAt: z.number(),
 });
 
-/** Decodes how far a roll-out has come, as a node wrote it. */
+/** Decodes a node's record of the progress of a roll-out. */
 export function decodeProgress(value: Buffer): Result<RolloutProgress, Failure> {
     return parseRecord(value, progressSchema);
 }
 
 const pinReportSchema = z.object({ order: z.number(), ranks: z.array(z.number()) });
 
-/** Decodes which sessions a node has pinned, as it wrote it. */
+/** Decodes a node's record of the sessions that it has pinned. */
 export function decodePinReport(value: Buffer): Result<PinReport, Failure> {
     return parseRecord(value, pinReportSchema);
 }
@@ -175,8 +175,8 @@
         return err(
             new Failure({
                 kind: "protocol",
-                message: "A record of the operator cannot be read.",
-                remedy: "Publish it again in the form that the platform documents.",
+                message: "The operator's record is malformed.",
+                remedy: "Publish it again in the documented format.",
                 cause,
             }),
         );
--- a/src/platform/decodeRequest.ts
+++ b/src/platform/decodeRequest.ts
@@ -1,5 +1,5 @@
 /**
- * Reads callers' requests: what their headers say, and their bodies.
+ * Decodes callers' requests: their headers and bodies.
  */
 import type { IncomingMessage } from "node:http";
 import type { CallerRequest, Generation, PromptPart } from "../forwarding/index.js";
@@ -7,11 +7,11 @@
 import { anyModel, headerNames } from "./wire.js";
 
 /**
- * Reads a request's headers.
+ * Decodes the headers of a request.
  * @param incoming - The request.
- * @param body - Its whole body.
- * @param arrivedAt - Monotonic milliseconds at which it came.
- * @returns What is wrong with the headers if they can't be read.
+ * @param body - Its complete body.
+ * @param arrivedAt - Monotonic time of its arrival, in milliseconds.
+ * @returns The request, or a message that describes the invalid header.
  */
 export function decodeRequest(incoming: IncomingMessage, body: Buffer, arrivedAt: number): CallerRequest | string {
     const raw = incoming.rawHeaders;
@@ -21,7 +21,7 @@
     }
     const deadlineMilliseconds = findNumber(raw, headerNames.deadline);
     if (deadlineMilliseconds === undefined && findHeader(raw, headerNames.deadline) !== undefined) {
-        return `The header ${headerNames.deadline} is no number of milliseconds.`;
+        return `The header ${headerNames.deadline} is not a number of milliseconds.`;
     }
     return {
         id,
@@ -39,7 +39,7 @@
     };
 }
 
-/** Reads what a generation asks for. Parts that can't be read only cost affinity, so they are passed over. */
+/** Decodes the generation parameters. Malformed prompt parts are skipped: without them only cache affinity is lost. */
 function decodeGeneration(raw: readonly string[]): Generation | undefined {
     const model = findHeader(raw, headerNames.model);
     const tokens = findHeader(raw, headerNames.tokens);
@@ -74,7 +74,7 @@
 export function countHeaderBytes(raw: readonly string[]): number {
     let bytes = 0;
     for (const text of raw) {
-        // Each name is followed by a colon and a blank, each value by a line end.
+        // Each name is followed by a colon and a space, each value by a line break.
         bytes += text.length + 2;
     }
     return bytes;
@@ -83,7 +83,7 @@
 /**
  * Reads a request's body.
  * @param incoming - The request.
- * @param limit - Most bytes that it may have.
+ * @param limit - Maximum size of the body in bytes.
  */
 export async function readBody(incoming: IncomingMessage, limit: number): Promise<Buffer | "too-large" | "gone"> {
     if (Number(incoming.headers["content-length"] ?? 0) > limit) {
@@ -101,7 +101,7 @@
         }
     }
     catch {
-        // The caller left in the middle of its request; there is nobody to answer.
+        // The caller disconnected before its request was complete, so no answer can be sent.
         return "gone";
     }
     return chunks.length === 1 ? chunks[0] : Buffer.concat(chunks);
--- a/src/platform/decodeUpstream.ts
+++ b/src/platform/decodeUpstream.ts
@@ -1,5 +1,5 @@
 /**
- * Decodes what upstreams register.
+ * Decodes the records with which upstreams register.
  */
 import { z } from "zod";
 import type { RegisteredUpstream } from "../fleet/index.js";
@@ -11,16 +11,16 @@
     version: z.string(),
     slots: z.number().int().positive(),
     state: z.enum(["ready", "draining"]),
-    /** Unix milliseconds of the runner's start. */
+    /** Unix time at which the runner started, in milliseconds. */
     born: z.number().int().optional(),
     models: z.array(z.object({ name: z.string(), version: z.number() })).default([]),
 });
 
 /**
- * Decodes an upstream's entry.
- * @param id - Key of the record, the upstream's identifier.
- * @param value - Its value. Another writer may have left anything here.
- * @returns Undefined when the entry names no upstream to use.
+ * Decodes an upstream's record.
+ * @param id - The record's key, which is the upstream's identifier.
+ * @param value - The record's value. It is untrusted: any writer may have written it.
+ * @returns The upstream, or undefined when the record is invalid.
  */
 export function decodeUpstream(id: string, value: Buffer): RegisteredUpstream | undefined {
     let content: unknown;
@@ -28,7 +28,7 @@
         content = JSON.parse(value.toString());
     }
     catch {
-        // The caller logs the key; the bytes are of no use to anybody.
+        // The caller logs the key. The bytes would not help to find the cause.
         return undefined;
     }
     const parsed = upstreamSchema.safeParse(content);
--- a/src/platform/headers.ts
+++ b/src/platform/headers.ts
@@ -1,9 +1,9 @@
 /**
- * Reads and filters headers as HTTP libraries deliver them: flat lists of names and values.
+ * Reads and filters headers in the form of HTTP libraries: flat lists of alternating names and values.
  */
 import { headerNames } from "./wire.js";
 
-/** Headers that concern one connection only (RFC 9110, 7.6.1), and those that the sender of a message sets itself. */
+/** Headers that concern one connection only (RFC 9110, section 7.6.1), and headers that the sender of each message sets itself. */
 const connectionHeaders: ReadonlySet<string> = new Set([
     "connection",
     "content-length",
@@ -19,8 +19,8 @@
 ]);
 
 /**
- * Headers that the router alone may set. Passed on as a caller sent them, they would let it run under another workspace,
- * reserve a runner's memory, or go on from the memory of somebody else's request.
+ * Headers that only the router may set. If a caller's values were forwarded, the request could run under another workspace, reserve
+ * a runner's memory, or continue from the memory of another caller's request.
  */
 const routerOnlyHeaders: ReadonlySet<string> = new Set([
     headerNames.apiKey,
@@ -40,29 +40,29 @@
     headerNames.seal,
 ]);
 
-/** Headers of an answer that are between the upstream and the router. */
+/** Response headers that only the router reads. */
 const internalAnswerHeaders: ReadonlySet<string> = new Set([headerNames.notExecuted, headerNames.load, "date"]);
 
 /**
- * Returns the headers of a caller's request that an upstream may see.
- * @param raw - Names and values in turn.
+ * Returns the headers of a caller's request that are forwarded to an upstream.
+ * @param raw - Alternating names and values.
  */
 export function pickRequestHeaders(raw: readonly string[]): readonly string[] {
     return filterHeaders(raw, routerOnlyHeaders);
 }
 
 /**
- * Returns the headers of an upstream's answer that a caller may see.
- * @param raw - Names and values in turn.
+ * Returns the headers of an upstream's answer that are forwarded to a caller.
+ * @param raw - Alternating names and values.
  */
 export function pickAnswerHeaders(raw: readonly string[]): readonly string[] {
     return filterHeaders(raw, internalAnswerHeaders);
 }
 
 /**
- * Returns a header's value, the first one if it was sent more than once.
- * @param raw - Names and values in turn.
- * @param name - Its name in lower case.
+ * Returns a header's value, or the first value if the header was sent more than once.
+ * @param raw - Alternating names and values.
+ * @param name - The header's name in lower case.
  */
 export function findHeader(raw: readonly string[], name: string): string | undefined {
     for (let index = 0; index + 1 < raw.length; index += 2) {
@@ -74,8 +74,8 @@
 }
 
 /**
- * Reads a header that holds a number.
- * @returns Undefined when it is missing or no number from 0 on.
+ * Reads a numeric header.
+ * @returns Undefined when the header is missing or not a number of at least 0.
  */
 export function findNumber(raw: readonly string[], name: string): number | undefined {
     const value = findHeader(raw, name);
--- a/src/platform/httpReply.ts
+++ b/src/platform/httpReply.ts
@@ -7,7 +7,7 @@
 import { findHeader } from "./headers.js";
 import { headerNames } from "./wire.js";
 
-/** Writes to one caller. */
+/** Writes an answer to one caller. */
 export class HttpReply implements CallerReply {
     readonly #response: ServerResponse;
     readonly #isLeaving: () => boolean;
@@ -16,14 +16,14 @@
 
     /**
      * @param incoming - The caller's request.
-     * @param response - Where the answer goes.
-     * @param isLeaving - Tells whether the node is stopping, so that connections end with their answers.
+     * @param response - The response to write to.
+     * @param isLeaving - Returns whether the node is stopping; connections then close after their answers.
      */
     constructor(incoming: IncomingMessage, response: ServerResponse, isLeaving: () => boolean) {
         this.#response = response;
         this.#isLeaving = isLeaving;
         this.#requestId = findHeader(incoming.rawHeaders, headerNames.requestId);
-        // Answers carry the date only where the upstream sent one.
+        // The date is forwarded from the upstream's answer, if it has one.
         response.sendDate = false;
         const abortOnDisconnect = (): void => {
             if (!response.writableFinished) {
@@ -45,7 +45,7 @@
 
     start(status: number, headers: readonly string[], options = { hasKnownEnd: true }): void {
         if (!options.hasKnownEnd) {
-            // Neither a length nor chunks: the answer ends with its connection, as it did at the upstream.
+            // Neither a length nor chunked encoding: the answer ends with its connection, as it did at the upstream.
             this.#response.useChunkedEncodingByDefault = false;
             this.#response.shouldKeepAlive = false;
         }
@@ -84,7 +84,10 @@
         this.#refuse(refusal, getStatus(refusal), []);
     }
 
-    /** Refuses a request whose body was not read; what is left of it must not be taken for the next request. */
+    /**
+     * Refuses a request whose body was not read. Closes the connection, because the rest of the body would otherwise be parsed as the
+     * next request.
+     */
     refuseUnread(refusal: Refusal, status: number): void {
         this.#refuse(refusal, status, ["Connection", "close"]);
     }
@@ -115,8 +118,8 @@
 }
 
 /**
- * Returns the status of a refusal. 429 and 503 promise that the request has not run; where that is not known, the status must
- * not promise it, or the caller repeats a booking that may have been made.
+ * Returns the HTTP status of a refusal. 429 and 503 state that the request has not run. They must not be used where that is
+ * unknown: the caller would retry and repeat a booking that may have been made.
  */
 function getStatus({ failure, outcome }: Refusal): number {
     switch (failure.kind) {
--- a/src/platform/node.ts
+++ b/src/platform/node.ts
@@ -1,5 +1,5 @@
 /**
- * A node on the platform: the root from which its parts are reached.
+ * Runs a node on the platform and gives access to its parts.
  */
 import type { AwilixContainer } from "awilix";
 import type { Server } from "node:net";
@@ -10,7 +10,7 @@
 import { type NodeSettings, parseNodeSettings } from "./nodeSettings.js";
 
 const drainPollMilliseconds = 50;
-/** Callers that asked just before the stop still connect for a while; the node goes on serving them, in milliseconds. */
+/** Minimum time to keep serving after a stop signal: callers that fetched addresses just before it still connect for a while. */
 const minServingMilliseconds = 2_500;
 
 /** Runs a node from its start to its graceful shutdown. */
@@ -18,7 +18,7 @@
     readonly #container: AwilixContainer<NodeParts>;
     #stopping: Promise<void> | undefined;
 
-    /** @param settings - Its checked settings. */
+    /** @param settings - The node's validated settings. */
     constructor(settings: NodeSettings) {
         this.#container = createNodeContainer(settings);
     }
@@ -29,8 +29,8 @@
     }
 
     /**
-     * Starts to follow the store, to serve callers, and then to talk to peers: what callers wait for comes first.
-     * @param listeningServer - Listens for callers already; without it the node begins to.
+     * Starts to follow the store, to serve callers, and then to talk to peers. Callers wait for the first two, so these come first.
+     * @param listeningServer - A server that already listens for callers. Without it, the node starts to listen itself.
      */
     async start(listeningServer?: Server): Promise<void> {
         const { settings, callerServer, topics, journal } = this.getParts();
@@ -64,10 +64,10 @@
     }
 
     /**
-     * Takes in changed settings. Where the node listens and what it is called stays until a restart; a file with mistakes
-     * changes nothing.
+     * Applies changed settings. Listening addresses and the node's name keep their values until a restart. A file with validation
+     * errors changes nothing.
      * @param content - The file's content.
-     * @param file - Its name, for messages.
+     * @param file - The file's name, for messages.
      */
     reload(content: string, file: string): void {
         const { journal, liveSettings } = this.getParts();
@@ -91,7 +91,7 @@
         return this.#stopping;
     }
 
-    /** Nothing that was learned of an upstream holds for one that was started anew under its identifier. */
+    /** Discards the state of removed upstreams. It does not apply to an upstream that restarts under the same identifier. */
     #forgetRemovedUpstreams(): void {
         const { registry, picker, upstreamClient } = this.getParts();
         registry.onRemoved(({ id }) => {
--- a/src/platform/nodeParts.ts
+++ b/src/platform/nodeParts.ts
@@ -1,5 +1,5 @@
 /**
- * The parts of a node on the platform, and how each is made from others.
+ * Defines the parts of a node on the platform and how each is created from others.
  */
 import { asFunction, type AwilixContainer, createContainer, InjectionMode, Lifetime } from "awilix";
 import { type Clock, RandomSource, SuspensionClock, systemClock } from "../common/index.js";
@@ -35,29 +35,29 @@
 import { StoreClient } from "./storeClient.js";
 import { UpstreamClient } from "./upstreamClient.js";
 
-/** Time between two exchanges of gossip that a node begins, in milliseconds: a node that dies is noticed in two seconds. */
+/** Interval between two gossip exchanges that a node starts. With 150 ms, the failure of a node is detected within two seconds. */
 const gossipIntervalMilliseconds = 150;
-/** Bytes of values in one exchange of gossip, at most. */
+/** Maximum size of the values in one gossip exchange. */
 const maxGossipBytes = 64 * 1024;
-/** Keys are refused so long before the bound on revocation: a request may be on its way for a moment after the check. */
+/** API keys are refused this long before the revocation bound, because a checked request may still be in transit for a moment. */
 const revocationMarginMilliseconds = 300;
-/** Part of the bound on configuration up to which a missing route or key is believed to be missing. */
+/** Share of the configuration bound up to which the absence of a route or key in the state is trusted. */
 const maxDenialAgeShare = 0.75;
-/** Connections to one upstream that a node always may hold. */
+/** Minimum number of connections that a node may open to one upstream. */
 const minConnections = 4;
 
-/** Keys of gossip: evidence on a pool's roll-out, and that it was found bad. */
+/** Prefixes of gossip keys: evidence on the candidate of a pool's roll-out, and halts of a roll-out. */
 const evidenceKeyPrefix = "rollout-evidence/";
 const haltKeyPrefix = "rollout-halt/";
 
 /** The parts of a node. */
 export interface NodeParts {
-    /** The settings at the start: name, addresses and what else a running node keeps. */
+    /** The settings at the start, such as name and addresses, which a running node does not change. */
     readonly settings: NodeSettings;
     /** The settings in force. */
     readonly liveSettings: LiveSettings;
     readonly clock: Clock;
-    /** Counts suspensions too; for the age of beliefs. */
+    /** Also advances while the machine is suspended. Used for the age of cached state. */
     readonly suspensionClock: Clock;
     readonly random: RandomSource;
     readonly lineWriter: LineWriter;
@@ -87,7 +87,7 @@
 type PartFactories = { readonly [Name in keyof NodeParts]: (parts: NodeParts) => NodeParts[Name]; };
 
 /**
- * Creates the container of a node. Each part is made once, when it is first asked for.
+ * Creates the container of a node. Each part is created once, on first use.
  * @param settings - The node's checked settings.
  */
 export function createNodeContainer(settings: NodeSettings): AwilixContainer<NodeParts> {
@@ -227,7 +227,7 @@
     },
 };
 
-/** Fills in what is measured when somebody asks. */
+/** Returns the metrics as text, after updating those that are sampled on each scrape. */
 async function readMetrics(parts: NodeParts): Promise<{ readonly type: string; readonly text: string; }> {
     const { metrics, topics, forwarder, membership, registry, lineWriter } = parts;
     metrics.inFlight.set(forwarder.getInFlight());
@@ -263,14 +263,14 @@
     };
 }
 
-/** Requests without a session stand for themselves. */
+/** Returns the session of a request. A request without a session forms its own. */
 function getSession({ request }: Exchange): string {
     return request.session ?? request.id;
 }
 
 /**
- * Only answers say something of a version. A connection that breaks, and silence, are mostly a runner that crashed or is
- * crowded: taken as evidence, three crashed runners had a good version reverted.
+ * Adds an answer as evidence on its version. Broken connections and timeouts do not count: their usual cause is a runner that
+ * crashed or is overloaded. When they counted, three crashed runners caused a healthy version to be reverted.
  */
 function addEvidence(rollouts: Rollouts, { exchange, upstream, model, outcome, headMilliseconds }: EndedAttempt): void {
     if (outcome === "ok" || outcome === "error") {
@@ -320,7 +320,7 @@
 
 function createPeerHandlers({ gossip, self, topics }: NodeParts): PeerHandlers {
     const unsupported = (): never => {
-        throw new Error(`The node ${self.id} keeps no such state: on this platform it lives in the store.`);
+        throw new Error(`The node ${self.id} does not hold this state: on this platform it is kept in the store.`);
     };
     return {
         exchange: request => gossip.handleExchange(request),
--- a/src/platform/nodeSettings.ts
+++ b/src/platform/nodeSettings.ts
@@ -1,11 +1,11 @@
 /**
- * Settings of a node on the platform, in the form of `deploy/settings.ini`.
+ * Settings of a node on the platform, in the format of `deploy/settings.ini`.
  */
 import { err, ok, type Result } from "neverthrow";
 import { z } from "zod";
 import { parseDocument, type ValidationError } from "../settings/index.js";
 
-/** Where to listen or call. */
+/** Address to listen on or to connect to. */
 export interface Endpoint {
     readonly host: string;
     readonly port: number;
@@ -24,33 +24,33 @@
         readonly addresses: Endpoint;
         readonly metrics: Endpoint;
     };
-    /** Addresses of a few peers to begin with. */
+    /** Addresses of a few peers for the first gossip exchanges. */
     readonly seeds: readonly Endpoint[];
     readonly store: string;
     readonly bounds: {
-        /** A published configuration is in force within so long, in milliseconds. */
+        /** Maximum time until a published configuration is in force. */
         readonly configurationMilliseconds: number;
-        /** A key that was taken away is refused everywhere after so long, in milliseconds. */
+        /** Maximum time until a revoked API key is refused by every node. */
         readonly revocationMilliseconds: number;
-        /** An upstream that announced its leaving gets nothing new after so long, in milliseconds. */
+        /** Maximum time until an upstream that announced its departure receives no new requests. */
         readonly drainMilliseconds: number;
-        /** Time from the signal to stop until the process is killed, in milliseconds. */
+        /** Time from the stop signal until the process is killed. */
         readonly stopMilliseconds: number;
-        /** Repeats that each request allows, and those that all nodes together may make beyond that in a window. */
+        /** Number of retries that each request permits, and the extra retries of all nodes together in one window. */
         readonly retryRatio: number;
         readonly retryWindowMilliseconds: number;
         readonly retryExtra: number;
-        /** Part of a pool's requests, and a number of them beyond it, that a bad version may get. */
+        /** Share of a pool's requests that a bad version may receive, and the number of requests in addition to it. */
         readonly exposureShare: number;
         readonly exposureExtra: number;
-        /** Requests of a session that follow each other within this time belong together, in milliseconds. */
+        /** Maximum time between two requests of the same session. */
         readonly sessionMilliseconds: number;
-        /** How long callers keep addresses, at most. */
+        /** Maximum time for which callers may cache addresses. */
         readonly addressKeepSeconds: number;
     };
 }
 
-/** The settings in force, which a changed file replaces while the node runs. */
+/** Holds the settings in force. A changed file replaces them while the node runs. */
 export class LiveSettings {
     #settings: NodeSettings;
 
@@ -64,13 +64,13 @@
         return this.#settings;
     }
 
-    /** Replaces them. */
+    /** Replaces the settings. */
     set(settings: NodeSettings): void {
         this.#settings = settings;
     }
 }
 
-const endpointSchema = z.string().regex(/^[\d.]+:\d+$/, "write HOST:PORT with an IP number").transform(text => {
+const endpointSchema = z.string().regex(/^[\d.]+:\d+$/, "write HOST:PORT with an IP address").transform(text => {
     const [host, port] = text.split(":");
     return { host, port: Number(port) };
 });
@@ -94,7 +94,7 @@
             .transform(text => text.split(",").map(seed => seed.trim()).filter(seed => seed !== ""))
             .pipe(z.array(endpointSchema)),
     }),
-    store: z.object({ address: z.string().regex(/^[\d.]+:\d+$/, "write HOST:PORT with an IP number") }),
+    store: z.object({ address: z.string().regex(/^[\d.]+:\d+$/, "write HOST:PORT with an IP address") }),
     bounds: z.object({
         config_apply_ms: numberSchema,
         revoke_ms: numberSchema,
@@ -166,6 +166,6 @@
         section: section ?? "",
         key: key ?? "",
         message: `${issue.message}.`,
-        remedy: "Compare with deploy/settings.ini.",
+        remedy: "Compare the line with deploy/settings.ini.",
     };
 }
--- a/src/platform/platformTopics.ts
+++ b/src/platform/platformTopics.ts
@@ -1,5 +1,5 @@
 /**
- * What the store's topics say, translated: routes, upstreams, nodes and roll-outs.
+ * Applies the records of the store's topics to routes, upstreams, members and roll-outs.
  */
 import type { Clock } from "../common/index.js";
 import { events, type Journal } from "../events/index.js";
@@ -23,40 +23,41 @@
 import { recordKeys, topics } from "./wire.js";
 
 /**
- * An empty answer after this time confirms that nothing is newer. Keys need that every few seconds; and a node that no longer
- * hears anything must know it soon enough to read for itself before a change is due.
+ * Long polls return after this time; an empty response confirms that the state is current. API keys need a confirmation every few
+ * seconds. A node that receives nothing has to detect it early enough to read from another source before a change is due.
  */
 const maxConfirmationMilliseconds = 1_000;
-/** Part of the tightest bound after which an empty answer is due, and after which a state that nobody confirmed is old. */
+/** Share of the tightest bound after which a long poll returns without changes. */
 const confirmationShare = 0.25;
+/** Share of the tightest bound after which an unconfirmed state is stale. */
 const staleShare = 0.85;
-/** Who is a member, and how far a roll-out has come, may be a little older. */
+/** Duration of a long poll of the status topic. Members and the progress of roll-outs tolerate older data. */
 const statusWaitMilliseconds = 2_000;
-/** A status that was not confirmed for so long has to be read elsewhere, in milliseconds. */
+/** Time without confirmation after which the status topic is read from another source. */
 const statusStaleMilliseconds = 5_000;
-/** How long a node that has just started waits to learn who its peers are before it asks the store for changes, in milliseconds. */
+/** How long a node that has just started waits for its list of peers before it requests changes from the store. */
 const peerDiscoveryTimeoutMilliseconds = 500;
 /**
- * Part of the time in which a configuration must be in force that callers of a node that has just started wait for the first read.
- * The store answers in 4 ms, and in 240 ms when it is sixty times slower; without an answer by then it is away, and callers are
+ * Callers of a node that has just started wait for the first read for this share of the configuration bound. The store answers
+ * in 4 ms, and in 240 ms when it is sixty times slower. Without an answer by then it is treated as unavailable, and callers are
  * refused at once.
  */
 const firstReadTimeoutShare = 0.2;
-/** Entries lapse after three heartbeats of 1.2 s in silence; an outage that was shorter lets none lapse, in milliseconds. */
+/** Records expire after three missed heartbeats of 1.2 s; no record expires during a shorter outage. */
 const outageMilliseconds = 3_000;
 /**
- * Until so long after an outage of the store, entries that vanish may only have lapsed, in milliseconds: upstreams that live are
- * registered again within two seconds of its return, and one that is still missing then is gone.
+ * A record that disappears this soon after an outage of the store may only have expired. Live upstreams register again within
+ * two seconds of the store's return; one that is still missing after that has left.
  */
 const expiryGraceMilliseconds = 2_000;
 /**
- * A change costs a read at every node, so they wait for more changes after one, longer in larger sites: 0.27 s with 90 nodes.
- * Bounded by a tenth of the time in which a configuration has to be in force at the sites that are known, 3 s.
+ * Each change costs a read at every node, so a follower pauses after one to batch the next changes. The pause grows with the
+ * site: 0.27 s with 90 nodes. The maximum is a tenth of the configuration bound at the known sites, which is 3 s.
  */
 const pauseMillisecondsPerNode = 3;
 const maxPauseMilliseconds = 300;
 
-/** What topics are followed with. */
+/** Options of `PlatformTopics`. */
 export interface PlatformTopicsOptions {
     readonly liveSettings: LiveSettings;
     readonly suspensionClock: Clock;
@@ -68,11 +69,11 @@
     readonly self: NodeIdentity;
     readonly membership: Membership;
     readonly peerClient: PeerClient;
-    /** Returns what handles roll-outs. */
+    /** Returns the roll-outs of this node. */
     readonly getRollouts: () => Rollouts;
 }
 
-/** Follows the store's topics and hands what they say to those who need it. */
+/** Follows the store's topics and applies their records to the parts of the node. */
 export class PlatformTopics {
     readonly #options: PlatformTopicsOptions;
     readonly #operator: TopicFollower;
@@ -120,7 +121,7 @@
         this.#followers.set(topics.status, this.#status);
     }
 
-    /** Begins to follow, and announces this node. */
+    /** Starts to follow the topics and announces this node. */
     start(): void {
         this.#startedAt = this.#options.suspensionClock.monotonic();
         this.#operator.start();
@@ -130,9 +131,9 @@
     }
 
     /**
-     * Waits until all topics have been read once, or until that has taken too long. Callers of a node that has just started would
-     * otherwise be refused milliseconds before it can serve them, and have no try left, or be served by a version that their sessions
-     * have left.
+     * Waits until all topics have been read once, or until the timeout. Without the wait, callers of a node that has just started
+     * would be refused milliseconds before it can serve them and with no attempts left, or they would be served by a version that
+     * their sessions have already left.
      * @returns Undefined when there is nothing to wait for.
      */
     waitForFirstRead(): Promise<unknown> | undefined {
@@ -146,7 +147,7 @@
         return Promise.all(followers.map(follower => follower.waitUntilLoaded(remainingMilliseconds)));
     }
 
-    /** Ends following. */
+    /** Stops following the topics. */
     stop(): void {
         this.#writer.stop();
         for (const follower of [this.#operator, this.#upstreams, this.#status]) {
@@ -159,24 +160,24 @@
         this.#routeListeners.push(listener);
     }
 
-    /** Returns the route table in force, or undefined before the first. */
+    /** Returns the route table in force, or undefined before the first one. */
     getRoutes(): RouteTable | undefined {
         return this.#routes;
     }
 
-    /** Returns how long ago the configuration was last known to be the newest, in milliseconds. */
+    /** Returns the time since the configuration was last confirmed to be the latest, in milliseconds. */
     getConfigurationAge(): number {
         return this.#operator.getAge();
     }
 
     /**
      * Answers a peer that reads a topic through this node.
-     * @param request - What it asks.
+     * @param request - The peer's request.
      */
     answerPeer(request: FetchStateRequest): Promise<FetchStateReply> {
         const follower = this.#followers.get(request.stream);
         if (follower === undefined) {
-            throw new Error(`The topic ${request.stream} is not followed here.`);
+            throw new Error(`The topic ${request.stream} is not followed by this node.`);
         }
         return handleFetchState(follower, request, this.#options.suspensionClock);
     }
@@ -267,7 +268,10 @@
         }
     }
 
-    /** Counted from the outage's end: counted from when an entry vanished, one that left then would get work for too long. */
+    /**
+     * Returns how long a removed upstream may still count as expired, in milliseconds. The time counts from the end of the outage:
+     * if it counted from the removal, an upstream that really left then would receive requests for too long.
+     */
     #getExpiryGrace(): number {
         return Math.max(0, expiryGraceMilliseconds - this.#upstreams.getTimeSinceOutage());
     }
--- a/src/platform/program.ts
+++ b/src/platform/program.ts
@@ -12,17 +12,17 @@
 /** Environment variable with the path of the settings file. */
 const settingsVariable = "RATTANLOCK_BOOT";
 
-/** What the launcher has made ready. */
+/** What the launcher has prepared. */
 export interface LaunchOptions {
-    /** Listens for callers since before the program was loaded. */
+    /** Server that was already listening for callers before the program was loaded. */
     readonly callerServer?: Server;
-    /** Whether V8 passed over the compiled code, which makes a start take twice as long. */
+    /** Whether V8 rejected the compiled code, which doubles the time to start. */
     readonly isCompiledCodeRefused?: boolean;
 }
 
 /**
- * Runs a node until it is told to stop.
- * @param options - What the launcher has made ready.
+ * Runs a node until it receives a stop signal.
+ * @param options - What the launcher has prepared.
  */
 export async function main(options: LaunchOptions = {}): Promise<void> {
     const file = process.env[settingsVariable];
@@ -39,7 +39,7 @@
     }
     const node = new PlatformNode(parsed.value);
     for (const signal of ["SIGTERM", "SIGINT"] as const) {
-        // A second signal finds the shutdown under way and waits for it like the first.
+        // On a second signal, `stop` returns the promise of the shutdown that is already in progress.
         process.on(signal, () => void node.stop().then(() => process.exit(0)));
     }
     process.on("SIGHUP", () => node.reload(readFileSync(file, "utf8"), file));
@@ -50,8 +50,8 @@
 }
 
 /**
- * Creates every part of a node without starting any, so that the code that does so is compiled and can be kept.
- * @param content - Settings that no node runs with.
+ * Creates every part of a node without starting any, so that the code that does so is compiled and can be cached.
+ * @param content - Sample settings, with which no node runs.
  */
 export function createParts(content: string): void {
     const node = new PlatformNode(parseNodeSettings(content, "sample")._unsafeUnwrap());
--- a/src/platform/siteServer.ts
+++ b/src/platform/siteServer.ts
@@ -1,19 +1,19 @@
 /**
- * Answers the platform's question whether the node is ready, callers' question for addresses, and asks for metrics.
+ * Serves the platform's readiness check, the address lists for callers, and metrics.
  */
 import Koa from "koa";
 import { createServer, type Server } from "node:http";
 import { servedPaths } from "./wire.js";
 
-/** What the answers are made from. */
+/** Options of `SiteServer`. */
 export interface SiteServerOptions {
     readonly isReady: () => boolean;
     /**
-     * Returns the addresses that a caller of a failure domain should use, `HOST:PORT`.
-     * @param failureDomain - The caller's, if it said.
+     * Returns the addresses that a caller in a failure domain should use, as `HOST:PORT`.
+     * @param failureDomain - The caller's failure domain, if it sent one.
      */
     readonly getAddresses: (failureDomain: string | undefined) => readonly string[];
-    /** Returns how long callers may keep addresses. */
+    /** Returns how long callers may cache addresses. */
     readonly getAddressTtlSeconds: () => number;
     /** Returns the metrics as text, and their content type. */
     readonly getMetrics: () => Promise<{ readonly type: string; readonly text: string; }>;
@@ -44,7 +44,7 @@
         });
     }
 
-    /** Listens on one more address. */
+    /** Starts to listen on an additional address. */
     listen(host: string, port: number): Promise<void> {
         const server = createServer(this.#app.callback());
         this.#servers.push(server);
--- a/src/platform/statusWriter.ts
+++ b/src/platform/statusWriter.ts
@@ -1,5 +1,5 @@
 /**
- * What this node writes to the topic that the nodes share: its own record, steps of roll-outs, and the sessions it has pinned.
+ * Writes to the status topic that the nodes share: the node's own record, steps of roll-outs and pinned sessions.
  */
 import { events, type Journal } from "../events/index.js";
 import type { NodeIdentity } from "../membership/index.js";
@@ -12,7 +12,7 @@
 
 const appendRetryDelayMilliseconds = 500;
 
-/** What is written with. */
+/** Options of `StatusWriter`. */
 export interface StatusWriterOptions {
     readonly liveSettings: LiveSettings;
     readonly journal: Journal;
@@ -20,7 +20,7 @@
     readonly self: NodeIdentity;
 }
 
-/** Writes to the topic that the nodes share. */
+/** Writes this node's records to the status topic. */
 export class StatusWriter {
     readonly #options: StatusWriterOptions;
     #isStopped = false;
@@ -29,14 +29,14 @@
         this.#options = options;
     }
 
-    /** Gives up what has not been written yet. */
+    /** Discards pending writes. */
     stop(): void {
         this.#isStopped = true;
     }
 
     /**
-     * Writes which sessions of a pool are pinned here.
-     * @returns Whether the store has taken it.
+     * Writes which sessions of a pool this node has pinned.
+     * @returns Whether the store has confirmed the write.
      */
     async writePins(pool: string, report: PinReport): Promise<boolean> {
         const { store, journal, self } = this.#options;
@@ -49,8 +49,8 @@
     }
 
     /**
-     * Writes a step of a roll-out, for the nodes and for the operator, unless another node has taken the same step already. Whether it
-     * has, and whether a write whose answer was lost took effect, reading the topic tells.
+     * Writes a step of a roll-out for the nodes and for the operator, unless another node has already written the same step. The
+     * topic shows whether another node has, and whether a write without a response took effect.
      */
     async writeProgress(order: RolloutOrder, progress: RolloutProgress): Promise<void> {
         const { store, journal } = this.#options;
@@ -65,14 +65,16 @@
         };
         const appended = await store.append(topics.status, records, position);
         if (appended.isErr() || appended.value === "out-of-turn") {
-            const cause = appended.isErr() ? appended.error.message : "another node is further";
+            const cause = appended.isErr()
+                ? appended.error.message
+                : "another node has already written this step or a later one";
             journal.write(events.rolloutWriteFailed, { rollout: order.pool, state: progress.state, cause });
         }
     }
 
     /**
-     * Leaves this node's record in the store, so that the others get to know it.
-     * @param status - What the topic holds, as far as it has been read.
+     * Writes this node's record to the store, so that other nodes discover it.
+     * @param status - The status topic as far as it has been read.
      */
     async announce(status: TopicState): Promise<void> {
         const { self, liveSettings, store } = this.#options;
--- a/src/platform/storeClient.ts
+++ b/src/platform/storeClient.ts
@@ -9,14 +9,14 @@
 import { storePaths } from "./wire.js";
 
 /**
- * How long the store may take beyond a long poll's own wait, in milliseconds. It answers in 4 ms, and in 240 ms when it is
- * sixty times slower; a connection on which an answer was lost never brings one.
+ * How long the store may take in addition to the duration of a long poll. It answers in 4 ms, and in 240 ms when it is sixty times
+ * slower. Without the timeout, a call whose response was lost would never end.
  */
 const responseTimeoutMilliseconds = 600;
-/** Bytes of a length, and of the two offsets before the records of a read. */
+/** Size of a length field, and of the two offsets before the records of a page. */
 const lengthBytes = 4;
 const pageHeaderBytes = 16;
-/** Connections to the store: one for each topic that is followed, and some for appends. */
+/** Connections to the store: one for each followed topic, and several for appends. */
 const maxConnections = 8;
 
 const newestSchema = z.object({
@@ -32,16 +32,16 @@
     readonly body: Buffer;
 }
 
-/** How an append ended. */
+/** Outcome of an append. `out-of-turn` means that the position was already taken or that the epoch is outdated. */
 export type AppendOutcome = "appended" | "out-of-turn";
 
-/** The place of an append among others of the same matter; the store takes one append for each place. */
+/** Position of an append in the sequence of its producer. The store accepts one append for each position. */
 export interface AppendPosition {
-    /** Names the matter. */
+    /** Identifies the sequence. */
     readonly matter: string;
-    /** A later epoch begins the matter anew and shuts out earlier ones. */
+    /** A later epoch restarts the sequence and fences off earlier ones. */
     readonly epoch: number;
-    /** Follows the number of the last append in the epoch. */
+    /** Sequence number; follows the number of the last append in the epoch. */
     readonly number: number;
 }
 
@@ -52,7 +52,7 @@
 
     /**
      * @param address - `HOST:PORT` of the store.
-     * @param clock - Tells when a read began, from which its answer's age counts.
+     * @param clock - Provides the start time of reads, from which the age of their results is computed.
      */
     constructor(address: string, clock: Clock) {
         this.#clock = clock;
@@ -83,12 +83,12 @@
     }
 
     /**
-     * Appends the newest records of some keys, all or none.
+     * Appends records of a keyed topic atomically.
      * @param topic - The topic.
      * @param records - The keys and their values.
-     * @param position - The append's place, if it must not be taken twice. The store answers a repeated place as it answered the first time
-     * and appends nothing, so whoever takes a turn reads the topic to learn what was appended.
-     * @returns The outcome; a failure leaves it open whether the records were appended.
+     * @param position - The append's position, if two writers must not both append there. The store answers a repeated position as it
+     * answered the first time and appends nothing, so a writer has to read the topic to learn which append took effect.
+     * @returns The outcome. After a failure the records may or may not have been appended.
      */
     async append(
         topic: string,
@@ -143,7 +143,7 @@
                 records.set(key, { key, value: Buffer.from(value, "base64"), offset });
                 after = key;
             }
-            // Pages are no snapshot: what changed after the first page is read again from that page's end.
+            // The pages are not a consistent snapshot. Changes made after the first page are read again from that page's end offset.
             end ??= page.value.end_offset;
             if (!page.value.has_more) {
                 return ok({ records: [...records.values()], isComplete: true, endOffset: end, confirmedAt });
@@ -202,9 +202,9 @@
 
 /**
  * Decodes the answer to a read.
- * @param body - The end and the first kept offset, then records.
+ * @param body - The end offset and the first retained offset, then the records.
  * @param from - Offset of the first record.
- * @param confirmedAt - Monotonic time at which the read began.
+ * @param confirmedAt - Monotonic time at which the read started.
  */
 export function decodePage(body: Buffer, from: number, confirmedAt: number): Result<TopicPage, Failure> {
     if (body.length < pageHeaderBytes) {
@@ -241,8 +241,8 @@
 function createStatusFailure(status: number): Failure {
     return new Failure({
         kind: status === 429 ? "overloaded" : "unavailable",
-        message: `The store answered ${status}.`,
-        remedy: "Try again after a while; beliefs keep their age meanwhile.",
+        message: `The store answered with status ${status}.`,
+        remedy: "Retry later. Cached state keeps its age until then.",
     });
 }
 
@@ -257,8 +257,8 @@
 function createNoResponseFailure(cause: unknown): Failure {
     return new Failure({
         kind: "unavailable",
-        message: "No whole answer came from the store.",
-        remedy: "Try again; an append may have taken effect, so read the topic first.",
+        message: "The store sent no complete answer.",
+        remedy: "Retry. An append may have taken effect, so read the topic first.",
         cause,
     });
 }
@@ -266,7 +266,7 @@
 function createUnreadableResponseFailure(reason: string): Failure {
     return new Failure({
         kind: "protocol",
-        message: `The store's answer cannot be read: ${reason}.`,
+        message: `The store's answer is malformed: ${reason}.`,
         remedy: "Check that the address in the settings is the store's.",
     });
 }
--- a/src/platform/upstreamClient.ts
+++ b/src/platform/upstreamClient.ts
@@ -15,27 +15,27 @@
 import { findHeader, findNumber, pickAnswerHeaders } from "./headers.js";
 import { headerNames } from "./wire.js";
 
-/** A connection takes a millisecond or two; a machine that is away or cut off does not answer at all. */
+/** Connecting takes a millisecond or two. A machine that is down or partitioned does not respond at all. */
 const connectTimeoutMilliseconds = 400;
-/** Connections are dropped so long before the upstream says it would close them: a request that crosses the close is lost. */
+/** Connections are closed this long before the upstream's keep-alive timeout. A request sent while the upstream closes is lost. */
 const keepAliveMarginMilliseconds = 1_000;
-/** How long an idle connection is kept when the upstream does not say, in milliseconds. */
+/** Keep-alive timeout for upstreams that announce none. */
 const defaultKeepAliveMilliseconds = 4_000;
 const maxKeepAliveMilliseconds = 15_000;
-/** Statuses that promise that a request has not run; from an upstream they hold only with its own word for it. */
+/** Statuses that mean that a request has not run. From an upstream they are trusted only together with its explicit header. */
 const notExecutedStatuses: ReadonlySet<number> = new Set([408, 429, 503]);
 const misdirectedStatus = 421;
 
-/** Options of a client. */
+/** Options of `UpstreamClient`. */
 export interface UpstreamClientOptions {
-    /** Returns the connections that this node may hold to an upstream of a pool. */
+    /** Returns the maximum number of connections from this node to one upstream of a pool. */
     readonly getConnectionLimit: (pool: string) => number;
 }
 
 /**
- * An answer without a length that ends within this time of a reset of one of the upstream's connections is not taken for
- * complete, in milliseconds. The HTTP library ends such an answer in the same way whether its connection was closed or reset;
- * half a booking's confirmation would pass for a whole one.
+ * An answer without a length that ends this soon after a reset of one of the upstream's connections counts as incomplete. The
+ * HTTP library ends such an answer in the same way whether the connection was closed or reset, so a truncated confirmation of a
+ * booking could pass for a complete one.
  */
 const resetWindowMilliseconds = 100;
 
@@ -45,22 +45,22 @@
     readonly resets: ResetTracker;
 }
 
-/** Remembers when a connection of an upstream was last reset. */
+/** Records when a connection of an upstream was last reset. */
 class ResetTracker {
     #lastAt = Number.NEGATIVE_INFINITY;
 
-    /** Notes a reset. */
+    /** Records a reset. */
     mark(): void {
         this.#lastAt = performance.now();
     }
 
-    /** Tells whether there was a reset just now. */
+    /** Returns whether a connection was reset within the window. */
     isRecent(): boolean {
         return performance.now() - this.#lastAt < resetWindowMilliseconds;
     }
 }
 
-/** Calls upstreams; keeps connections to each. */
+/** Calls upstreams and pools the connections to each. */
 export class UpstreamClient implements UpstreamTransport {
     readonly #options: UpstreamClientOptions;
     readonly #pools = new Map<string, PooledUpstream>();
@@ -69,7 +69,7 @@
         this.#options = options;
     }
 
-    /** Makes one call; never repeats it. */
+    /** Sends one request; never retries it. */
     async call(
         upstream: RegisteredUpstream,
         call: UpstreamCall,
@@ -92,13 +92,13 @@
         }
     }
 
-    /** Opens new connections from now on; calls under way end on the old ones. */
+    /** Opens new connections from now on. Calls in flight complete on the old ones. */
     renewConnections(upstream: RegisteredUpstream): void {
         this.forget(upstream.id);
     }
 
     /**
-     * Lets go of the connections to an upstream that is gone, or was started anew.
+     * Closes the connections to an upstream that was removed or restarted.
      * @param id - Its identifier.
      */
     forget(id: string): void {
@@ -142,7 +142,7 @@
     }
 }
 
-/** Opens connections, and hears of their resets before the HTTP library does. */
+/** Creates a connector that records resets before the HTTP library reports them. */
 function createConnector(resets: ResetTracker): buildConnector.connector {
     const connect = buildConnector({ timeout: connectTimeoutMilliseconds });
     return (options, callback) => {
@@ -153,7 +153,7 @@
                 return;
             }
             socket.on("error", cause => {
-                // The library reports an orderly close as an error of its own; that is how such an answer ends well.
+                // The library reports an orderly close as an error of its own class. Complete answers end that way.
                 if (!(cause instanceof errors.UndiciError)) {
                     resets.mark();
                 }
@@ -198,9 +198,9 @@
         return err({ kind, reason, load });
     };
     if (echoed !== undefined && echoed !== call.request.id) {
-        // A late answer to an earlier request on this connection. What follows it can't be told apart any more.
+        // This is a late answer to an earlier request on the connection. What follows on it cannot be attributed to a request.
         response.body.on("error", () => {
-            // Destroying the body ends the connection, and is reported as an error of the body.
+            // Destroying the body closes the connection, which the body reports as an error.
         });
         response.body.destroy();
         return err({ kind: "broken", reason: "the answer belongs to another request" });
@@ -212,11 +212,11 @@
         return fail("refused", `status ${response.statusCode}, not executed`);
     }
     if (notExecutedStatuses.has(response.statusCode)) {
-        return fail("broken", `status ${response.statusCode} without a word on whether it ran`);
+        return fail("broken", `status ${response.statusCode} that does not state whether the request ran`);
     }
     const isSealed = findHeader(raw, headerNames.seal) !== undefined;
     if (!isSealed && response.statusCode < 300) {
-        return fail("broken", "a success that the upstream does not vouch for");
+        return fail("broken", "a success without the upstream's seal");
     }
     return ok({
         status: response.statusCode,
@@ -229,12 +229,12 @@
     });
 }
 
-/** Tells whether the end of an answer can be told from a connection that broke. */
+/** Returns whether the end of an answer can be distinguished from a broken connection. */
 function hasFraming(raw: readonly string[]): boolean {
     return findHeader(raw, "content-length") !== undefined || findHeader(raw, "transfer-encoding") !== undefined;
 }
 
-/** Reads a body that ends with its connection; throws when the connection was reset. */
+/** Reads a body that ends with its connection. Throws if the connection was reset. */
 async function* readUnframed(body: AsyncIterable<Buffer>, resets: ResetTracker): AsyncGenerator<Buffer> {
     yield* body;
     if (resets.isRecent()) {
@@ -242,10 +242,10 @@
     }
 }
 
-/** Reads the rest of a short refusal, so that its connection can be used again. */
+/** Reads the rest of a short refusal, so that its connection can be reused. */
 function discard(response: Dispatcher.ResponseData): void {
     response.body.dump().catch(() => {
-        // The connection is closed by the library then; the refusal has been read.
+        // The library then closes the connection. The headers of the refusal have already been read.
     });
 }
 
@@ -258,10 +258,10 @@
     return { running, waiting, slots };
 }
 
-/** Ends idle connections now and the others when their answers end. */
+/** Closes idle connections now and the others when their answers end. */
 function closeIgnoringErrors(pool: Pool): void {
     pool.close().catch(() => {
-        // Nothing waits for a pool that is let go.
+        // Nothing waits for a discarded pool.
     });
 }
 
--- a/src/platform/wire.ts
+++ b/src/platform/wire.ts
@@ -1,5 +1,5 @@
 /**
- * The platform's names for headers, calls and topics. No other folder knows them.
+ * Names of headers, paths, topics and records on the platform's wire. No other folder uses them.
  */
 
 /** Headers of requests and answers, in lower case. */
@@ -9,7 +9,7 @@
     /** The prompt's parts, as `ID:TOKENS` in their order. */
     promptParts: "prompt-prefix",
     lastEventId: "last-event-id",
-    /** The runner's proof that an answer is its own. */
+    /** Proves that the runner itself produced the answer. */
     seal: "server-seal",
     workspace: "tenant",
     expectedRunner: "expect-instance",
@@ -18,7 +18,7 @@
     notExecuted: "not-executed",
     retryAfter: "retry-after",
     model: "model",
-    /** Prompt tokens and the most output tokens, as `IN,OUT`. */
+    /** Prompt tokens and maximum output tokens, as `IN,OUT`. */
     tokens: "token-count",
     urgency: "request-urgency",
     expectedWeights: "expect-version",
@@ -28,23 +28,23 @@
     resumeFrom: "kv-from",
     fetchFrom: "kv-fetch",
     lengthHint: "length-hint",
-    /** The model's own opinion of its answer, 0 to 100. */
+    /** The model's own confidence in its answer, 0 to 100. */
     confidence: "confidence",
     apiKey: "api-key",
     session: "session",
 } as const;
 
-/** The model name with which a caller leaves the choice to the router. */
+/** Model name with which a caller lets the router choose the model. */
 export const anyModel = "*";
 
-/** Paths of the store's calls. */
+/** Paths of the store's API. */
 export const storePaths = {
     append: "/v1/log-append",
     read: "/v1/log-read",
     newest: "/v1/log-newest",
 } as const;
 
-/** Paths that this system serves besides requests. */
+/** Paths that a node serves besides callers' requests. */
 export const servedPaths = {
     ready: "/v1/readyz",
     resolution: "/v1/resolution",
@@ -53,11 +53,11 @@
 
 /** Topics of the store. */
 export const topics = {
-    /** What the operator publishes. */
+    /** Records that the operator publishes. */
     operator: "keyed.op",
-    /** What the upstreams register. */
+    /** Records with which upstreams register. */
     upstreams: "keyed.servers",
-    /** What this system tells the operator, and keeps for itself. */
+    /** Records that the nodes write, for the operator and for each other. */
     status: "keyed.status",
 } as const;
 
@@ -65,10 +65,10 @@
 export const recordKeys = {
     configuration: "config",
     rolloutPrefix: "rollout/",
-    /** How far a roll-out has come; only this system reads it. */
+    /** Progress of a roll-out. Only the nodes read it. */
     progressPrefix: "progress/",
-    /** Which sessions a node has pinned, by node and pool; only this system reads them. */
+    /** Pinned sessions by node and pool. Only the nodes read them. */
     pinsPrefix: "pins/",
-    /** One record for each node; only this system reads them. */
+    /** One record for each node. Only the nodes read them. */
     memberPrefix: "member/",
 } as const;
--- a/test/platform/decode.test.ts
+++ b/test/platform/decode.test.ts
@@ -25,7 +25,7 @@
 };
 
 describe("decodeUpstream", () => {
-    it("reads an entry", () => {
+    it("decodes a record", () => {
         const upstream = decodeUpstream("i-1", encode(entry));
         expect([upstream?.pool, upstream?.failureDomain, upstream?.isLeaving, upstream?.startedAt]).toEqual([
             "pool",
@@ -35,9 +35,9 @@
         ]);
     });
 
-    // Another writer leaves something under an upstream's key: a field of another type, a state that nobody knows, bytes of
-    // another program. It names nobody to send requests to, and must not end the process that reads it.
-    it("finds no upstream in what it can't read", () => {
+    // Another program writes a malformed record under an upstream's key: a field of another type, an unknown state, or arbitrary
+    // bytes. The record must yield no upstream and must not crash the process that reads it.
+    it("returns no upstream for a malformed record", () => {
         const spoilt = [
             encode({ ...entry, slots: "48" }),
             encode({ ...entry, state: "resting" }),
@@ -74,7 +74,7 @@
         tenants: [{ name: "t", api_keys: ["k"], priority: 1 }],
     };
 
-    it("reads routes, pools, limits and keys", () => {
+    it("decodes routes, pools, limits and API keys", () => {
         const table = decodeConfiguration(encode(configuration))._unsafeUnwrap();
         const route = table.findRoute("app.example", "/a/b")!;
         expect([route.kind, route.isResumable, route.pauseObjectiveMilliseconds]).toEqual(["stream", true, 600]);
@@ -85,21 +85,21 @@
         }]);
     });
 
-    it("fails on what it can't read, and takes a kind that it does not know for the strictest", () => {
+    it("fails on malformed records and treats an unknown route kind as the strictest", () => {
         expect(decodeConfiguration(Buffer.from("{")).isErr()).toEqual(true);
         const strange = { ...configuration, routes: [{ ...configuration.routes[0], route_kind: "new" }] };
         const table = decodeConfiguration(encode(strange))._unsafeUnwrap();
         expect(table.findRoute("app.example", "/a/")?.kind).toEqual("at-most-once");
     });
 
-    it("reads an order of a roll-out", () => {
+    it("decodes a roll-out order", () => {
         const order = decodeRolloutOrder(encode({ service: "x", target: "v2", deadline_s: 12 }), 9)._unsafeUnwrap();
         expect(order).toEqual({ id: 9, pool: "x", version: "v2", durationMilliseconds: 12_000 });
     });
 });
 
 describe("decodePage", () => {
-    it("reads records and removals with their offsets", () => {
+    it("decodes records and removals with their offsets", () => {
         const header = Buffer.alloc(16);
         const body = Buffer.concat([
             header,
@@ -114,7 +114,7 @@
         expect([page.endOffset, page.confirmedAt]).toEqual([42, 5]);
     });
 
-    it("fails on an answer that ends early", () => {
+    it("fails on a truncated answer", () => {
         const record = encodeRecord({ key: "a", value: Buffer.from("1234") });
         expect(decodePage(Buffer.concat([Buffer.alloc(16), record.subarray(0, 7)]), 0, 0).isErr()).toEqual(true);
         expect(decodePage(Buffer.alloc(3), 0, 0).isErr()).toEqual(true);
@@ -122,8 +122,9 @@
 });
 
 describe("pickRequestHeaders", () => {
-    // A caller sends headers that only the router may set: another workspace, a reservation, the memory of another's request.
-    it("passes on what is the caller's, and nothing that the router alone may set", () => {
+    // A caller sends headers that only the router may set. If they were forwarded, it could act for another workspace, reserve a
+    // runner's memory, or read the memory of another caller's request.
+    it("forwards the caller's headers except those that only the router may set", () => {
         const raw = [
             "Host",
             "app.example",
@@ -162,13 +163,13 @@
         .replaceAll(/\{\{bounds\.[a-z_]+\}\}/g, "5")
         .replaceAll(/\{\{[a-z._]+\}\}/g, "name");
 
-    it("reads the template of the deployment", () => {
+    it("parses the settings template of the deployment", () => {
         const settings = parseNodeSettings(filled, "local.ini")._unsafeUnwrap();
         expect(settings.seeds).toEqual([{ host: "10.0.0.1", port: 9 }, { host: "10.0.0.2", port: 9 }]);
         expect(settings.bounds.retryWindowMilliseconds).toEqual(5_000);
     });
 
-    it("names the line and key of what is wrong", () => {
+    it("reports the line and key of an invalid value", () => {
         const wrong = filled.replace(/revoke_ms = 5/, "revoke_ms = soon");
         const [mistake] = parseNodeSettings(wrong, "local.ini")._unsafeUnwrapErr();
         expect([mistake.section, mistake.key, mistake.line > 0]).toEqual(["bounds", "revoke_ms", true]);
--- a/test/platform/node.test.ts
+++ b/test/platform/node.test.ts
@@ -13,7 +13,7 @@
         await site.waitForReady(site.startNode(1));
     });
 
-    it("answers a caller with its runner's answer, unchanged", async () => {
+    it("forwards the runner's answer unchanged", async () => {
         const answer = await site.send(site.nodes[0]);
         expect([answer.status, answer.body, answer.headers["server-seal"]]).toEqual([200, "done", "3e1b.07"]);
         const received = [...site.runners.values()].flatMap(runner => runner.received)[0];
@@ -21,7 +21,7 @@
         expect(received.headers["api-key"]).toEqual(undefined);
     });
 
-    it("turns away unknown keys and paths", async () => {
+    it("refuses unknown keys, unknown paths and invalid requests", async () => {
         const statuses = [
             (await site.send(site.nodes[0], { headers: { "api-key": "other" } })).status,
             (await site.send(site.nodes[0], { path: "/nowhere/1" })).status,
@@ -32,7 +32,7 @@
         expect(statuses).toEqual([401, 404, 413, 400, 431]);
     });
 
-    it("has a published configuration in force at once", async () => {
+    it("applies a published configuration", async () => {
         site.store.put("keyed.op", "config", createConfiguration(4, ["key", "second"]));
         await waitUntil(
             async () => (await site.send(site.nodes[0], { headers: { "api-key": "second" } })).status === 200,
@@ -43,8 +43,9 @@
         );
     });
 
-    // Somebody else wrote under a runner's key, and under the configuration's. The node must go on with what it knows.
-    it("goes on when records can't be read", async () => {
+    // Another program writes a malformed record under a runner's key, and an invalid configuration. The node must continue with its
+    // previous state and apply later records.
+    it("skips malformed records and keeps its state", async () => {
         site.store.put("keyed.servers", "i-9", Buffer.from("\u0000{"));
         site.store.put("keyed.op", "config", { version: "none" });
         site.store.put("keyed.op", "config", createConfiguration(5, ["key", "third"]));
@@ -54,16 +55,16 @@
                 description: "the readable configuration",
             },
         );
-        // The two topics are read apart from each other, and lines come on another way than answers.
+        // The topics are read independently of each other, and log lines arrive on another channel than answers.
         const findUnreadable = () => site.nodes[0].events.filter(event => event.name === "record-unreadable");
         await waitUntil(() => findUnreadable().length >= 2, { description: "both lines" });
         expect(findUnreadable().map(event => event.key).sort()).toEqual(["config", "i-9"]);
     });
 
-    it("sends nothing to a runner that says that it is leaving", async () => {
+    it("sends no requests to a draining runner", async () => {
         site.register("i-1", { state: "draining" });
         const isKnown = () => site.nodes[0].events.some(event => event.upstream === "i-1" && event.leaving === true);
-        await waitUntil(isKnown, { description: "the news" });
+        await waitUntil(isKnown, { description: "the state change" });
         const before = site.runners.get("i-1")!.received.length;
         for (let request = 0; request < 6; request += 1) {
             expect((await site.send(site.nodes[0])).status).toEqual(200);
@@ -72,7 +73,7 @@
         site.register("i-1");
     });
 
-    it("ends an answer with its connection where the runner did, without claiming a length", async () => {
+    it("closes the connection after an answer without a length", async () => {
         for (const runner of site.runners.values()) {
             runner.behaviour = (request, response) => {
                 response.useChunkedEncodingByDefault = false;
@@ -84,7 +85,7 @@
         expect([answer.headers["content-length"], answer.headers["transfer-encoding"]]).toEqual([undefined, undefined]);
     });
 
-    it("passes the events of a stream on as they come", async () => {
+    it("forwards the events of a stream", async () => {
         for (const runner of site.runners.values()) {
             runner.behaviour = async (request, response) => {
                 response.writeHead(200, { ...createSeal(request), "Content-Type": "text/event-stream" });
@@ -99,7 +100,7 @@
         expect(answer.body).toEqual("id: 1\ndata: 1\n\nid: 2\ndata: 2\n\nid: 3\ndata: 3\n\n");
     });
 
-    it("counts what it did, on the metrics address of its settings", async () => {
+    it("exposes its counters on the metrics address from the settings", async () => {
         const [node] = site.nodes;
         const countRefused = async () =>
             Number(/refused_requests_total\{kind="unauthorized"\} (\d+)/.exec(await site.getMetrics(node))?.[1]);
@@ -111,7 +112,7 @@
         expect(metrics).toInclude("rattanlock_attempt_head_seconds_bucket");
     });
 
-    it("keeps its settings when a changed file has mistakes, and takes over a good one", async () => {
+    it("keeps its settings when a changed file is invalid, and applies a valid one", async () => {
         const [node] = site.nodes;
         appendFileSync(node.settingsFile, "\nwrong\n[bounds]\n");
         node.child.kill("SIGHUP");
@@ -126,9 +127,9 @@
         expect((await site.send(node)).status).toEqual(200);
     });
 
-    // Settings change while a node is being restarted. The signal to reload comes before the program is there to take it, and the
-    // node ends instead of starting; callers find one address fewer until it has been started once more.
-    it("survives the signal to reload while its program is being loaded", async () => {
+    // Settings change while a node restarts. The reload signal arrives before the program has installed its handler, so the node
+    // exits instead of starting. Callers find one address fewer until it is started again.
+    it("survives a reload signal while its program is loading", async () => {
         const node = site.startNode(2, ["--import", "./test/platform/standins/signalWhileLoading.mjs"]);
         await site.waitForReady(node);
         expect((await site.send(node)).status).toEqual(200);
--- a/test/platform/platformSite.ts
+++ b/test/platform/platformSite.ts
@@ -1,5 +1,5 @@
 /**
- * A whole site on the platform: nodes as processes of their own, before a store and runners in this process.
+ * A complete site on the platform: nodes in separate processes, with the store and the runners in this process.
  */
 import { type ChildProcess, spawn } from "node:child_process";
 import { mkdtempSync, readFileSync, rmSync, writeFileSync } from "node:fs";
@@ -13,7 +13,7 @@
 import { StoreStandin } from "./standins/storeStandin.js";
 
 const program = "deploy/launch.cjs";
-/** As in the deployment: V8 takes the kept code only under the options with which it was compiled. */
+/** The options of the deployment. V8 accepts cached code only under the options with which it was compiled. */
 const runOptions = /^run = "node (.*?) deploy\/launch\.cjs/m.exec(readFileSync("deploy/system.toml", "utf8"))![1].split(
     " ",
 );
@@ -31,18 +31,18 @@
     readonly child: ChildProcess;
     readonly events: EventLine[];
     readonly settingsFile: string;
-    /** Ends with the process. */
+    /** Resolves with the exit code when the process exits. */
     readonly exited: Promise<number | null>;
 }
 
-/** An answer to a caller. */
+/** An answer that a caller received. */
 export interface SiteAnswer {
     readonly status: number;
     readonly headers: Readonly<Record<string, string | string[] | undefined>>;
     readonly body: string;
 }
 
-/** How a request is sent. */
+/** Options of a request; omitted fields use defaults. */
 export interface SiteRequest {
     readonly path?: string;
     readonly method?: "GET" | "POST";
@@ -50,7 +50,7 @@
     readonly body?: string;
 }
 
-/** Bounds of the test sites, as they stand in the settings. */
+/** Bounds of the test sites, by their names in the settings template. */
 const bounds: Readonly<Record<string, number>> = {
     config_apply_ms: 2_000,
     revoke_ms: 6_000,
@@ -65,7 +65,7 @@
     ttl_max_s: 5,
 };
 
-/** Creates a configuration with a call, a booking and a stream, all of the pool `pool`. */
+/** Creates a configuration with the routes `call`, `booking` and `stream` to the pool `pool`. */
 export function createConfiguration(version: number, keys: readonly string[] = ["key"]): object {
     const route = {
         host: "app.example",
@@ -102,30 +102,30 @@
     };
 }
 
-/** Runs a site. */
+/** Runs a site for tests. */
 export class PlatformSite {
     readonly store = new StoreStandin();
     readonly nodes: SiteNode[] = [];
     readonly runners = new Map<string, RunnerStandin>();
-    /** First three bytes of the site's addresses. */
+    /** The first three bytes of the site's addresses. */
     readonly prefix: string;
     readonly #folder = mkdtempSync(join(tmpdir(), "platform-site-"));
     readonly #agent = new Agent();
     readonly #bounds: Readonly<Record<string, number>>;
-    /** End what tests have begun at this site. */
+    /** Functions that stop what tests have started at this site. */
     readonly #cleanups: (() => Promise<void>)[] = [];
     #requestCount = 0;
 
     /**
-     * @param prefix - First three bytes of the site's addresses, such as `127.72.1`.
-     * @param changedBounds - Bounds that differ from the usual ones, by their names in the settings.
+     * @param prefix - The first three bytes of the site's addresses, such as `127.72.1`.
+     * @param changedBounds - Bounds that differ from the defaults, by their names in the settings.
      */
     constructor(prefix: string, changedBounds: Readonly<Record<string, number>> = {}) {
         this.prefix = prefix;
         this.#bounds = { ...bounds, ...changedBounds };
     }
 
-    /** Starts the store with a configuration, and some runners of version `v1`. */
+    /** Starts the store with a configuration and a number of runners of version `v1`. */
     async start(runners: number): Promise<void> {
         await this.store.listen(`${this.prefix}.200`, storePort);
         this.store.put("keyed.op", "config", createConfiguration(1));
@@ -143,7 +143,7 @@
         return runner;
     }
 
-    /** Registers a runner, or changes its entry. */
+    /** Registers a runner or changes its record. */
     register(id: string, change: Readonly<Record<string, unknown>> = {}): void {
         const index = [...this.runners.keys()].indexOf(id) + 1;
         this.store.put("keyed.servers", id, {
@@ -159,7 +159,7 @@
         });
     }
 
-    /** Starts a node, the n-th from 1, and does not wait for it. */
+    /** Starts a node without waiting for it. The index counts from 1. */
     startNode(index: number, nodeOptions: readonly string[] = [], storeAddress?: string): SiteNode {
         const address = `${this.prefix}.${index}`;
         const settingsFile = join(this.#folder, `node-${index}.ini`);
@@ -177,7 +177,7 @@
         return node;
     }
 
-    /** Returns settings in the form of the deployment's template. */
+    /** Returns settings in the format of the deployment's template. */
     createSettings(address: string, storeAddress = `${this.prefix}.200:${storePort}`): string {
         const values: Readonly<Record<string, string>> = {
             "node_name": address,
@@ -197,34 +197,34 @@
         });
     }
 
-    /** Waits until a node says that it is ready. */
+    /** Waits until a node reports that it is ready. */
     async waitForReady(node: SiteNode): Promise<void> {
         await waitUntil(async () => (await this.request(node, readyPort, "/v1/readyz"))?.status === 200, {
             description: "a node",
         });
     }
 
-    /** Waits until a node hands out so many addresses. */
+    /** Waits until a node lists a number of addresses. */
     async waitForAddresses(node: SiteNode, count: number): Promise<void> {
         await waitUntil(async () => (await this.getAddresses(node)).length === count, {
             description: `${count} addresses`,
         });
     }
 
-    /** Returns the addresses that a node hands out. */
+    /** Returns the addresses that a node lists for callers. */
     async getAddresses(node: SiteNode): Promise<readonly string[]> {
         const answer = await this.request(node, addressPort, "/v1/resolution?name=app.example&region=south&zone=north");
         return answer?.status === 200 ? (JSON.parse(answer.body) as { addresses: string[]; }).addresses : [];
     }
 
-    /** Asks a node something on one of its other ports; undefined when it does not answer. */
+    /** Sends a request to another port of a node. Returns undefined when it does not answer. */
     async request(node: SiteNode, port: number, path: string): Promise<SiteAnswer | undefined> {
         try {
             const response = await sendRequest(`http://${node.address}:${port}${path}`, { dispatcher: this.#agent });
             return { status: response.statusCode, headers: response.headers, body: await response.body.text() };
         }
         catch {
-            // It does not listen yet, or no longer.
+            // The node does not listen yet, or no longer.
             return undefined;
         }
     }
@@ -234,7 +234,7 @@
         return (await this.request(node, metricsPort, "/metrics"))?.body ?? "";
     }
 
-    /** Sends a request as a caller does. */
+    /** Sends a request as a caller. */
     async send(node: SiteNode, options: SiteRequest = {}): Promise<SiteAnswer> {
         this.#requestCount += 1;
         const response = await sendRequest(`http://${node.address}:${callerPort}${options.path ?? "/call/1"}`, {
@@ -252,19 +252,19 @@
         return { status: response.statusCode, headers: response.headers, body: await response.body.text() };
     }
 
-    /** Adds what is to be ended when the site stops, also after a test has failed. */
+    /** Adds a function that runs when the site stops, even after a failed test. */
     addCleanup(cleanup: () => Promise<void>): void {
         this.#cleanups.push(cleanup);
     }
 
-    /** Ends everything. */
+    /** Stops all processes and servers of the site and removes its files. */
     async stop(): Promise<void> {
         for (const release of this.#cleanups) {
             await release();
         }
         for (const node of this.nodes) {
             node.child.kill("SIGKILL");
-            // One that is paused takes no other signal before it goes on.
+            // A paused process handles no other signal until it is resumed.
             node.child.kill("SIGCONT");
             await node.exited;
         }
--- a/test/platform/poolRollout.test.ts
+++ b/test/platform/poolRollout.test.ts
@@ -8,13 +8,13 @@
     return (site.store.get("keyed.status", "rollout/pool") as { state?: unknown; } | undefined)?.state;
 }
 
-/** Describes how the roll-out went, for a wait in vain. */
+/** Describes the progress of the roll-out, for the message of a wait that timed out. */
 function describeRollout(site: PlatformSite): string {
     const lines = site.nodes.flatMap(node => node.events).filter(event => event.event >= 444 && event.event <= 447);
     return JSON.stringify([getState(site), ...lines.slice(-12)]);
 }
 
-/** Sends requests of new sessions to all nodes until it is told to stop, or the site stops. */
+/** Sends requests of new sessions to all nodes until the returned function is called or the site stops. */
 function startTraffic(site: PlatformSite): () => Promise<void> {
     let isOver = false;
     let sessions = 0;
@@ -23,7 +23,7 @@
             sessions += 1;
             const node = site.nodes[sessions % site.nodes.length];
             await site.send(node, { headers: { session: `s-${sessions}` } }).catch(() => {
-                // A node that is killed breaks its connections off.
+                // Killing a node breaks its connections.
             });
         }
     };
@@ -48,8 +48,8 @@
         await site.waitForAddresses(site.nodes[1], 2);
     });
 
-    // The new version answers half of its requests with a failure. Few callers may meet it, and soon nobody.
-    it("ends at once when the new version is bad", async () => {
+    // The new version fails half of its requests. Only a few callers may receive such an answer before it is withdrawn.
+    it("is reverted when the new version is bad", async () => {
         const bad = await site.addRunner("i-bad", "v2");
         bad.behaviour = (request, response) => {
             const status = bad.received.length % 2 === 0 ? 500 : 200;
@@ -69,8 +69,8 @@
         site.store.remove("keyed.servers", "i-bad");
     });
 
-    // The new version is good. It must be in use everywhere before its time is over, although a node is killed on the way.
-    it("is completed in time when the new version is good, also when a node dies", async () => {
+    // A node is killed during the roll-out of a good version. The version must still be in use everywhere before the deadline.
+    it("completes in time when the new version is good, even if a node is killed", async () => {
         await site.addRunner("i-good", "v3");
         const stop = startTraffic(site);
         const startedAt = performance.now();
--- a/test/platform/soak/main.ts
+++ b/test/platform/soak/main.ts
@@ -1,6 +1,6 @@
 /**
- * Runs the platform's soak by hand: `node dist/test/platform/soak/main.js --seed 1 --count 50 --seconds 12`; `--rollout` moves the pool
- * to a new version meanwhile.
+ * Runs the platform's soak test by hand: `node dist/test/platform/soak/main.js --seed 1 --count 50 --seconds 12`. With `--rollout` the
+ * pool moves to a new version meanwhile.
  */
 import { parseArgs } from "node:util";
 import { runPlatformSoak } from "./platformSoak.js";
@@ -24,7 +24,7 @@
     };
     const { violations, timeLine, requests, served } = await runPlatformSoak(options);
     console.log(
-        `Seed ${seed}: ${timeLine.length} faults, ${served} of ${requests} served, ${violations.length} broken.`,
+        `Seed ${seed}: ${timeLine.length} faults, ${served} of ${requests} served, ${violations.length} violations.`,
     );
     if (violations.length > 0) {
         failures += 1;
--- a/test/platform/soak/platformSoak.test.ts
+++ b/test/platform/soak/platformSoak.test.ts
@@ -6,25 +6,26 @@
 const maxLines = 20;
 
 describe("runPlatformSoak", () => {
-    // Nodes die, stall and restart, links to the store break one way or both, the store is away or loses answers, runners fail and
-    // leave, and keys are taken away, in series and overlapping, while callers go on with the connections that they have. A caller
-    // notices refusals that are true, and nothing worse: no booking twice, no answer of somebody else, no piece of a stream lost.
+    // Nodes crash, stall and restart; links to the store fail in one or both directions; the store is unavailable or loses answers;
+    // runners fail and leave; API keys are revoked. The faults occur in sequence and overlap, while callers reuse their connections.
+    // Callers may only notice truthful refusals: no booking may run twice, no answer may go to another caller, and no part of a
+    // stream may be lost.
     const seeds = [
         { seed: 3, prefix: "127.72.41", hasRollout: false },
-        // The signal to reload ended a node that was just starting.
+        // Guards against a reload signal that ended a node while it was starting.
         { seed: 31, prefix: "127.72.42", hasRollout: false },
-        // A roll-out under way has to end, and every node to serve by its end.
+        // A roll-out in progress has to end, and every node has to serve according to its result.
         { seed: 3, prefix: "127.72.43", hasRollout: true },
     ];
     for (const { seed, prefix, hasRollout } of seeds) {
-        it(`keeps every promise under the faults of seed ${seed}${hasRollout ? ", in a roll-out" : ""}`, async () => {
+        it(`violates no guarantee under the faults of seed ${seed}${hasRollout ? ", in a roll-out" : ""}`, async () => {
             const { violations, timeLine, served } = await runPlatformSoak({
                 seed,
                 milliseconds: soakMilliseconds,
                 prefix,
                 hasRollout,
             });
-            // A few lines tell enough, and comparing thousands of them would take minutes.
+            // A few lines suffice, and comparing thousands of them would take minutes.
             const lines = violations.length === 0 ? [] : [...violations.slice(0, maxLines), ...timeLine];
             expect(lines).toEqual([]);
             expect([timeLine.length > 5, served > 0]).toEqual([true, true]);
--- a/test/platform/soak/platformSoak.ts
+++ b/test/platform/soak/platformSoak.ts
@@ -1,6 +1,6 @@
 /**
- * A soak on the platform: nodes as processes of their own, faults from outside them drawn from a seed, in series and
- * overlapping, and the promises checked from what callers and runners saw.
+ * A soak test on the platform: nodes in separate processes and external faults drawn from a seed, in sequence and overlapping.
+ * Checks the guarantees against what callers and runners observed.
  */
 import { RandomSource } from "../../../src/common/index.js";
 import { FaultProxy } from "../../../src/standins/proxy/index.js";
@@ -14,43 +14,43 @@
 const runnerCount = 5;
 const storePort = 7_010;
 const proxyPort = 7_030;
-/** As in the settings of the site. */
+/** The revocation bound in the site's settings. */
 const revocationMilliseconds = 6_000;
 const requestsAtOnce = 4;
 const runnerFaults: readonly RunnerFault[] = ["reset", "mute", "truncate", "error", "slow"];
 const faultShare = 0.3;
-/** A fault begins this long after the one before, at most, so that some overlap. */
+/** Maximum time between the starts of two faults. It is short so that some faults overlap. */
 const maxGapMilliseconds = 900;
 const minFaultMilliseconds = 300;
 const maxFaultMilliseconds = 2_500;
 const recoveryMilliseconds = 20_000;
 const newVersion = "v2";
 const newRunnerCount = 3;
-/** After its deadline, and after the last fault, a roll-out has to end within this. */
+/** Maximum time until a roll-out ends, counted from its deadline and the last fault. */
 const rolloutSlackMilliseconds = 8_000;
-/** Requests to each node by which is judged that it serves by the version which a roll-out has ended with. */
+/** Number of requests to each node that check which version it serves after a roll-out. */
 const requestsAfterRollout = 6;
 
-/** What a soak is made from. */
+/** Options of a soak test. */
 export interface PlatformSoakOptions {
     readonly seed: number;
     readonly milliseconds: number;
     /** First three bytes of a loopback block. */
     readonly prefix: string;
-    /** Whether the pool is moved to a new version meanwhile. Draws nothing, so that a seed's faults are the same without it. */
+    /** Whether the pool moves to a new version meanwhile. Draws no random numbers, so a seed gives the same faults with and without it. */
     readonly hasRollout?: boolean;
 }
 
-/** What came of a soak. */
+/** Result of a soak test. */
 export interface PlatformSoakResult {
     readonly violations: readonly string[];
-    /** Faults in the order of their beginning, with milliseconds since the start. */
+    /** Faults in the order of their start, with the milliseconds since the start of the test. */
     readonly timeLine: readonly string[];
     readonly requests: number;
     readonly served: number;
 }
 
-/** Runs a soak. The seed fixes the faults, their targets, order and length; the processes' own timing stays free. */
+/** Runs a soak test. The seed determines the faults, their targets, order and duration, but not the timing of the processes. */
 export async function runPlatformSoak(options: PlatformSoakOptions): Promise<PlatformSoakResult> {
     const soak = new PlatformSoak(options);
     try {
@@ -71,10 +71,10 @@
     readonly #timeLine: string[] = [];
     readonly #violations: string[] = [];
     readonly #activeFaults: Promise<void>[] = [];
-    /** Nodes that are killed, stopped or paused at the moment, by their number from 1. */
+    /** Indices from 1 of the nodes that are killed, stopped or paused at the moment. */
     readonly #unavailableNodes = new Set<number>();
     readonly #startedAt = performance.now();
-    /** The runners that faults are drawn for. */
+    /** The runners that may get faults. */
     #runnerIds: readonly string[] = [];
     #isStopped = false;
     #version = 1;
@@ -150,14 +150,14 @@
             if (this.#unavailableNodes.has(index) || this.#isStopped) {
                 return;
             }
-            // For a tenth of a second after its start no code of the program runs that could take a signal over.
+            // For a tenth of a second after its start, a process runs no code of the program that could handle a signal.
             if (node.child.signalCode === "SIGHUP" && node.events.length === 0) {
                 this.#recordEvent(`node ${index} ended by SIGHUP before it ran, started again`);
                 this.#startNode(index);
             }
             else {
                 const at = Math.round(performance.now() - this.#startedAt);
-                this.#violations.push(`node ${index} ended by itself with ${code} at ${at}`);
+                this.#violations.push(`node ${index} exited unexpectedly with ${code} at ${at}`);
             }
         });
     }
@@ -171,7 +171,7 @@
         this.#site.store.put("keyed.op", "config", createConfiguration(this.#version, this.#keys));
     }
 
-    /** Orders a good version, to be done when the faults end. */
+    /** Orders the roll-out of a good version, with its deadline at the end of the faults. */
     async #orderRollout(): Promise<void> {
         for (let index = 1; index <= newRunnerCount; index += 1) {
             const id = `i-new-${index}`;
@@ -180,10 +180,10 @@
         }
         const order = { service: "pool", target: newVersion, deadline_s: this.#options.milliseconds / 1_000 };
         this.#site.store.put("keyed.op", "rollout/pool", order);
-        this.#recordEvent(`roll-out ordered, to be done in ${order.deadline_s} s`);
+        this.#recordEvent(`roll-out ordered, deadline in ${order.deadline_s} s`);
     }
 
-    /** The roll-out has to end, and each node has to serve by the version that it ended with. */
+    /** Checks that the roll-out ends and that each node serves according to its result. */
     async #checkRollout(callers: SoakCallers): Promise<void> {
         const getState = (): string | undefined =>
             (this.#site.store.get("keyed.status", "rollout/pool") as { readonly state: string; } | undefined)?.state;
@@ -253,10 +253,10 @@
         const node = this.#site.nodes[index - 1];
         node.child.kill(signal);
         const code = await node.exited;
-        // Before it serves, a node ends by the signal itself: seed 36 sent it 79 ms after a start.
+        // A node exits by the signal itself until it serves: seed 36 sent the signal 79 ms after a start.
         const hasStarted = node.events.some(event => event.name === "process-started");
         if (signal === "SIGTERM" && hasStarted && code !== 0) {
-            this.#violations.push(`node ${index} ended with ${code} after SIGTERM`);
+            this.#violations.push(`node ${index} exited with ${code} after SIGTERM`);
         }
         await wait(faultMilliseconds);
         this.#startNode(index);
@@ -328,22 +328,22 @@
         this.#site.register(id);
     }
 
-    /** Takes the newest key away and hands out another one. */
+    /** Revokes the latest API key and publishes another one. */
     #revoke(): void {
         const key = this.#keys[1];
-        this.#recordEvent(`key ${key} taken away`);
+        this.#recordEvent(`key ${key} revoked`);
         this.#keys = ["key", `key-${this.#version + 1}`];
         this.#publish();
         this.#revoked.push({ key, at: performance.now() });
     }
 
     #compact(): void {
-        this.#recordEvent("history of the store dropped");
+        this.#recordEvent("history of the store removed");
         this.#site.store.compact("keyed.op");
         this.#site.store.compact("keyed.servers");
     }
 
-    /** When all faults are over, each node has to serve by the newest configuration again. */
+    /** Checks that each node serves by the latest configuration again after all faults have ended. */
     async #checkRecovery(callers: SoakCallers): Promise<void> {
         this.#keys = ["key", "key-last"];
         this.#publish();
@@ -358,7 +358,7 @@
             }
             catch {
                 this.#violations.push(
-                    `${address} did not serve by the newest configuration after all faults were over`,
+                    `${address} did not serve by the latest configuration after all faults had ended`,
                 );
             }
         }
@@ -368,7 +368,7 @@
         const free = Array.from({ length: nodeCount }, (...[, index]) => index + 1).filter(index =>
             !this.#unavailableNodes.has(index)
         );
-        // One node is always left, so that the others have somebody to learn from and callers somebody to ask.
+        // One node always stays available, so that the others can read from a peer and callers get answers.
         return free.length <= 1 ? undefined : this.#draw(free);
     }
 
--- a/test/platform/soak/soakCallers.ts
+++ b/test/platform/soak/soakCallers.ts
@@ -1,4 +1,4 @@
-/** Callers of a soak: they send requests to whichever node they like, keep connections open, and note what they saw. */
+/** Callers of a soak test. They send requests to random nodes, keep connections open, and record what they observe. */
 import { Agent, request as sendRequest } from "undici";
 import type { RandomSource } from "../../../src/common/index.js";
 
@@ -7,24 +7,24 @@
 const pauseMilliseconds = 30;
 const requestsPerSession = 5;
 
-/** Kinds of requests, as they stand in the paths of the site's routes. */
+/** Kinds of requests, named as in the paths of the site's routes. */
 export type RequestKind = "booking" | "call" | "stream";
 
-/** What a caller saw of one request. */
+/** What a caller observed of one request. */
 export interface ObservedRequest {
     readonly id: string;
     readonly kind: RequestKind;
     readonly key: string;
     readonly sentAt: number;
-    /** Undefined when the connection broke before the answer began. */
+    /** Undefined when the connection broke before the answer started. */
     readonly status: number | undefined;
     readonly isSealed: boolean;
     readonly body: string;
-    /** Whether the answer ended as a whole one. */
+    /** Whether the answer was complete. */
     readonly isWhole: boolean;
 }
 
-/** Sends requests until it is stopped. */
+/** Sends requests until `stop` is called. */
 export class SoakCallers {
     readonly observed: ObservedRequest[] = [];
     readonly #agent = new Agent({ connect: { timeout: 500 }, headersTimeout: 5_000, bodyTimeout: 5_000 });
@@ -36,7 +36,7 @@
     #isStopped = false;
 
     /**
-     * @param random - Draws the node of each request.
+     * @param random - Chooses the node of each request.
      * @param addresses - Addresses of the nodes.
      * @param getKey - Returns the key of the next request.
      */
@@ -46,7 +46,7 @@
         this.#getKey = getKey;
     }
 
-    /** Begins to send, so many requests of each kind at a time. */
+    /** Starts to send, with this number of concurrent requests of each kind. */
     start(atOnce: number): void {
         for (const kind of ["booking", "call", "stream"] as const) {
             for (let index = 0; index < atOnce; index += 1) {
@@ -55,7 +55,7 @@
         }
     }
 
-    /** Ends when the requests under way have ended. */
+    /** Stops sending. Resolves when the requests in flight have ended. */
     async stop(): Promise<void> {
         this.#isStopped = true;
         await Promise.all(this.#running);
@@ -92,7 +92,7 @@
             isWhole = true;
         }
         catch {
-            // The connection broke, or the node was away: what was seen until then is noted.
+            // The connection broke, or the node was unreachable. The part observed so far is recorded.
         }
         const observed = { ...sent, status, isSealed, body: Buffer.concat(pieces).toString(), isWhole };
         this.observed.push(observed);
--- a/test/platform/soak/soakChecks.ts
+++ b/test/platform/soak/soakChecks.ts
@@ -1,22 +1,22 @@
-/** The promises that a soak checks, from what callers and runners saw. */
+/** Checks the guarantees of a soak test against what callers and runners observed. */
 import type { ReceivedRequest } from "../standins/runnerStandin.js";
 import type { ObservedRequest } from "./soakCallers.js";
 import { createWholeBody, streamEventCount } from "./soakRunners.js";
 
-/** A request as a runner got it, and when. */
+/** A request as a runner received it, and when. */
 export interface ExecutedRequest {
     readonly request: ReceivedRequest;
     readonly at: number;
     readonly runner: string;
 }
 
-/** A key that was taken away. */
+/** A revoked API key. */
 export interface RevokedKey {
     readonly key: string;
     readonly at: number;
 }
 
-/** Returns what broke a promise, a line each. */
+/** Returns the violations of the guarantees, one line each. */
 export function findViolations(
     observed: readonly ObservedRequest[],
     runs: readonly ExecutedRequest[],
@@ -38,7 +38,7 @@
         const entry = byId.get(String(request.headers["attempt-id"]));
         const revokedAt = keys.get(entry?.key ?? "");
         if (entry !== undefined && revokedAt !== undefined && entry.sentAt > revokedAt + revocationMilliseconds) {
-            violations.push(`${entry.id} ran ${Math.round(entry.sentAt - revokedAt)} ms after its key was taken away`);
+            violations.push(`${entry.id} ran ${Math.round(entry.sentAt - revokedAt)} ms after its key was revoked`);
         }
     }
     return violations;
@@ -49,7 +49,7 @@
         yield `${id} ran ${runs} times`;
     }
     if ((status === 429 || status === 503) && runs > 0) {
-        yield `${id} was refused with ${status} and has run`;
+        yield `${id} was refused with ${status} although it ran`;
     }
 }
 
@@ -58,11 +58,11 @@
         return;
     }
     if (!isSealed) {
-        yield `${id} got a success that no runner vouches for`;
+        yield `${id} got a success without a runner's seal`;
     }
     if (kind !== "stream") {
         if (isWhole && body !== createWholeBody(id)) {
-            yield `${id} got another body as a whole one: ${body}`;
+            yield `${id} got a wrong body in a complete answer: ${body}`;
         }
         return;
     }
@@ -70,6 +70,6 @@
     const events = [...body.matchAll(pattern)];
     const isInOrder = events.every(([, event, owner], index) => Number(event) === index + 1 && owner === id);
     if (!isInOrder || (isWhole && events.length !== streamEventCount)) {
-        yield `${id} got a stream with a piece missing, doubled or of another: ${JSON.stringify(body)}`;
+        yield `${id} got a stream with a missing, repeated or foreign event: ${JSON.stringify(body)}`;
     }
 }
--- a/test/platform/soak/soakRunners.ts
+++ b/test/platform/soak/soakRunners.ts
@@ -1,17 +1,17 @@
-/** Runners of a soak: they answer in a way that tells whose answer it is, and fail in the ways that runners fail. */
+/** Runners of a soak test. Their answers identify the request that they belong to, and they fail as real runners do. */
 import type { ServerResponse } from "node:http";
 import type { RandomSource } from "../../../src/common/index.js";
 import { createSeal, type ReceivedRequest, type RunnerBehaviour } from "../standins/runnerStandin.js";
 
-/** Events of a whole stream. */
+/** Number of events of a complete stream. */
 export const streamEventCount = 12;
 const eventIntervalMilliseconds = 15;
 const slowDelayMilliseconds = 900;
 
-/** How a runner fails a part of its requests. */
+/** How a runner fails a share of its requests. */
 export type RunnerFault = "none" | "reset" | "mute" | "truncate" | "error" | "slow";
 
-/** Returns the body of a whole answer to a request. */
+/** Returns the body of a complete answer to a request. */
 export function createWholeBody(requestId: string): string {
     return `done ${requestId}`;
 }
--- a/test/platform/standins/runnerStandin.ts
+++ b/test/platform/standins/runnerStandin.ts
@@ -1,10 +1,10 @@
 /**
- * A model runner or an instance of a plain service on the platform, down to the bytes that it writes.
+ * Simulates a model runner or an instance of a plain service on the platform, down to the bytes that it writes.
  */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from "node:http";
 import { createServer as createTcpServer, type Server as TcpServer, type Socket } from "node:net";
 
-/** A request as a runner got it. */
+/** A request as a runner received it. */
 export interface ReceivedRequest {
     readonly method: string;
     readonly target: string;
@@ -12,27 +12,27 @@
     readonly body: string;
 }
 
-/** What a runner does with a request. */
+/** Handles a request to a runner. */
 export type RunnerBehaviour = (request: ReceivedRequest, response: ServerResponse) => void | Promise<void>;
 
-/** Serves over HTTP and keeps what it got. */
+/** Serves over HTTP and records the requests that it receives. */
 export class RunnerStandin {
     readonly received: ReceivedRequest[] = [];
     readonly #server: Server;
     behaviour: RunnerBehaviour;
 
-    /** @param behaviour - What it does with a request; by default a sealed answer with the body `done`. */
+    /** @param behaviour - Handles requests; by default with a sealed answer with the body `done`. */
     constructor(behaviour: RunnerBehaviour = answerDone) {
         this.behaviour = behaviour;
         this.#server = createServer((request, response) => void this.#answer(request, response));
     }
 
-    /** Begins to listen. */
+    /** Starts to listen. */
     listen(host: string, port: number): Promise<void> {
         return new Promise(resolve => this.#server.listen(port, host, resolve));
     }
 
-    /** Ends listening and all connections, as a crash does. */
+    /** Stops listening and closes all connections, as a crash does. */
     close(): void {
         this.#server.close();
         this.#server.closeAllConnections();
@@ -54,7 +54,7 @@
     }
 }
 
-/** Returns the headers that vouch for an answer. */
+/** Returns the headers that prove which runner an answer comes from and which request it belongs to. */
 export function createSeal(request: ReceivedRequest): Record<string, string> {
     return { "Attempt-Id": String(request.headers["attempt-id"]), "Server-Seal": "3e1b.07" };
 }
@@ -64,12 +64,12 @@
     response.writeHead(200, createSeal(request)).end("done");
 }
 
-/** Listens for raw connections; writes whatever bytes a test wants once a request has come. */
+/** Creates a TCP server that writes arbitrary bytes for each request. */
 export function createRawRunner(write: (socket: Socket, requestId: string, count: number) => void): TcpServer {
     let count = 0;
     return createTcpServer(socket => {
         socket.on("error", () => {
-            // The other side gave the connection up.
+            // The peer closed the connection.
         });
         socket.on("data", data => {
             count += 1;
--- a/test/platform/standins/signalWhileLoading.mjs
+++ b/test/platform/standins/signalWhileLoading.mjs
@@ -1,4 +1,4 @@
-// Sends this process the signal to reload at the moment at which it begins to load the program.
+// Sends the reload signal to this process when it starts to load the program.
 import fs from "node:fs";
 
 const { readFileSync } = fs;
--- a/test/platform/standins/storeStandin.ts
+++ b/test/platform/standins/storeStandin.ts
@@ -1,5 +1,5 @@
 /**
- * The platform's store, as far as this system speaks to it: keyed topics with reads that wait, and appends in turn.
+ * Simulates the part of the platform's store that nodes use: keyed topics with long polls and sequenced appends.
  */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from "node:http";
 
@@ -13,32 +13,32 @@
     readonly body: object;
 }
 
-/** What a producer has appended to a topic. */
+/** The appends of a producer to a topic. */
 interface Producer {
     readonly epoch: number;
     readonly answers: readonly { readonly sequence: number; readonly answer: AppendAnswer; }[];
 }
 
-/** A producer's repeat of one of so many last appends gets its first answer again. */
+/** Number of appends per producer whose answers are retained. Repeating one of these appends returns its first answer. */
 const retainedAnswers = 5;
 
-/** What the store does to its callers. */
+/** Fault that the store simulates. */
 export type StoreFault = "well" | "busy" | "silent" | "loses-answers";
 
-/** Keeps topics in memory. */
+/** Stores topics in memory. */
 export class StoreStandin {
     readonly #topics = new Map<string, StoredRecord[]>();
     readonly #firstOffsets = new Map<string, number>();
     readonly #waitingReads = new Set<() => void>();
-    /** By topic and name. */
+    /** Keys are topic and producer, separated by a space. */
     readonly #producers = new Map<string, Producer>();
     readonly #server: Server;
     fault: StoreFault = "well";
-    /** Moods for single callers, by their address. */
+    /** Faults for single callers, by their address. */
     readonly faultsByCaller = new Map<string, StoreFault>();
-    /** How much longer the reads of single topics take, in milliseconds. */
+    /** Additional delay of the reads of single topics, in milliseconds. */
     readonly readDelays = new Map<string, number>();
-    /** Calls that were answered or refused, as `METHOD PATH ADDRESS`. */
+    /** Received calls as `METHOD PATH ADDRESS`. */
     readonly calls: string[] = [];
 
     constructor() {
@@ -46,12 +46,12 @@
         this.#server.keepAliveTimeout = 30_000;
     }
 
-    /** Begins to listen. */
+    /** Starts to listen. */
     listen(host: string, port: number): Promise<void> {
         return new Promise(resolve => this.#server.listen(port, host, resolve));
     }
 
-    /** Ends listening. */
+    /** Stops listening and closes all connections. */
     close(): void {
         this.#server.close();
         this.#server.closeAllConnections();
@@ -72,12 +72,12 @@
         this.#append(topic, [{ key, value: Buffer.alloc(0) }]);
     }
 
-    /** Drops the history of a topic; the newest record of each key stays. */
+    /** Removes the history of a topic. The latest record of each key stays. */
     compact(topic: string): void {
         this.#firstOffsets.set(topic, this.#getRecords(topic).length);
     }
 
-    /** Returns the newest value of a key as JSON. */
+    /** Returns the latest value of a key, parsed as JSON. */
     get(topic: string, key: string): unknown {
         const record = this.#getRecords(topic).filter(entry => entry.key === key).at(-1);
         return record === undefined || record.value.length === 0 ? undefined : JSON.parse(record.value.toString());
@@ -194,7 +194,7 @@
         response.writeHead(answer.status).end(JSON.stringify(answer.body));
     }
 
-    /** Returns the answer to an append that is a repeat, or that does not follow the producer's last one. */
+    /** Returns the answer to an append that is a repeat or is out of sequence, or undefined when it is to be appended. */
     #checkSequence(topic: string, query: URLSearchParams): AppendAnswer | undefined {
         const known = this.#producers.get(`${topic} ${query.get("producer")}`);
         const epoch = Number(query.get("epoch"));
--- a/test/platform/storeClient.test.ts
+++ b/test/platform/storeClient.test.ts
@@ -21,9 +21,9 @@
         store.close();
     });
 
-    // Any node may take a step of a roll-out. Two that take the same one must not both have their way: one would complete what the
-    // other has just taken back.
-    it("appends once for each turn, whoever takes it, and refuses one that is out of turn", async () => {
+    // Any node may write a step of a roll-out. If two nodes could write the same step, one would complete what the other has just
+    // reverted.
+    it("appends once for each position and refuses an append that is out of turn", async () => {
         const turn = { matter: "progress/app", epoch: 7, number: 1 };
         expect((await client.append(topic, createRecord("first"), turn))._unsafeUnwrap()).toEqual("appended");
         await client.append(topic, createRecord("repeated"), turn);
@@ -38,8 +38,8 @@
         expect(store.get(topic, "progress/app")).toEqual("second");
     });
 
-    // Nodes leave their own records in the same topic. A step that had to be the topic's next record lost against every one of them.
-    it("appends in turn although other records come in between", async () => {
+    // Nodes write their own records to the same topic. When a step had to be the topic's next record, it lost against all of them.
+    it("appends in turn although other records lie in between", async () => {
         const turn = { matter: "progress/app", epoch: 8, number: 1 };
         await client.append(topic, createRecord("first"), turn);
         await client.append(topic, [{ key: "member/n-1", value: Buffer.from("{}") }]);
--- a/test/platform/storeUnavailable.test.ts
+++ b/test/platform/storeUnavailable.test.ts
@@ -19,7 +19,7 @@
         }
     });
 
-    it("let one of them read the store", async () => {
+    it("read the store through a single node", async () => {
         await new Promise(resolve => setTimeout(resolve, 3_000));
         const from = site.store.calls.length;
         await waitUntil(() => site.store.calls.length > from + 8, { description: "some reads" });
@@ -29,9 +29,9 @@
         expect(readers.size).toEqual(1);
     });
 
-    // The store turns one machine away and serves the others, and a key is taken away meanwhile. Nobody may get in with it
-    // for longer than the bound, also not through that machine.
-    it("hear from each other what the store does not tell them", async () => {
+    // The store refuses one node but serves the others, and an API key is revoked meanwhile. The key must not be accepted for longer
+    // than the revocation bound, not even by that node.
+    it("receive from each other what the store refuses to send", async () => {
         for (const [index, node] of site.nodes.entries()) {
             site.store.faultsByCaller.clear();
             site.store.faultsByCaller.set(node.address, "busy");
@@ -46,9 +46,9 @@
         site.store.faultsByCaller.clear();
     });
 
-    // The store is away for good, and nobody can know whether a key has been taken away since. After the bound, keys are
-    // accepted no more; the refusal says truthfully that nothing has run.
-    it("accept no keys by knowledge that is too old, and do again when the store is back", async () => {
+    // The store stays unavailable, so nodes cannot know whether an API key has been revoked since. After the bound they must refuse
+    // all keys, and the refusal must state that nothing has run.
+    it("refuse keys when their state is too old, and accept them when the store is available again", async () => {
         const [node] = site.nodes;
         expect((await site.send(node)).status).toEqual(200);
         site.store.fault = "silent";
@@ -64,9 +64,9 @@
         }
     });
 
-    // A node is killed and starts again while the store turns it away. It must not wait for the store to learn what its peers
-    // know, and until then it must say "later", not "no".
-    it("start again by what their peers know", async () => {
+    // A node is killed and restarts while the store does not answer it. It must read the state from its peers instead of waiting for
+    // the store. Until then it must refuse requests as temporarily unavailable, not as unknown.
+    it("restart with the state of their peers", async () => {
         const before = site.nodes[2];
         site.store.faultsByCaller.set(before.address, "silent");
         before.child.kill("SIGKILL");
@@ -77,8 +77,9 @@
         site.store.faultsByCaller.clear();
     });
 
-    // A node is told to stop while it answers. The platform and callers must see that it leaves, and the answer must end.
-    it("stop in order", async () => {
+    // A node receives the stop signal while it handles a request. The platform and callers must see that it is leaving, and the
+    // request must complete.
+    it("shut down gracefully", async () => {
         const node = site.nodes[1];
         for (const runner of site.runners.values()) {
             const { behaviour } = runner;
--- a/test/platform/upstreamClient.test.ts
+++ b/test/platform/upstreamClient.test.ts
@@ -52,7 +52,7 @@
     return text;
 }
 
-/** Lets a runner write some bytes for its first request and calls it. */
+/** Calls a raw runner that writes the given bytes for each request. */
 async function call(write: (socket: Socket, requestId: string, count: number) => void) {
     const upstream = await listen(createRawRunner(write));
     const client = createClient();
@@ -60,7 +60,7 @@
 }
 
 describe("UpstreamClient", () => {
-    it("names the runner that is meant, the workspace and the time that is left, and passes the rest on unchanged", async () => {
+    it("sends the expected runner, the workspace and the remaining time, and forwards other headers unchanged", async () => {
         let received = "";
         const server = createRawRunner(socket =>
             socket.write(
@@ -82,7 +82,7 @@
         expect(lines.includes("api-key")).toEqual(false);
     });
 
-    it("knows a refusal before any work from a failure that may have run", async () => {
+    it("distinguishes a refusal before any work from a failure after which the request may have run", async () => {
         const refused = await call(socket =>
             socket.write("HTTP/1.1 503 X\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n")
         );
@@ -95,29 +95,29 @@
         expect(replaced.called._unsafeUnwrapErr().kind).toEqual("replaced");
     });
 
-    it("says that nothing was sent where nobody listens", async () => {
+    it("reports that nothing was sent when the connection is refused", async () => {
         const upstream = await listen(createRawRunner(() => {}));
         await new Promise(resolve => (openResources.splice(0)[0] as Server).close(resolve));
         expect((await createClient().call(upstream, createCall()))._unsafeUnwrapErr().kind).toEqual("not-sent");
     });
 
-    it("does not take a success for the runner's that the runner does not vouch for", async () => {
+    it("rejects a success without a seal", async () => {
         const { called } = await call(socket => socket.write("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"));
         expect(called._unsafeUnwrapErr().kind).toEqual("broken");
     });
 
-    // A runner answers late, after its caller was told something else. The answer stands where the next one is expected; it
-    // would be given to a stranger.
-    it("knows an answer that belongs to another request", async () => {
+    // A runner answers late, after its caller was refused or answered by other means. The late answer arrives where the answer to the
+    // next request is expected, and another caller would receive it.
+    it("rejects an answer that belongs to another request", async () => {
         const { called } = await call(socket =>
             socket.write("HTTP/1.1 200 OK\r\nAttempt-Id: earlier\r\nServer-Seal: s\r\nContent-Length: 5\r\n\r\nother")
         );
         expect(called._unsafeUnwrapErr().reason).toEqual("the answer belongs to another request");
     });
 
-    // A runner writes a second answer right behind the first one. The bytes belong to no request; the next request on that
-    // connection would get them.
-    it("uses no connection again on which more came than was asked for", async () => {
+    // A runner writes a second answer directly after the first one. The extra bytes belong to no request, and the next request on the
+    // connection would receive them.
+    it("does not reuse a connection after surplus bytes", async () => {
         const { client, upstream, called } = await call((socket, id, count) => {
             const answer =
                 `HTTP/1.1 200 OK\r\nAttempt-Id: ${id}\r\nServer-Seal: s${count}\r\nContent-Length: 2\r\n\r\n0${count}`;
@@ -128,9 +128,9 @@
         expect(await read(second)).toEqual("02");
     });
 
-    // An answer without a length ends with its connection. When the connection is reset in the middle, what has come looks
-    // like a whole answer, and the caller takes half a confirmation for a whole one.
-    it("takes no answer for complete whose connection was reset", async () => {
+    // An answer without a length ends with its connection. If the connection is reset midway, the received part looks like a complete
+    // answer, and the caller takes half a confirmation for a whole one.
+    it("does not treat an answer as complete when its connection was reset", async () => {
         const whole = await call((socket, id) =>
             socket.end(`HTTP/1.1 200 OK\r\nAttempt-Id: ${id}\r\nServer-Seal: s\r\nConnection: close\r\n\r\nwhole`)
         );
@@ -142,8 +142,8 @@
         await expect(() => read(reset.called._unsafeUnwrap())).toBeRejected();
     });
 
-    // A runner was started anew under its identifier, at the same address. Connections to the one before lead nowhere.
-    it("closes its connections to an upstream that is gone", async () => {
+    // A runner restarts under the same identifier and address. The connections to its predecessor are dead.
+    it("closes its connections to a removed upstream", async () => {
         const closed = new Promise<void>(resolve => {
             void call((socket, id) => {
                 socket.on("close", () => resolve());
@@ -156,7 +156,7 @@
         await closed;
     });
 
-    it("breaks off visibly when an answer is cut short", async () => {
+    it("fails the body of a truncated answer", async () => {
         const { called } = await call((socket, id) =>
             socket.end(`HTTP/1.1 200 OK\r\nAttempt-Id: ${id}\r\nServer-Seal: s\r\nContent-Length: 9\r\n\r\nha`)
         );
--- a/test/platform/wireNames.test.ts
+++ b/test/platform/wireNames.test.ts
@@ -4,9 +4,9 @@
 import { describe, it } from "node:test";
 import { headerNames, servedPaths, storePaths, topics } from "../../src/platform/wire.js";
 
-/** Names that ordinary code may hold as well: only the platform's own spellings are looked for. */
+/** Names that other code may also use. Only names that are specific to the platform are searched for. */
 const genericNames: ReadonlySet<string> = new Set(["retry-after", "last-event-id", "/metrics"]);
-/** Rooms of the product that serve the platform through its types only. */
+/** Folders that depend on the platform through types only. */
 const folders = ["routing", "topics", "fleet", "forwarding", "rollouts", "decisions", "membership", "events", "common"];
 
 function findFiles(folder: string): string[] {
@@ -15,9 +15,9 @@
         .map(entry => join(entry.parentPath, entry.name));
 }
 
-describe("the platform's names", () => {
-    // A wire name in a decision ties it to one platform; the next change of the wire then reaches into routing and limits.
-    it("stand in platform/ alone", () => {
+describe("the platform's wire names", () => {
+    // A wire name in other code ties that code to one platform. The next change of the wire would then affect routing and limits.
+    it("occur in platform/ only", () => {
         const names = [headerNames, storePaths, servedPaths, topics]
             .flatMap(table => Object.values(table))
             .filter(name => /[-/.]/.test(name) && !genericNames.has(name));
@@ -31,7 +31,7 @@
         expect(found).toEqual([]);
     });
 
-    it("lead to one client of the store, one of upstreams and one reader of topics", () => {
+    it("are used by one store client, one upstream client and one topic reader", () => {
         const users = findFiles("src/platform").filter(file => /new Pool\(/.test(readFileSync(file, "utf8")));
         expect(users.sort()).toEqual(["src/platform/storeClient.ts", "src/platform/upstreamClient.ts"]);
         const readers = folders.flatMap(room => findFiles(join("src", room)))
