--- a/src/fleet/upstream.ts
+++ b/src/fleet/upstream.ts
@@ -1,5 +1,5 @@
 /**
- * Upstreams as they register themselves: model runners and instances of plain services.
+ * Upstreams as registered with the platform: model runners and instances of plain services.
  */
 
 /** A model that a runner has loaded. */
@@ -9,19 +9,19 @@
     readonly weightsVersion: number;
 }
 
-/** An upstream that takes requests, or is about to leave. */
+/** An upstream that accepts requests or is leaving. */
 export interface RegisteredUpstream {
     readonly id: string;
     /** `HOST:PORT`. */
     readonly address: string;
     readonly pool: string;
     readonly failureDomain: string;
-    /** Version of its software, which roll-outs move. */
+    /** Version of its software, which roll-outs change. */
     readonly version: string;
-    /** Requests that it runs at a time. */
+    /** Maximum number of concurrent requests. */
     readonly slots: number;
     readonly isLeaving: boolean;
-    /** Unix milliseconds of its start, where it says so. A new start under the same identifier knows nothing of before. */
+    /** Unix time of its start in milliseconds, if registered. A restart under the same identifier discards all earlier state. */
     readonly startedAt: number | undefined;
     readonly models: readonly LoadedModel[];
 }
--- a/src/fleet/upstreamRegistry.ts
+++ b/src/fleet/upstreamRegistry.ts
@@ -1,17 +1,17 @@
 /**
- * The upstreams that may get work, folded from what they register.
+ * Registry of the upstreams that may receive requests.
  */
 import type { Clock } from "../common/index.js";
 import type { RegisteredUpstream } from "./upstream.js";
 
-/** Takes an upstream that is new, was started anew, or is gone. */
+/** Called with an upstream that was removed or restarted. */
 export type UpstreamListener = (upstream: RegisteredUpstream) => void;
 
-/** Knows which upstreams there are. */
+/** Holds the registered upstreams. */
 export class UpstreamRegistry {
     readonly #clock: Clock;
     readonly #upstreams = new Map<string, RegisteredUpstream>();
-    /** Monotonic times until which removed upstreams still count. */
+    /** Monotonic times until which removed upstreams still count as registered. */
     readonly #expiring = new Map<string, number>();
     readonly #removalListeners: UpstreamListener[] = [];
     #byPool: ReadonlyMap<string, readonly RegisteredUpstream[]> | undefined;
@@ -21,16 +21,16 @@
     }
 
     /**
-     * Adds a listener for upstreams that are gone or were started anew; what was learned of them is void.
-     * @param listener - Called once for each.
+     * Adds a listener for upstreams that were removed or restarted. State that was collected for them is invalid.
+     * @param listener - Called once for each such upstream.
      */
     onRemoved(listener: UpstreamListener): void {
         this.#removalListeners.push(listener);
     }
 
     /**
-     * Takes in an upstream's entry.
-     * @param upstream - The entry.
+     * Adds or replaces an upstream.
+     * @param upstream - The registered upstream.
      */
     set(upstream: RegisteredUpstream): void {
         const known = this.#upstreams.get(upstream.id);
@@ -44,9 +44,9 @@
 
     /**
      * Removes an upstream.
-     * @param id - Its identifier.
-     * @param graceMilliseconds - How long it still counts: its entry may have expired because the store was away, and upstreams
-     * that live need a while to register again. Without this time one outage would empty every pool.
+     * @param id - The upstream's identifier.
+     * @param graceMilliseconds - How long the upstream still counts as registered. Its record may have expired because the store was
+     * unavailable, and live upstreams need some time to register again. Without this time one outage would empty every pool.
      */
     remove(id: string, graceMilliseconds: number): void {
         const known = this.#upstreams.get(id);
@@ -61,8 +61,8 @@
     }
 
     /**
-     * Marks an upstream as leaving that said so itself, before its entry does.
-     * @param id - Its identifier.
+     * Marks an upstream as leaving before its record shows it.
+     * @param id - The upstream's identifier.
      */
     markLeaving(id: string): void {
         const known = this.#upstreams.get(id);
@@ -73,20 +73,20 @@
     }
 
     /**
-     * Returns an upstream, leaving or not.
-     * @param id - Its identifier.
+     * Returns an upstream, even if it is leaving.
+     * @param id - The upstream's identifier.
      */
     get(id: string): RegisteredUpstream | undefined {
         return this.#upstreams.get(id);
     }
 
-    /** Returns all upstreams, leaving ones among them. */
+    /** Returns all upstreams, including leaving ones. */
     getAll(): Iterable<RegisteredUpstream> {
         return this.#upstreams.values();
     }
 
     /**
-     * Returns the upstreams of a pool that take work.
+     * Returns the upstreams of a pool that accept requests.
      * @param pool - Name of the pool.
      */
     getAvailable(pool: string): readonly RegisteredUpstream[] {
--- a/src/forwarding/attempts.ts
+++ b/src/forwarding/attempts.ts
@@ -1,5 +1,5 @@
 /**
- * Sends an exchange to one upstream, and keeps what is learned of the upstream by it.
+ * Sends requests to single upstreams and records the results for the choice of upstreams.
  */
 import { err, ok, type Result } from "neverthrow";
 import type { Clock } from "../common/index.js";
@@ -11,7 +11,7 @@
 import type { ForwardingMetrics } from "./metrics.js";
 import type { UpstreamAnswer, UpstreamCallFailure, UpstreamTransport } from "./upstreamCall.js";
 
-/** What attempts are made with. */
+/** Options of `Attempts`. */
 export interface AttemptsOptions {
     readonly clock: Clock;
     readonly journal: Journal;
@@ -19,25 +19,25 @@
     readonly registry: UpstreamRegistry;
     readonly picker: UpstreamPicker;
     readonly transport: UpstreamTransport;
-    /** Returns the budget of repeats of a pool. */
+    /** Returns the retry budget of a pool. */
     readonly getBudget: (pool: string) => WindowedRetryBudget;
-    /** Returns the upstreams that may serve an exchange, by the roll-out under way. */
+    /** Returns the upstreams that may serve an exchange according to the current roll-out. */
     readonly selectVersion: (exchange: Exchange, candidates: readonly RegisteredUpstream[]) => VersionSelection;
-    /** Takes an attempt that begins; what it returns takes how the attempt ended. */
+    /** Called when an attempt starts. Returns a callback for its end. */
     readonly onStart: (exchange: Exchange, upstream: RegisteredUpstream) => (attempt: EndedAttempt) => void;
 }
 
-/** How an attempt ended. */
+/** An attempt that has ended. */
 export interface EndedAttempt {
     readonly exchange: Exchange;
     readonly upstream: RegisteredUpstream;
     readonly model: string | undefined;
     readonly outcome: CallOutcome;
-    /** From the sending to the answer's head; undefined when there was none. */
+    /** Time from sending the request to the head of the answer. Undefined when no head arrived. */
     readonly headMilliseconds: number | undefined;
 }
 
-/** What one attempt is made with. */
+/** Parameters of one attempt. */
 export interface AttemptRequest {
     readonly exchange: Exchange;
     readonly model: string | undefined;
@@ -45,14 +45,14 @@
     /** Undefined for plain services. */
     readonly prompt: PromptLoad | undefined;
     /**
-     * Returns how long to wait for the answer's head, in milliseconds. Undefined waits as long as the request may take: a timer of
-     * its own would race with the request's, and callers whose time is over would be told that the upstream failed.
-     * @param expectedMilliseconds - When it is expected.
+     * Returns the timeout for the head of the answer, in milliseconds. Undefined waits until the deadline of the request: a separate
+     * timer of the same length would race with the deadline, and callers that ran out of time would receive an upstream failure.
+     * @param expectedMilliseconds - Expected time to the head of the answer.
      */
     readonly getHeadTimeout: (expectedMilliseconds: number) => number | undefined;
 }
 
-/** Why no attempt was made. */
+/** Why no attempt was made. `nobody` means that no upstream was available. */
 export type NotMadeReason = "nobody" | "budget" | "attempts" | "ended";
 
 /** An attempt that failed, or was not made. */
@@ -60,22 +60,22 @@
     | { readonly kind: "not-made"; readonly reason: NotMadeReason; }
     | { readonly kind: "failed"; readonly failure: UpstreamCallFailure; };
 
-/** An attempt whose answer has begun. */
+/** An attempt whose answer has started. */
 export interface Attempt {
     readonly upstream: RegisteredUpstream;
     readonly answer: UpstreamAnswer;
-    /** Ends the attempt and notes how. Everything after the first call is passed over. */
+    /** Ends the attempt and records its outcome. Later calls are ignored. */
     readonly finish: (outcome: CallOutcome, reason: string) => void;
-    /** Notes that a piece of the answer came. */
+    /** Records that a part of the answer has arrived. */
     readonly markSeen: () => void;
-    /** Ends the upstream's work. */
+    /** Cancels the call at the upstream. */
     readonly cancel: () => void;
 }
 
-/** Urgency of the least urgent priority. */
+/** Maximum value of the urgency, which is the value of the least urgent requests. */
 const maxUrgencyValue = 8;
 
-/** Makes attempts. */
+/** Makes attempts at upstreams. */
 export class Attempts {
     readonly #options: AttemptsOptions;
 
@@ -84,7 +84,7 @@
     }
 
     /**
-     * Returns when an answer to a prompt could begin, in milliseconds from now; undefined when nobody is left to ask.
+     * Returns the expected time until an answer to a prompt starts, in milliseconds. Undefined when no upstream is available.
      * @param exchange - The request.
      * @param prompt - The prompt.
      */
@@ -101,7 +101,7 @@
 
     /**
      * Makes one attempt.
-     * @param request - What to send, and how long to wait.
+     * @param request - The request and its timeouts.
      */
     async make(request: AttemptRequest): Promise<Result<Attempt, AttemptFailure>> {
         const { exchange } = request;
@@ -232,7 +232,7 @@
             transport.renewConnections(upstream);
         }
         if (failure.kind === "replaced") {
-            // Its entry outlived it; until the entry goes, nothing more is sent to that address under its name.
+            // The record of a replaced upstream is outdated. Until it is removed, no more requests go to its address.
             registry.markLeaving(upstream.id);
         }
         if (failure.load !== undefined) {
--- a/src/forwarding/callerReply.ts
+++ b/src/forwarding/callerReply.ts
@@ -1,27 +1,27 @@
 /**
- * What a caller is answered through.
+ * Interface through which a request is answered.
  */
 import type { Refusal } from "../common/index.js";
 
-/** The caller's side of one request. */
+/** Sends the answer to the caller of one request. */
 export interface CallerReply {
-    /** Whether a byte of an answer may have reached the caller. */
+    /** Whether any byte of an answer may have reached the caller. */
     readonly hasStarted: boolean;
-    /** Is aborted when the caller left. */
+    /** Aborted when the caller disconnects. */
     readonly disconnected: AbortSignal;
     /**
-     * Begins an answer whose body follows piece by piece.
-     * @param options - Without a known end, the answer ends with its connection and does not claim to be whole.
+     * Starts an answer whose body follows in pieces.
+     * @param options - Without a known end, the answer ends with its connection and does not claim to be complete.
      */
     start(status: number, headers: readonly string[], options?: { readonly hasKnownEnd: boolean; }): void;
-    /** Writes a piece. Resolves at once unless the caller reads more slowly than it is written. */
+    /** Writes a piece of the body. Resolves at once unless the caller reads more slowly than the router writes. */
     write(piece: Buffer): Promise<void>;
-    /** Ends an answer that was begun. */
+    /** Ends an answer that was started. */
     end(): void;
-    /** Gives a whole answer. */
+    /** Sends a complete answer. */
     answer(status: number, headers: readonly string[], body: Buffer): void;
-    /** Gives an answer of the router's own. */
+    /** Sends a refusal by the router itself. */
     refuse(refusal: Refusal): void;
-    /** Breaks off an answer that can't be completed, so that it does not look complete. */
+    /** Breaks the connection of an answer that cannot be completed, so that the caller does not take it for complete. */
     abort(): void;
 }
--- a/src/forwarding/callerRequest.ts
+++ b/src/forwarding/callerRequest.ts
@@ -1,44 +1,44 @@
 /**
- * Requests of callers, whatever the interface they came over.
+ * Requests of callers, independent of the protocol.
  */
 
-/** A part of a prompt. Requests that begin with the same parts can share what a runner has read. */
+/** A part of a prompt. Requests whose prompts start with the same parts can share the prefill of a runner. */
 export interface PromptPart {
     readonly id: string;
     readonly tokens: number;
 }
 
-/** What is known of the generation that a request asks for. */
+/** Parameters of the generation that a request asks for. */
 export interface Generation {
     /** Undefined when the caller leaves the choice to the router. */
     readonly model: string | undefined;
     readonly promptTokens: number;
     readonly maxOutputTokens: number;
-    /** The caller's guess at the output, right in the median and often far off. */
+    /** The caller's estimate of the output length. It is right in the median and often far off. */
     readonly expectedOutputTokens: number | undefined;
-    /** The parts of the prompt in order; the last belongs to the request or its session alone. */
+    /** The parts of the prompt in order. The last part belongs to the request or its session only. */
     readonly parts: readonly PromptPart[];
 }
 
-/** One attempt of a caller. */
+/** One attempt of a caller to get an answer. */
 export interface CallerRequest {
     /** Unique for each attempt of a caller. */
     readonly id: string;
     readonly method: string;
     readonly host: string;
-    /** Path and query as they were sent. */
+    /** Path and query as sent by the caller. */
     readonly target: string;
-    /** Headers that are passed on, as a flat list of names and values. */
+    /** Headers to forward, as a flat list of names and values. */
     readonly headers: readonly string[];
     readonly body: Buffer;
-    /** How long the caller waits, from `arrivedAt` on, in milliseconds. */
+    /** Maximum time that the caller waits, counted from `arrivedAt`, in milliseconds. */
     readonly deadlineMilliseconds: number | undefined;
     readonly apiKey: string | undefined;
     readonly session: string | undefined;
     readonly generation: Generation | undefined;
-    /** Identifier of the last event that the caller has of an earlier answer. */
+    /** Identifier of the last event that the caller received from an earlier answer. */
     readonly lastEventId: string | undefined;
-    /** Monotonic milliseconds at which its headers were read. */
+    /** Monotonic time at which the headers were read, in milliseconds. */
     readonly arrivedAt: number;
 }
 
--- a/src/forwarding/eventSplitter.ts
+++ b/src/forwarding/eventSplitter.ts
@@ -1,22 +1,22 @@
 /**
- * Splits the bytes of an event stream into whole events.
+ * Splits the bytes of an event stream into complete events.
  */
 import { createParser } from "eventsource-parser";
 
 const lineFeed = 0x0a;
 const carriageReturn = 0x0d;
 
-/** A whole event, with the bytes to pass on. */
+/** A complete event with the bytes to forward. */
 export interface StreamEvent {
     readonly bytes: Buffer;
-    /** Its identifier, if it has one. */
+    /** The event's identifier, if it has one. */
     readonly id: string | undefined;
 }
 
 /**
- * Cuts a stream at the blank lines between events. An upstream that breaks off may stop in the middle of an event; bytes of
- * an unfinished event passed on would be joined to the event with which the stream goes on elsewhere, and the caller would
- * read a spoilt one. So only whole events leave.
+ * Splits a stream at the blank lines between events. An upstream may fail in the middle of an event. If the bytes of the incomplete
+ * event were forwarded, they would be joined to the next event when the stream is resumed at another upstream, and the caller would
+ * read a corrupt event. Therefore only complete events are returned.
  */
 export class EventSplitter {
     #remainder: Buffer = Buffer.alloc(0);
@@ -24,8 +24,8 @@
     readonly #parser = createParser({ onEvent: event => this.#id = event.id });
 
     /**
-     * Takes in bytes.
-     * @returns The events that are whole by now.
+     * Adds bytes.
+     * @returns The events that are now complete.
      */
     push(bytes: Buffer): readonly StreamEvent[] {
         const data = this.#remainder.length === 0 ? bytes : Buffer.concat([this.#remainder, bytes]);
@@ -44,12 +44,12 @@
         return events;
     }
 
-    /** Returns the bytes after the last whole event. */
+    /** Returns the bytes after the last complete event. */
     getRemainder(): Buffer {
         return this.#remainder;
     }
 
-    /** Forgets the unfinished event of a stream that goes on elsewhere. */
+    /** Discards the incomplete event of a stream that is resumed elsewhere. */
     reset(): void {
         this.#remainder = Buffer.alloc(0);
     }
--- a/src/forwarding/exchange.ts
+++ b/src/forwarding/exchange.ts
@@ -1,5 +1,5 @@
 /**
- * One request on its way: what was decided of it, how long it has left, and what has been tried.
+ * State of one request: its route and priority, the time left, and the attempts so far.
  */
 import { type Clock, Failure, type Outcome, type Refusal } from "../common/index.js";
 import type { RegisteredUpstream } from "../fleet/index.js";
@@ -7,18 +7,18 @@
 import type { CallerReply } from "./callerReply.js";
 import type { CallerRequest } from "./callerRequest.js";
 
-/** What an exchange begins with. */
+/** Options of an exchange. */
 export interface ExchangeOptions {
     readonly clock: Clock;
     readonly request: CallerRequest;
     readonly reply: CallerReply;
     readonly route: Route;
     readonly pool: string;
-    /** Undefined on routes that need no key. */
+    /** Undefined on routes that need no API key. */
     readonly workspace: string | undefined;
     /** 0 is the most urgent. */
     readonly priority: number;
-    /** Version of the route table that decided. */
+    /** Version of the route table by which the request was admitted. */
     readonly configurationVersion: number;
 }
 
@@ -31,13 +31,13 @@
     readonly workspace: string | undefined;
     readonly priority: number;
     readonly configurationVersion: number;
-    /** Upstreams that were tried in vain. */
+    /** Upstreams that were already tried. */
     readonly excluded = new Set<string>();
-    /** Upstreams that the request was sent to. */
+    /** Number of upstreams that the request was sent to. */
     attempts = 0;
     /** Whether the pool's budget has counted the request. */
     isCountedInBudget = false;
-    /** What is known of whether it ran. */
+    /** Whether the request ran, as far as it is known. */
     outcome: Outcome = "not-run";
     readonly #clock: Clock;
     readonly #endsAt: number;
@@ -71,59 +71,59 @@
         }
     }
 
-    /** Is aborted when the caller left or the time is over. */
+    /** Aborted when the caller disconnects or the time is over. */
     get ended(): AbortSignal {
         return this.#endController.signal;
     }
 
-    /** Whether the time was over before the answer was complete. */
+    /** Whether the time ran out before the answer was complete. */
     get isTimedOut(): boolean {
         return this.#isTimedOut;
     }
 
-    /** Returns the milliseconds that are left until the route's timeout or the caller's deadline. */
+    /** Returns the time left until the route's timeout or the caller's deadline, in milliseconds. */
     getTimeLeft(): number {
         return this.#endsAt - this.#clock.monotonic();
     }
 
-    /** Returns the milliseconds since the request arrived. */
+    /** Returns the time since the request arrived, in milliseconds. */
     getElapsed(): number {
         return this.#clock.monotonic() - this.request.arrivedAt;
     }
 
-    /** Notes that the request was sent to an upstream. */
+    /** Records that the request was sent to an upstream. */
     addAttempt(upstream: RegisteredUpstream): void {
         this.attempts += 1;
         this.excluded.add(upstream.id);
     }
 
-    /** Notes that an attempt never reached its upstream: no connection came about. */
+    /** Reverts the count of an attempt that never reached its upstream because no connection was established. */
     removeAttempt(): void {
         this.attempts -= 1;
     }
 
-    /** Notes that the request may have run. */
+    /** Records whether the request ran. A known run is never overwritten. */
     markRun(outcome: Outcome): void {
         if (this.outcome !== "ran") {
             this.outcome = outcome;
         }
     }
 
-    /** Stops the timer and lets go of the caller. */
+    /** Stops the timer and removes the listener for the caller's connection. */
     dispose(): void {
         clearTimeout(this.#timer);
         this.reply.disconnected.removeEventListener("abort", this.#handleDisconnect);
     }
 }
 
-/** The refusal of a request whose time is over. */
+/** Creates the refusal of a request whose time has run out. */
 export function createTimeoutRefusal(exchange: Exchange): Refusal {
     return {
         outcome: exchange.outcome,
         failure: new Failure({
             kind: "deadline",
-            message: `There was no whole answer within ${Math.round(exchange.getElapsed())} ms.`,
-            remedy: "Ask for less, or have the route's timeout raised.",
+            message: `No complete answer arrived within ${Math.round(exchange.getElapsed())} ms.`,
+            remedy: "Request less, or have the route's timeout raised.",
         }),
     };
 }
--- a/src/forwarding/forwarder.ts
+++ b/src/forwarding/forwarder.ts
@@ -1,5 +1,5 @@
 /**
- * The path of a request: which route, whose it is, whether it may be served now, and how its answer comes about.
+ * Handles requests: finds the route and the workspace, checks whether the request may be served, and forwards it.
  */
 import { err, ok, type Result } from "neverthrow";
 import { type Clock, Failure, type Refusal } from "../common/index.js";
@@ -15,10 +15,10 @@
 import { StreamExchange } from "./streamExchange.js";
 import { runUnary } from "./unaryExchange.js";
 
-/** Callers whose request says no deadline are taken to wait this long when they are asked back, in milliseconds. */
+/** Assumed deadline of requests without one, from which their retry delay is computed. */
 const defaultDeadlineMilliseconds = 2_000;
 
-/** What requests are forwarded with. */
+/** Options of `Forwarder`. */
 export interface ForwarderOptions {
     readonly clock: Clock;
     readonly journal: Journal;
@@ -26,16 +26,16 @@
     readonly attempts: Attempts;
     /** Returns the route table in force, or undefined before the first one. */
     readonly getRoutes: () => RouteTable | undefined;
-    /** Waits for the first route table and upstreams, for a short while after the start only; undefined when there is no need. */
+    /** Waits for the first route table and upstreams shortly after the start; returns undefined when no wait is needed. */
     readonly waitForFirstRead: () => Promise<unknown> | undefined;
-    /** Returns how long ago the route table was last known to be the newest, in milliseconds. */
+    /** Returns the time since the route table was last confirmed to be the latest, in milliseconds. */
     readonly getConfigurationAge: () => number;
-    /** Returns the age of the configuration up to which keys are accepted, in milliseconds. */
+    /** Returns the maximum age of the configuration at which API keys are accepted, in milliseconds. */
     readonly getMaxKeyAge: () => number;
-    /** Returns the age up to which a route or key that is missing is believed to be missing, in milliseconds. */
+    /** Returns the maximum age of the configuration at which the absence of a route or key is trusted, in milliseconds. */
     readonly getMaxDenialAge: () => number;
     readonly getBudget: (pool: string) => WindowedRetryBudget;
-    /** Tells why nothing new is taken on, such as a shutdown that leaves too little time. */
+    /** Returns why no new requests are accepted, such as a shutdown that leaves too little time. */
     readonly checkCapacity: (route: Route) => Failure | undefined;
 }
 
@@ -55,15 +55,15 @@
         this.#options = options;
     }
 
-    /** Returns how many requests are at work. */
+    /** Returns the number of requests in flight. */
     getInFlight(): number {
         return this.#inFlight;
     }
 
     /**
-     * Answers a request. Never throws for what callers or upstreams do.
+     * Answers a request. Never throws because of callers or upstreams.
      * @param request - The request.
-     * @param reply - Where the answer goes.
+     * @param reply - Receives the answer.
      */
     async handle(request: CallerRequest, reply: CallerReply): Promise<void> {
         await this.#options.waitForFirstRead();
@@ -112,10 +112,12 @@
         const age = this.#options.getConfigurationAge();
         const route = routes.findRoute(request.host, getPath(request));
         if (route === undefined) {
-            return err(this.#createDenial(request, age, "not-found", "No route leads there."));
+            return err(this.#createDenial(request, age, "not-found", "No route matches the request."));
         }
         if (request.body.length > routes.limits.bodyBytes) {
-            return err(createRefusal("too-large", "The body is larger than the configured limit.", "Send less."));
+            return err(
+                createRefusal("too-large", "The body is larger than the configured limit.", "Send a smaller request."),
+            );
         }
         const capacityFailure = this.#options.checkCapacity(route);
         if (capacityFailure !== undefined) {
@@ -125,7 +127,7 @@
             return ok({ route, workspace: undefined, priority: route.priority, version: routes.version });
         }
         if (age > this.#options.getMaxKeyAge()) {
-            // The key may have been taken away since; accepting it would let a stranger in.
+            // The key may have been revoked since. Accepting it could admit an unauthorized caller.
             return err(this.#createStaleRefusal(request, "The configuration is too old to accept keys."));
         }
         const workspace = request.apiKey === undefined ? undefined : routes.findWorkspace(request.apiKey);
@@ -136,12 +138,12 @@
         return ok({ route, workspace: workspace.name, priority, version: routes.version });
     }
 
-    /** A final "no" from a configuration that may be outdated would turn away a caller whose route or key is new. */
+    /** Creates a final refusal, or a temporary one if the configuration may be outdated: the caller's route or key may be new. */
     #createDenial(request: CallerRequest, age: number, kind: "not-found" | "unauthorized", message: string): Refusal {
         if (age > this.#options.getMaxDenialAge()) {
             return this.#createStaleRefusal(request, "The configuration may be outdated.");
         }
-        return createRefusal(kind, message, "Check the address and the key of the request.");
+        return createRefusal(kind, message, "Check the host, the path and the API key of the request.");
     }
 
     #createStaleRefusal(request: CallerRequest, message: string): Refusal {
@@ -151,7 +153,7 @@
             failure: new Failure({
                 kind: "stale",
                 message,
-                remedy: "Come back after the given time, or ask another address.",
+                remedy: "Retry after the given time, or send the request to another address.",
                 retryAfterMilliseconds: drawRetryAfterMilliseconds(timeLeft, Math.random()),
             }),
         };
@@ -189,8 +191,8 @@
 }
 
 /**
- * Draws one of a route's pools by their weights. A session draws the same one each time: drawn for each request, it would be answered by
- * unlike services in turn, and its prompt be read in each of them.
+ * Chooses one of a route's pools by their weights. All requests of a session get the same pool. If each request drew its own, different
+ * services would answer one session in turn, and each would need its own prefill of the prompt.
  */
 function choosePool(route: Route, { id, session }: CallerRequest): string {
     if (route.pools.length === 1) {
--- a/src/forwarding/index.ts
+++ b/src/forwarding/index.ts
@@ -1,4 +1,4 @@
-/** The path of a request from its admission to its final answer. */
+/** Handles requests from admission to the final answer. */
 export * from "./attempts.js";
 export * from "./callerReply.js";
 export * from "./callerRequest.js";
--- a/src/forwarding/metrics.ts
+++ b/src/forwarding/metrics.ts
@@ -1,9 +1,9 @@
 /**
- * Counters and latencies of the request path.
+ * Metrics of request forwarding.
  */
 import { Counter, Gauge, Histogram, Registry } from "prom-client";
 
-/** Buckets in seconds, from a plain call to a long stream. */
+/** Buckets in seconds, from a short call to a long stream. */
 const answerBuckets = [0.02, 0.05, 0.1, 0.15, 0.2, 0.3, 0.5, 0.75, 1, 1.5, 2, 3, 5, 10, 25];
 
 /** Creates the metrics in a registry of their own. */
@@ -14,25 +14,25 @@
         registry,
         requests: new Counter({
             name: "rattanlock_forwarded_requests_total",
-            help: "Requests that were matched with a route, by route and what is known of whether they ran.",
+            help: "Requests that matched a route, by route and by whether they ran as far as it is known.",
             labelNames: ["route", "ran"] as const,
             registers,
         }),
         refusals: new Counter({
             name: "rattanlock_refused_requests_total",
-            help: "Requests that were refused before any upstream was asked, by the kind of the refusal.",
+            help: "Requests that were refused before they were sent to any upstream, by the kind of the refusal.",
             labelNames: ["kind"] as const,
             registers,
         }),
         attempts: new Counter({
             name: "rattanlock_attempts_total",
-            help: "Requests sent to upstreams, by pool, version and how that ended.",
+            help: "Requests sent to upstreams, by pool, version and outcome.",
             labelNames: ["pool", "version", "outcome"] as const,
             registers,
         }),
         heads: new Histogram({
             name: "rattanlock_attempt_head_seconds",
-            help: "Time from the sending of a request to the head of its answer, by pool and model.",
+            help: "Time from sending a request to the head of its answer, by pool and model.",
             labelNames: ["pool", "model"] as const,
             buckets: answerBuckets,
             registers,
@@ -46,36 +46,36 @@
         }),
         inFlight: new Gauge({
             name: "rattanlock_forwarded_requests_in_flight",
-            help: "Requests that this node works on.",
+            help: "Requests in flight at this node.",
             registers,
         }),
         configurationVersion: new Gauge({
             name: "rattanlock_route_table_version",
-            help: "Version of the route table in force here.",
+            help: "Version of the route table in force at this node.",
             registers,
         }),
         configurationAge: new Gauge({
             name: "rattanlock_route_table_age_seconds",
-            help: "Time since the route table was last known to be the newest.",
+            help: "Time since the route table was last confirmed to be the latest.",
             registers,
         }),
         members: new Gauge({
             name: "rattanlock_alive_members",
-            help: "Nodes that are known to live, this one among them.",
+            help: "Nodes that are known to be alive, including this one.",
             registers,
         }),
         upstreams: new Gauge({
             name: "rattanlock_registered_upstreams",
-            help: "Upstreams that are registered, leaving ones among them.",
+            help: "Registered upstreams, including leaving ones.",
             registers,
         }),
         linesLeftOut: new Gauge({
             name: "rattanlock_log_lines_left_out",
-            help: "Log lines that were left out since the start to bound their volume.",
+            help: "Log lines that were dropped since the start to limit their volume.",
             registers,
         }),
     };
 }
 
-/** The metrics of the request path. */
+/** The metrics of request forwarding. */
 export type ForwardingMetrics = ReturnType<typeof createForwardingMetrics>;
--- a/src/forwarding/refusals.ts
+++ b/src/forwarding/refusals.ts
@@ -1,5 +1,5 @@
 /**
- * Refusals of requests that no upstream has run, and when their callers should come back.
+ * Refusals of requests that no upstream has run, with their retry delays.
  */
 import { type Err, err } from "neverthrow";
 import { Failure, type Refusal } from "../common/index.js";
@@ -7,19 +7,19 @@
 import type { Exchange } from "./exchange.js";
 
 /**
- * A refused caller comes back within this part of its time, spread evenly: later, it would have too little time left to be
- * served; all at once, they would meet the same full upstreams again.
+ * Bounds of the retry delay as shares of the caller's remaining time; delays are drawn uniformly. A caller that retries later has too
+ * little time left to be served. Callers that retry all at once meet the same full upstreams again.
  */
 const minRetryShare = 0.04;
 const maxRetryShare = 0.16;
-/** No caller is asked back sooner or later than this, in milliseconds. */
+/** Absolute bounds of the retry delay. */
 const minRetryAfterMilliseconds = 60;
 const maxRetryAfterMilliseconds = 1_500;
 
 /**
- * Draws when the caller of a refused request should come back.
- * @param timeLeftMilliseconds - What is left of its time.
- * @param random - From 0 to 1.
+ * Draws the retry delay of a refused request.
+ * @param timeLeftMilliseconds - The caller's remaining time.
+ * @param random - Random number from 0 to 1.
  */
 export function drawRetryAfterMilliseconds(timeLeftMilliseconds: number, random: number): number {
     const share = minRetryShare + random * (maxRetryShare - minRetryShare);
@@ -37,14 +37,14 @@
         outcome: "not-run",
         failure: new Failure({
             kind: reason === "nobody" ? "unavailable" : "overloaded",
-            message: `No upstream of the pool ${exchange.pool} took the request (${reason}).`,
-            remedy: "Come back after the given time.",
+            message: `No upstream of the pool ${exchange.pool} accepted the request (${reason}).`,
+            remedy: "Retry after the given time.",
             retryAfterMilliseconds: drawRetryAfterMilliseconds(exchange.getTimeLeft(), Math.random()),
         }),
     };
 }
 
-/** Creates the failure of an attempt whose answer broke off. */
+/** Creates the failure of an attempt whose answer was truncated. */
 export function createBrokenFailure(reason: string): Err<never, AttemptFailure> {
     return err({ kind: "failed", failure: { kind: "broken", reason } });
 }
--- a/src/forwarding/shutdown.ts
+++ b/src/forwarding/shutdown.ts
@@ -1,37 +1,37 @@
 /**
- * What a node that was told to stop still takes on.
+ * Decides which requests a stopping node still accepts.
  *
- * Callers keep addresses for seconds and go on connecting to a node that is leaving. Refusing them all at once would cost
- * each of them a try; taking on everything would break off what is not done when the process is killed.
+ * Callers cache addresses for seconds and continue to connect to a node that is leaving. Refusing all of them at once would cost
+ * each caller an attempt. Accepting all of them would truncate the answers that are incomplete when the process is killed.
  */
 import { type Clock, Failure } from "../common/index.js";
 import type { Route } from "../routing/index.js";
 
-/** Streams are taken on in this first part of the time to stop; most take a few seconds. */
+/** Streams are accepted during this first share of the time to stop. Most streams take a few seconds. */
 const streamAdmissionShare = 0.34;
-/** At this part of the time what is still at work is broken off, so that the process ends by itself. */
+/** Requests in flight are aborted after this share of the time to stop, so that the process exits before it is killed. */
 const abortShare = 0.95;
-/** A refused caller finds another node at once. */
+/** Retry delay of refused callers. It is short because they can reach another node at once. */
 const refusalRetryMilliseconds = 50;
 
-/** Decides from the signal to stop on. */
+/** Decides which requests are accepted after the stop signal. */
 export class Shutdown {
     readonly #clock: Clock;
     #startedAt: number | undefined;
     #stopMilliseconds = 0;
 
-    /** @param clock - Tells how long ago the signal came. */
+    /** @param clock - Measures the time since the stop signal. */
     constructor(clock: Clock) {
         this.#clock = clock;
     }
 
-    /** Whether the node was told to stop. */
+    /** Whether the stop signal was received. */
     get hasStarted(): boolean {
         return this.#startedAt !== undefined;
     }
 
     /**
-     * Notes the signal to stop.
+     * Records the stop signal.
      * @param stopMilliseconds - Time until the process is killed.
      */
     start(stopMilliseconds: number): void {
@@ -39,14 +39,14 @@
         this.#stopMilliseconds = stopMilliseconds;
     }
 
-    /** Returns the milliseconds until what is still at work has to be broken off. */
+    /** Returns the time until requests in flight have to be aborted, in milliseconds. */
     getTimeLeft(): number {
         const elapsed = this.#startedAt === undefined ? 0 : this.#clock.monotonic() - this.#startedAt;
         return this.#stopMilliseconds * abortShare - elapsed;
     }
 
     /**
-     * Tells why a request is not taken on any more, if it is not.
+     * Returns why a request is refused, or undefined when it is accepted.
      * @param route - Its route.
      */
     check(route: Route): Failure | undefined {
@@ -55,8 +55,8 @@
         }
         return new Failure({
             kind: "unavailable",
-            message: "The node is stopping, and the request might not end in time.",
-            remedy: "Ask for other addresses and send the request there.",
+            message: "The node is stopping, and the request may not complete in time.",
+            remedy: "Fetch other addresses and send the request there.",
             retryAfterMilliseconds: refusalRetryMilliseconds,
         });
     }
--- a/src/forwarding/streamExchange.ts
+++ b/src/forwarding/streamExchange.ts
@@ -1,5 +1,5 @@
 /**
- * Requests that are answered by a stream of events.
+ * Forwards requests that are answered by a stream of events.
  */
 import { Failure, type Refusal } from "../common/index.js";
 import { chooseFirstModel, chooseNextModel, type PromptLoad, type WindowedRetryBudget } from "../decisions/index.js";
@@ -9,32 +9,31 @@
 import { createNotRunRefusal } from "./refusals.js";
 import { isCertainlyNotRun } from "./upstreamCall.js";
 
-/** Status codes from here on are failures of the upstream. */
+/** Statuses from here on are failures of the upstream. */
 const minServerErrorStatus = 500;
 /**
- * A resumable stream whose runner is silent goes on elsewhere after so many times the pause at which it is late anyway;
- * callers give up after eight times.
+ * Factor on the pause objective after which a resumable stream is resumed at another runner, because its runner is unresponsive.
+ * Callers give up after eight times the objective.
  */
 const pauseTimeoutFactor = 2;
 /**
- * A runner is taken for silent when its answer does not begin in so many times the expected time and a bit more, and never
- * sooner than the least, in milliseconds. Given up sooner, crowded runners look dead: their work is thrown away and done
- * again elsewhere, which crowds the others.
+ * The timeout for the head of an answer is this factor times the expected time plus the margin, and at least the minimum. With shorter
+ * timeouts, crowded runners are taken for failed ones: their work is discarded and repeated elsewhere, which crowds other runners.
  */
 const headTimeoutFactor = 3;
 const headTimeoutMarginMilliseconds = 700;
 const minHeadTimeoutMilliseconds = 1_400;
-/** Nor before the answer is late by so much: on time at the first runner beats late at the second. */
+/** The head timeout is also at least this factor times the objective: an answer in time at the first runner beats a late one at the second. */
 const lateHeadFactor = 1.2;
-/** Without an objective, a pause is silence from here on, in milliseconds. */
+/** Pause objective of routes that configure none. */
 const defaultPauseMilliseconds = 1_000;
 
-/** How relaying an answer ended. */
+/** Result of relaying an answer. */
 type RelayResult =
     | { readonly kind: "complete"; }
     | { readonly kind: "broken"; readonly reason: string; };
 
-/** Runs the stream of one exchange. */
+/** Handles the stream of one exchange. */
 export class StreamExchange {
     readonly #exchange: Exchange;
     readonly #attempts: Attempts;
@@ -46,7 +45,7 @@
     /**
      * @param exchange - The request.
      * @param attempts - Makes the attempts.
-     * @param budget - Repeats of the pool.
+     * @param budget - The retry budget of the pool.
      */
     constructor(exchange: Exchange, attempts: Attempts, budget: WindowedRetryBudget) {
         this.#exchange = exchange;
@@ -55,7 +54,7 @@
         this.#lastEventId = exchange.request.lastEventId;
     }
 
-    /** Answers the request: by the cheapest model that does, on other runners where some fail. */
+    /** Answers the request with the cheapest sufficient model, and retries at other runners after failures. */
     async run(): Promise<void> {
         const exchange = this.#exchange;
         this.#model = this.#chooseFirstModel();
@@ -80,7 +79,7 @@
                 made.value.finish("ok", `confidence ${made.value.answer.confidence}`);
                 made.value.cancel();
                 this.#model = next;
-                // The same runner may answer with the larger model: it has read the prompt's parts for the smaller one only.
+                // The same runner may answer with the larger model: its prefill of the prompt was for the smaller model only.
                 exchange.excluded.clear();
                 continue;
             }
@@ -119,14 +118,14 @@
         });
     }
 
-    /** Tells whether another model's answer is expected to begin within the route's objective. */
+    /** Returns whether another model's answer is expected to start within the route's objective. */
     #isInTime(model: string | undefined): boolean {
         const expected = this.#attempts.estimate(this.#exchange, this.#getPromptLoad(model));
         return expected !== undefined
             && this.#exchange.getElapsed() + expected <= this.#exchange.route.objectiveMilliseconds;
     }
 
-    /** The last part of a prompt is the request's own; those before it are shared by all that ask about the same. */
+    /** Returns the load of the prompt. Its last part belongs to the request only; the parts before it may be shared with other requests. */
     #getPromptLoad(chosen: string | undefined): PromptLoad {
         const generation = this.#exchange.request.generation;
         const shared = generation?.parts.slice(0, -1) ?? [];
@@ -151,8 +150,8 @@
     }
 
     /**
-     * Passes an answer on, event by event.
-     * @returns Whether the exchange is over.
+     * Relays an answer event by event.
+     * @returns Whether the exchange has ended.
      */
     async #relay(attempt: Attempt): Promise<boolean> {
         const { answer } = attempt;
@@ -177,8 +176,8 @@
             reply.end();
             return true;
         }
-        // A stream without a known end is asked for what follows its last event: if it was whole, nothing does.
-        const reason = end.kind === "broken" ? end.reason : "may not be whole";
+        // A stream without a known end is resumed after its last event. If it was complete, no events follow.
+        const reason = end.kind === "broken" ? end.reason : "the answer may be incomplete";
         attempt.finish(this.#exchange.ended.aborted ? "cancelled" : "failed", reason);
         attempt.cancel();
         this.#splitter.reset();
@@ -218,7 +217,7 @@
             return { kind: "complete" };
         }
         catch (cause) {
-            const reason = isTimedOut ? `silent for ${pauseTimeout} ms` : ended.aborted ? "ended" : String(cause);
+            const reason = isTimedOut ? `no event for ${pauseTimeout} ms` : ended.aborted ? "ended" : String(cause);
             return { kind: "broken", reason };
         }
         finally {
@@ -264,8 +263,8 @@
             outcome: this.#exchange.outcome,
             failure: new Failure({
                 kind: "upstream-failed",
-                message: "No runner gave an answer, and the request may have run.",
-                remedy: "Send it again if it may be repeated.",
+                message: "No runner sent a complete answer, and the request may have run.",
+                remedy: "Retry the request if it is safe to repeat.",
             }),
         };
     }
--- a/src/forwarding/unaryExchange.ts
+++ b/src/forwarding/unaryExchange.ts
@@ -1,5 +1,5 @@
 /**
- * Requests with one whole answer.
+ * Forwards requests that are answered as a whole.
  */
 import { ok, type Result } from "neverthrow";
 import { Failure, type Refusal } from "../common/index.js";
@@ -10,23 +10,23 @@
 import { isCertainlyNotRun, type UpstreamAnswer } from "./upstreamCall.js";
 
 /**
- * Part of the time left that a repeatable request waits for one upstream while another attempt is allowed. An upstream
- * that fell silent would otherwise use up the whole deadline; the answer of a sound one takes a small part of it.
+ * Share of the remaining time that a repeatable request waits for one upstream while another attempt is allowed. Otherwise an
+ * unresponsive upstream would use up the whole deadline. A healthy upstream needs only a small part of the time.
  */
 const attemptTimeoutShare = 0.4;
-/** A silent upstream is not given up sooner, in milliseconds: the slowest one in a hundred answers takes 220. */
+/** Minimum timeout of an attempt: the slowest one in a hundred answers takes 220 ms. */
 const minAttemptTimeoutMilliseconds = 300;
-/** Status codes from here on are failures of the upstream. */
+/** Statuses from here on are failures of the upstream. */
 const minServerErrorStatus = 500;
 
-/** An answer that was read to its end. */
+/** An answer that was read completely. */
 interface BufferedAnswer {
     readonly head: UpstreamAnswer;
     readonly body: Buffer;
 }
 
 /**
- * Answers a request, trying another upstream where the first one failed and the request may be repeated.
+ * Answers a request. Retries at another upstream after a failure if the request may be repeated.
  * @param exchange - The request.
  * @param attempts - Makes the attempts.
  */
@@ -71,7 +71,7 @@
     return Math.max(minAttemptTimeoutMilliseconds, exchange.getTimeLeft() * attemptTimeoutShare);
 }
 
-/** Tells whether the failure of an attempt leaves another one open. Attempts themselves are bounded elsewhere. */
+/** Returns whether another attempt is permitted after a failure. The number of attempts is limited by `Attempts`. */
 function canRetry(exchange: Exchange, error: AttemptFailure): boolean {
     if (error.kind === "not-made") {
         return false;
@@ -93,19 +93,19 @@
         }
     }
     catch (cause) {
-        attempt.finish(exchange.ended.aborted ? "cancelled" : "failed", `broke off: ${String(cause)}`);
+        attempt.finish(exchange.ended.aborted ? "cancelled" : "failed", `truncated: ${String(cause)}`);
         return createBrokenFailure(String(cause));
     }
     attempt.finish(answer.status >= minServerErrorStatus ? "error" : "ok", `status ${answer.status}`);
     return ok({ head: answer, body: Buffer.concat(chunks) });
 }
 
-/** Tells whether another upstream may do better: this one failed, or what it gave may be a part only. */
+/** Returns whether a retry may give a better answer: this one is a failure or may be incomplete. */
 function isFailedOrPartial({ head }: BufferedAnswer): boolean {
     return head.status >= minServerErrorStatus || !head.hasKnownEnd;
 }
 
-/** A success that may be a part beats a failure. */
+/** Chooses between two poor answers. A success that may be incomplete is better than a failure. */
 function chooseFallback(first: BufferedAnswer | undefined, second: BufferedAnswer): BufferedAnswer {
     return first !== undefined && first.head.status < minServerErrorStatus ? first : second;
 }
@@ -126,7 +126,7 @@
     fallbackAnswer: BufferedAnswer | undefined,
 ): Promise<void> {
     if (fallbackAnswer !== undefined) {
-        // What the upstream itself said is worth more than any answer of the router's.
+        // The upstream's own failure tells the caller more than a refusal by the router.
         await sendAnswer(exchange, fallbackAnswer);
         return;
     }
@@ -144,8 +144,8 @@
         outcome: exchange.outcome,
         failure: new Failure({
             kind: "upstream-failed",
-            message: "The upstream broke off, and the request may have run.",
-            remedy: "Find out whether it took effect before sending it again.",
+            message: "The upstream sent no complete answer, and the request may have run.",
+            remedy: "Check whether it took effect before sending it again.",
         }),
     };
 }
--- a/src/forwarding/upstreamCall.ts
+++ b/src/forwarding/upstreamCall.ts
@@ -1,27 +1,27 @@
 /**
- * One call to one upstream, whatever the protocol it is made with.
+ * One call to one upstream, independent of the protocol.
  */
 import type { Result } from "neverthrow";
 import type { RegisteredUpstream } from "../fleet/index.js";
 import type { CallerRequest } from "./callerRequest.js";
 
-/** What is sent to an upstream. */
+/** Parameters of a call to an upstream. */
 export interface UpstreamCall {
     readonly request: CallerRequest;
-    /** Time that is left, in milliseconds. */
+    /** Remaining time in milliseconds. */
     readonly deadlineMilliseconds: number;
     readonly workspace: string | undefined;
-    /** The model that is to answer; undefined leaves what the caller sent. */
+    /** The model that has to answer. Undefined keeps the model that the caller sent. */
     readonly model: string | undefined;
     /** 0 is the most urgent, 9 the least. */
     readonly urgency: number;
-    /** The last event that the caller has, where a stream goes on. */
+    /** Identifier of the last event that the caller received, when a stream is resumed. */
     readonly lastEventId: string | undefined;
-    /** Ends the call and its work at the upstream. */
+    /** Cancels the call and its work at the upstream. */
     readonly signal: AbortSignal;
 }
 
-/** Load that came with an answer. */
+/** Load that an upstream reported with an answer. */
 export interface ReportedLoad {
     readonly running: number;
     readonly waiting: number;
@@ -33,24 +33,24 @@
     readonly status: number;
     /** Headers for the caller, as a flat list of names and values. */
     readonly headers: readonly string[];
-    /** Whether the upstream vouches that the answer is its own. */
+    /** Whether the upstream proves that the answer is its own. */
     readonly isSealed: boolean;
-    /** The model's opinion of its answer, 0 to 100. */
+    /** The model's confidence in its answer, 0 to 100. */
     readonly confidence: number | undefined;
     readonly load: ReportedLoad | undefined;
     /**
-     * Whether a whole body can be told from a part of it. An answer without a length ends with its connection, and one whose
-     * upstream died looks the same; the router then must not say that the answer is whole.
+     * Whether a complete body can be distinguished from a truncated one. An answer without a length ends with its connection, and one
+     * whose upstream failed looks the same. The router must not present such an answer as complete.
      */
     readonly hasKnownEnd: boolean;
     readonly body: AsyncIterable<Buffer>;
 }
 
 /**
- * How a call failed.
- * - `not-sent`: no connection; nothing was sent.
- * - `refused`: the upstream says that it has not run the request.
- * - `replaced`: another upstream has the address, and has not run the request.
+ * Kinds of failed calls.
+ * - `not-sent`: no connection was established, and nothing was sent.
+ * - `refused`: the upstream states that it has not run the request.
+ * - `replaced`: another upstream uses the address and has not run the request.
  * - `broken`: the request may have run.
  */
 export type UpstreamFailureKind = "not-sent" | "refused" | "replaced" | "broken";
@@ -58,7 +58,7 @@
 /** A failed call. */
 export interface UpstreamCallFailure {
     readonly kind: UpstreamFailureKind;
-    /** For logs. */
+    /** Reason for log lines. */
     readonly reason: string;
     readonly load?: ReportedLoad;
 }
@@ -66,16 +66,16 @@
 /** Calls upstreams. */
 export interface UpstreamTransport {
     /**
-     * Makes one call; never repeats it.
-     * @param upstream - Whom to call.
+     * Makes one call. Never retries it.
+     * @param upstream - The upstream to call.
      * @param call - What to send.
      */
     call(upstream: RegisteredUpstream, call: UpstreamCall): Promise<Result<UpstreamAnswer, UpstreamCallFailure>>;
-    /** Opens new connections to an upstream from now on: one of the open ones fell silent, and others may be as dead. */
+    /** Uses new connections to an upstream from now on: one of the open ones is unresponsive, and others may be dead as well. */
     renewConnections(upstream: RegisteredUpstream): void;
 }
 
-/** Tells whether a failed call certainly did not run and never will. */
+/** Returns whether a failed call certainly has not run and never will. */
 export function isCertainlyNotRun(failure: UpstreamCallFailure): boolean {
     return failure.kind !== "broken";
 }
--- a/src/routing/pool.ts
+++ b/src/routing/pool.ts
@@ -5,14 +5,14 @@
 /** A model that a pool's engines serve. */
 export interface PricedModel {
     readonly name: string;
-    /** Price of a thousand generated tokens; tokens read count a quarter. */
+    /** Price of a thousand generated tokens. Prompt tokens cost a quarter. */
     readonly price: number;
 }
 
-/** What is configured of a pool. */
+/** Configuration of a pool. */
 export interface Pool {
     readonly name: string;
-    /** Connections that one upstream accepts from all callers together. */
+    /** Maximum number of connections that one upstream accepts from all nodes together. */
     readonly maxConnections: number;
     /** Empty for plain services. */
     readonly models: readonly PricedModel[];
--- a/src/routing/routeTable.ts
+++ b/src/routing/routeTable.ts
@@ -4,29 +4,29 @@
 import type { Pool } from "./pool.js";
 import type { Route } from "./route.js";
 
-/** A workspace, found by one of its API keys. */
+/** A workspace that is identified by an API key. */
 export interface KeyedWorkspace {
     readonly name: string;
     /** Takes precedence over the priority of a route. */
     readonly priority: number | undefined;
 }
 
-/** Bounds on what callers may send. */
+/** Limits on requests and connections of callers. */
 export interface CallerLimits {
     readonly headerBytes: number;
     readonly bodyBytes: number;
-    /** Time that a caller may take for the headers of a request, in milliseconds. */
+    /** Maximum time for the headers of a request, in milliseconds. */
     readonly headerMilliseconds: number;
-    /** Time that a connection may stay without a request, in milliseconds. */
+    /** Maximum time that a connection may stay idle, in milliseconds. */
     readonly idleMilliseconds: number;
 }
 
-/** Content of a route table. */
+/** Options of a route table. */
 export interface RouteTableOptions {
     readonly version: number;
     readonly routes: readonly Route[];
     readonly pools: readonly Pool[];
-    /** By API key. Undefined when requests carry no keys at all. */
+    /** Workspaces by API key. Undefined when requests carry no keys. */
     readonly workspaces: ReadonlyMap<string, KeyedWorkspace> | undefined;
     readonly limits: CallerLimits;
 }
@@ -52,14 +52,14 @@
             byHost.set(host, [...byHost.get(host) ?? [], route]);
         }
         for (const [host, routes] of byHost) {
-            // Longest prefix first, so that the first match is the right one.
+            // The longest prefix comes first, so that the first match is the most specific one.
             this.#routesByHost.set(host, routes.sort((a, b) => b.pathPrefix.length - a.pathPrefix.length));
         }
     }
 
     /**
-     * Returns the route with the longest prefix of a path.
-     * @param host - Host of the request; a port is passed over.
+     * Returns the route with the longest matching path prefix.
+     * @param host - Host of the request. A port is ignored.
      * @param path - Path without the query.
      */
     findRoute(host: string, path: string): Route | undefined {
@@ -72,13 +72,13 @@
         return undefined;
     }
 
-    /** Tells whether requests on routes that are not public need an API key. */
+    /** Returns whether requests on routes that are not public need an API key. */
     needsKeys(): boolean {
         return this.#workspaces !== undefined;
     }
 
     /**
-     * Returns the workspace that holds an API key.
+     * Returns the workspace of an API key.
      * @param key - The key.
      */
     findWorkspace(key: string): KeyedWorkspace | undefined {
@@ -87,7 +87,7 @@
 
     /**
      * Returns a pool.
-     * @param name - Its name.
+     * @param name - The pool's name.
      */
     getPool(name: string): Pool | undefined {
         return this.#pools.get(name);
--- a/src/upstream/engineClient.ts
+++ b/src/upstream/engineClient.ts
@@ -8,34 +8,34 @@
 import { type EngineEvent, readEvents, type TokenUsage } from "./engineStream.js";
 import { classifyCallError, classifyRefusal, type UpstreamFailure } from "./upstreamFailure.js";
 
-/** How much later than the deadline the HTTP client itself gives up. */
+/** The timeout of the HTTP client exceeds the deadline by this time. */
 const timeoutSlackMilliseconds = 2000;
 
-/** A chat completion to be run on an engine. */
+/** A chat completion to run on an engine. */
 export interface EngineRequest {
-    /** Identifies the stream on the engine, unique for each attempt. */
+    /** Identifies the stream on the engine. Unique for each attempt. */
     readonly streamId: string;
     readonly version: string;
     readonly requestClass: string;
     readonly priority: number;
     readonly deadlineMilliseconds: number;
-    /** The chat-completions body as the caller sent it, parsed. */
+    /** The parsed chat-completions body as sent by the caller. */
     readonly body: Readonly<Record<string, unknown>>;
     readonly signal: AbortSignal;
 }
 
-/** An answer that an engine has begun. */
+/** An answer that an engine has started. */
 export interface EngineAnswer {
-    /** The version that the engine says it runs. */
+    /** The version that the engine reports. */
     readonly version: string;
-    /** The engine's load as it told it: `running/waiting/capacity`. */
+    /** The engine's reported load as `running/waiting/capacity`. */
     readonly loadHeader: string | undefined;
     readonly events: AsyncGenerator<EngineEvent>;
 }
 
-/** What an engine says about a cancelled stream. */
+/** Result of cancelling a stream. */
 export interface Cancellation {
-    /** `read`: somebody else reads the stream, so it goes on. `over`: there is nothing to cancel. */
+    /** `read`: the stream has another reader and continues. `over`: there is nothing to cancel. */
     readonly kind: "cancelled" | "read" | "over";
     readonly usage: TokenUsage | undefined;
 }
@@ -43,7 +43,7 @@
 /** Options of an engine client. */
 export interface EngineClientOptions {
     readonly dispatcher: Dispatcher;
-    /** How long an engine may take to answer anything but a completion, in milliseconds. */
+    /** Timeout for the response headers of all calls except completions, in milliseconds. */
     readonly headersTimeoutMilliseconds: number;
 }
 
@@ -67,9 +67,9 @@
             const response = await request(`${getOrigin(runner)}/v1/chat/completions`, {
                 method: "POST",
                 dispatcher: this.#dispatcher,
-                // The headers come with the first token, so they may take as long as the whole answer. The signal ends
-                // the request at its deadline; a coarse timer that fires a little before it would look like a broken
-                // connection, and the caller would be told of a missing upstream in place of its deadline.
+                // The headers arrive with the first token, so they may take as long as the whole answer. The signal ends the
+                // request at its deadline. A coarse timer that fires a little earlier would look like a broken connection, and
+                // the caller would receive an upstream failure instead of the timeout.
                 headersTimeout: options.deadlineMilliseconds + timeoutSlackMilliseconds,
                 bodyTimeout: options.deadlineMilliseconds + timeoutSlackMilliseconds,
                 signal: options.signal,
@@ -99,7 +99,7 @@
      * @param runner - The VM of the engine that holds the stream.
      * @param streamId - The stream.
      * @param lastId - Number of the last event already seen.
-     * @param signal - Ends the reading.
+     * @param signal - Stops the reading.
      */
     async resume(
         runner: Vm,
@@ -125,7 +125,7 @@
      * Cancels a stream.
      * @param runner - The VM of the engine that holds the stream.
      * @param streamId - The stream.
-     * @param onlyWhenIdle - Whether to leave the stream alone while somebody else reads it.
+     * @param onlyWhenIdle - Whether to leave the stream alone while it has another reader.
      */
     async cancel(
         runner: Vm,
@@ -152,7 +152,7 @@
     }
 
     /**
-     * Asks an upstream for its load.
+     * Requests the load of an upstream.
      * @param upstream - The VM of the upstream.
      */
     async getLoad(upstream: Vm): Promise<Result<LoadReport, UpstreamFailure>> {
@@ -176,7 +176,7 @@
     /**
      * Reads an engine's cache events.
      * @param runner - The VM of the engine.
-     * @param from - The first sequence number wanted.
+     * @param from - The first sequence number to return.
      */
     async getCacheEvents(runner: Vm, from: number): Promise<Result<CacheEventPage, UpstreamFailure>> {
         try {
@@ -204,20 +204,20 @@
     readonly block: string;
 }
 
-/** A part of an engine's cache events. */
+/** A page of an engine's cache events. */
 export interface CacheEventPage {
     readonly events: readonly CacheEvent[];
     readonly next: number;
 }
 
-/** Returns the URL under which a VM's upstream is reached. */
+/** Returns the base URL of a VM's upstream. */
 export function getOrigin(upstream: Vm): string {
     return `http://${upstream.address}:${upstream.port}`;
 }
 
 /**
- * Returns a header that was sent once.
- * @param header - The header as the HTTP client shows it.
+ * Returns the value of a header that was sent exactly once.
+ * @param header - The header in the form of the HTTP client.
  */
 export function getSingleHeader(header: string | string[] | undefined): string | undefined {
     return typeof header === "string" ? header : undefined;
@@ -261,7 +261,7 @@
 function createVersionMissingFailure(runner: Vm): Failure {
     return new Failure({
         kind: "protocol",
-        message: `The engine ${runner.id} does not say which version it runs.`,
+        message: `The engine ${runner.id} does not report which version it runs.`,
         remedy: "Configure the engine to send X-Model-Version.",
     });
 }
--- a/src/upstream/engineOrders.ts
+++ b/src/upstream/engineOrders.ts
@@ -1,5 +1,5 @@
 /**
- * Gives orders to model engines and reads back what they run (docs/design/interfaces.md, "Model engine").
+ * Sends orders to model engines and reads their reported state (docs/design/interfaces.md, "Model engine").
  */
 import { err, ok, type Result } from "neverthrow";
 import { type Dispatcher, request } from "undici";
@@ -20,14 +20,14 @@
     leaving: z.boolean(),
 });
 
-/** What an engine reports of itself to whoever orders it. */
+/** State that an engine reports to the sender of its orders. */
 export interface EngineReport extends EngineState {
-    /** Whether it works on nothing. */
+    /** Whether it has no running or waiting requests. */
     readonly isIdle: boolean;
     readonly isLeaving: boolean;
 }
 
-/** Orders engines. */
+/** Sends orders to engines. */
 export class EngineOrders {
     readonly #dispatcher: Dispatcher;
 
@@ -36,9 +36,9 @@
     }
 
     /**
-     * Reads what an engine runs.
+     * Reads the state of an engine.
      * @param runner - The VM of the engine.
-     * @param deadlineMilliseconds - How long it may take.
+     * @param deadlineMilliseconds - Timeout of the call.
      */
     async read(runner: Vm, deadlineMilliseconds: number): Promise<Result<EngineReport, Failure>> {
         const read = await this.#send(runner, "GET", "/load", undefined, deadlineMilliseconds);
@@ -53,10 +53,10 @@
     }
 
     /**
-     * Orders an engine into a state. That it obeyed shows in its report only.
+     * Orders an engine into a state. Only the engine's report shows whether the order took effect.
      * @param runner - The VM of the engine.
-     * @param order - The whole state.
-     * @param deadlineMilliseconds - How long it may take.
+     * @param order - The complete state.
+     * @param deadlineMilliseconds - Timeout of the call.
      */
     async order(runner: Vm, order: EngineOrder, deadlineMilliseconds: number): Promise<Result<void, Failure>> {
         const sent = await this.#send(runner, "POST", "/orders", order, deadlineMilliseconds);
@@ -74,8 +74,8 @@
             const response = await request(`${getOrigin(runner)}${path}`, {
                 method,
                 dispatcher: this.#dispatcher,
-                // One bound for connecting, sending and reading: an order that lies in a queue for longer is given up,
-                // so that it can't reach the engine long after another holder's.
+                // One timeout covers connecting, sending and reading. An order that is queued for longer is given up, so that it
+                // cannot reach the engine long after the order of another lease holder.
                 signal: AbortSignal.timeout(deadlineMilliseconds),
                 headers: body === undefined ? {} : { "content-type": "application/json" },
                 body: body === undefined ? undefined : JSON.stringify(body),
@@ -97,16 +97,16 @@
 function createStaleFailure(runner: Vm): Failure {
     return new Failure({
         kind: "stale",
-        message: `The engine ${runner.id} has seen a newer fencing number.`,
-        remedy: "Leave the engine to the lease's present holder.",
+        message: `The engine ${runner.id} has seen a newer fencing token.`,
+        remedy: "Leave the engine to the current lease holder.",
     });
 }
 
 function createUnreadableFailure(runner: Vm, cause: unknown): Failure {
     return new Failure({
         kind: "protocol",
-        message: `The engine ${runner.id} reports its load in a form that cannot be read.`,
-        remedy: "Have it report versions, running, waiting and leaving.",
+        message: `The engine ${runner.id} sends a malformed load report.`,
+        remedy: "Configure the engine to report versions, running, waiting and leaving.",
         cause,
     });
 }
--- a/src/upstream/engineStream.ts
+++ b/src/upstream/engineStream.ts
@@ -1,18 +1,18 @@
 /**
- * A streamed answer of a model engine.
+ * Streamed answers of model engines.
  */
 import { createParser } from "eventsource-parser";
 import { Failure } from "../common/index.js";
 
 /** One server-sent event of an answer. */
 export interface EngineEvent {
-    /** Place in the stream, from 1 without gaps. */
+    /** Position in the stream, counted from 1 without gaps. */
     readonly id: number;
     /** JSON text of a chunk, or `[DONE]`. */
     readonly data: string;
 }
 
-/** Tokens that an answer took. */
+/** Token counts of an answer. */
 export interface TokenUsage {
     readonly inputTokens: number;
     readonly cachedTokens: number;
@@ -25,10 +25,10 @@
 /**
  * Reads the events of an answer in order.
  *
- * Events that repeat are passed over. A gap in the numbers means that a piece of the answer is missing; it ends
- * the reading with a failure, because a caller must never get an answer with a hole in it.
+ * Repeated events are skipped. A gap in the numbers means that a part of the answer is missing. It ends the reading with a
+ * failure, because a caller must never receive an answer with a gap.
  * @param body - Body of the engine's response.
- * @param lastId - Number of the last event already seen; 0 at the start.
+ * @param lastId - Number of the last event already read; 0 at the start.
  */
 export async function* readEvents(body: AsyncIterable<Uint8Array>, lastId: number): AsyncGenerator<EngineEvent> {
     const parsedEvents: EngineEvent[] = [];
@@ -59,7 +59,7 @@
     throw createTruncatedFailure(lastReadId);
 }
 
-/** The part of a chunk that tells the tokens used. */
+/** The part of a chunk that contains the token usage. */
 interface UsageChunk {
     readonly usage?: {
         readonly prompt_tokens?: number;
@@ -69,7 +69,7 @@
 }
 
 /**
- * Returns the tokens used if a chunk tells them. Only the last chunk of an answer does.
+ * Returns the token usage if a chunk contains it. Only the last chunk of an answer does.
  * @param data - JSON text of the chunk.
  */
 export function readUsage(data: string): TokenUsage | undefined {
@@ -98,7 +98,7 @@
 function createTruncatedFailure(lastReadId: number): Failure {
     return new Failure({
         kind: "upstream-failed",
-        message: `The answer's stream ended after event ${lastReadId} without its end mark.`,
+        message: `The answer's stream ended after event ${lastReadId} without its end marker.`,
         remedy: "Resume the stream after that event.",
     });
 }
--- a/src/upstream/ratingClient.ts
+++ b/src/upstream/ratingClient.ts
@@ -5,7 +5,7 @@
 import { type Dispatcher, request } from "undici";
 import { Failure } from "../common/index.js";
 
-/** An answer to be rated. */
+/** An answer to rate. */
 export interface RatingRequest {
     readonly id: string;
     readonly version: string;
@@ -21,10 +21,10 @@
     readonly timeoutMilliseconds: number;
 }
 
-/** Failures in a row after which the service counts as away. Sampled answers go on asking, so its return shows. */
+/** Consecutive failures after which the service counts as unavailable. Sampled answers are still sent, so its return is detected. */
 const unavailableAfterFailures = 3;
 
-/** Asks for ratings. */
+/** Requests ratings. */
 export class RatingClient {
     readonly #url: string;
     readonly #dispatcher: Dispatcher;
@@ -37,15 +37,15 @@
         this.#timeout = options.timeoutMilliseconds;
     }
 
-    /** Tells whether ratings come, so that plans may build on them. */
+    /** Returns whether the service is available, so that plans may rely on ratings. */
     isAvailable(): boolean {
         return this.#failuresInRow < unavailableAfterFailures;
     }
 
     /**
-     * Rates an answer. The score is `undefined` when the service leaves this answer unrated.
+     * Rates an answer. The score is `undefined` when the service leaves the answer unrated.
      * @param rating - The answer.
-     * @param timeoutMilliseconds - How long to wait; by default the client's own time-out.
+     * @param timeoutMilliseconds - Timeout of the call; by default the client's own timeout.
      */
     async rate(
         rating: RatingRequest,
@@ -95,7 +95,7 @@
 function createFailure(reason: string): Failure {
     return new Failure({
         kind: "unavailable",
-        message: `The rating service gave no rating: ${reason}.`,
-        remedy: "Go on without it; the answer counts as unrated.",
+        message: `The rating service returned no rating: ${reason}.`,
+        remedy: "Continue without it; the answer counts as unrated.",
     });
 }
--- a/src/upstream/serviceClient.ts
+++ b/src/upstream/serviceClient.ts
@@ -1,5 +1,5 @@
 /**
- * Client of plain services: passes calls through without looking into them.
+ * Client of plain services. Forwards calls without interpreting them.
  */
 import { err, ok, type Result } from "neverthrow";
 import { type Dispatcher, request } from "undici";
@@ -13,7 +13,7 @@
 export interface ServiceCall {
     readonly requestId: string;
     readonly method: string;
-    /** Path with its query, from `/`. */
+    /** Path with query, starting with `/`. */
     readonly path: string;
     readonly headers: Readonly<Record<string, string>>;
     readonly body: Uint8Array | undefined;
@@ -22,16 +22,16 @@
     readonly signal: AbortSignal;
 }
 
-/** The whole answer of a plain service. */
+/** The complete answer of a plain service. */
 export interface ServiceAnswer {
     readonly status: number;
     readonly headers: Readonly<Record<string, string>>;
     readonly body: Uint8Array;
-    /** The service's load as it told it: `running/waiting/capacity`. */
+    /** The service's reported load as `running/waiting/capacity`. */
     readonly loadHeader: string | undefined;
 }
 
-/** Headers of an answer that are passed on to the caller. */
+/** Headers of an answer that are forwarded to the caller. */
 const forwardedHeaders = ["content-type", "content-language", "location", "etag", "last-modified", "cache-control"];
 
 const leavingStatus = 409;
@@ -41,7 +41,7 @@
 /** Options of a service client. */
 export interface ServiceClientOptions {
     readonly dispatcher: Dispatcher;
-    /** Largest answer that is passed on, in bytes. */
+    /** Maximum size of an answer that is forwarded, in bytes. */
     readonly maxAnswerBytes: number;
 }
 
@@ -56,7 +56,7 @@
     }
 
     /**
-     * Makes one call; never repeats it.
+     * Makes one call. Never retries it.
      * @param service - The VM of the service.
      * @param call - The call.
      */
@@ -112,14 +112,14 @@
         return new Failure({
             kind: "upstream-failed",
             message: `The answer of ${service.id} is larger than ${this.#maxAnswerBytes} bytes.`,
-            remedy: "Ask the service for less, or raise the limit in the entry's settings.",
+            remedy: "Request less from the service, or raise the limit in the entry's settings.",
         });
     }
 }
 
 /**
- * Tells whether an answer is the refusal of a service that is leaving, which it sends before any work. No other answer
- * proves that nothing ran: a service may well have printed a label before it answered with an error.
+ * Returns whether an answer is the refusal of a leaving service, which it sends before any work. No other answer proves that
+ * nothing ran: a service may have printed a label before it answered with an error.
  */
 function isLeavingRefusal(answer: ServiceAnswer): boolean {
     const isProblem = answer.headers["content-type"]?.startsWith("application/problem+json") === true;
--- a/src/upstream/upstreamConnector.ts
+++ b/src/upstream/upstreamConnector.ts
@@ -1,5 +1,5 @@
 /**
- * Opens encrypted connections to upstreams, and shows them the site's certificate.
+ * Opens encrypted connections to upstreams with the site's certificate.
  */
 import { Agent, buildConnector, type Dispatcher } from "undici";
 import type { Credentials } from "../common/index.js";
@@ -10,8 +10,8 @@
     #connect: buildConnector.connector;
 
     /**
-     * @param credentials - What is shown, and whom the connector trusts.
-     * @param timeoutMilliseconds - How long a connection may take to open.
+     * @param credentials - The certificate to present and the authority to trust.
+     * @param timeoutMilliseconds - Timeout for opening a connection.
      */
     constructor(credentials: Credentials, timeoutMilliseconds: number) {
         this.#timeoutMilliseconds = timeoutMilliseconds;
@@ -19,14 +19,14 @@
     }
 
     /**
-     * Renews the credentials. Connections made from now on use them; those that are open stay.
+     * Replaces the credentials. New connections use them; open connections keep the old ones.
      * @param credentials - The renewed credentials.
      */
     setCredentials(credentials: Credentials): void {
         this.#connect = this.#createConnector(credentials);
     }
 
-    /** Creates the dispatcher for all calls to upstreams; it opens no connection in the clear. */
+    /** Creates the dispatcher for all calls to upstreams. It never opens an unencrypted connection. */
     createDispatcher(): Dispatcher {
         const agent = new Agent({ connect: (options, callback) => this.#connect(options, callback) });
         return agent.compose(dispatch => (options, handler) => dispatch(encrypt(options), handler));
@@ -43,7 +43,7 @@
     }
 }
 
-/** Clients name upstreams by address alone; whether the way there is encrypted is the site's choice, not theirs. */
+/** Changes the scheme to HTTPS. Clients build URLs from addresses only; whether connections are encrypted is a setting of the site. */
 function encrypt(options: Dispatcher.DispatchOptions): Dispatcher.DispatchOptions {
     return { ...options, origin: String(options.origin).replace(/^http:/, "https:") };
 }
--- a/src/upstream/upstreamFailure.ts
+++ b/src/upstream/upstreamFailure.ts
@@ -1,5 +1,5 @@
 /**
- * Failures of calls to upstreams, with what is known about whether the call was executed.
+ * Failures of calls to upstreams, and whether the call was executed.
  */
 import { errors } from "undici";
 import { Failure, type Outcome } from "../common/index.js";
@@ -7,11 +7,11 @@
 /** A failed call to an upstream. */
 export interface UpstreamFailure {
     readonly failure: Failure;
-    /** `not-run` only when nothing was written or the upstream itself refused before any work. */
+    /** `not-run` only when nothing was written, or when the upstream itself refused before any work. */
     readonly outcome: Outcome;
 }
 
-/** Codes of the operating system that mean that no connection existed, hence nothing was written. */
+/** System and client error codes that prove that no connection was established, so nothing was written. */
 const connectFailureCodes: ReadonlySet<string> = new Set([
     "ECONNREFUSED",
     "EHOSTUNREACH",
@@ -23,10 +23,10 @@
 /**
  * Classifies an exception of the HTTP client.
  *
- * A connection that breaks after the request was written may have broken before or after the upstream acted. Only
- * a failure to connect proves that nothing ran; everything else is `unknown`, or a caller would be told "not run"
- * of something that ran.
- * @param error - What the HTTP client threw.
+ * A connection that breaks after the request was written may have broken before or after the upstream acted. Only a failure to
+ * connect proves that nothing ran. Everything else is `unknown`; otherwise a caller could be told that a request has not run
+ * although it has.
+ * @param error - The exception of the HTTP client.
  * @param upstream - Name of the upstream, for the message.
  */
 export function classifyCallError(error: unknown, upstream: string): UpstreamFailure {
@@ -36,16 +36,16 @@
         failure: new Failure({
             kind: "upstream-failed",
             message: `The call to ${upstream} failed: ${describe(error)}.`,
-            remedy: outcome === "not-run" ? "Send the request again." : "Ask for its outcome before sending it again.",
+            remedy: outcome === "not-run" ? "Send the request again." : "Check its outcome before sending it again.",
             cause: error,
         }),
     };
 }
 
 /**
- * Classifies a status with which an upstream refused a request.
+ * Classifies the status with which an upstream refused a request.
  *
- * The interfaces promise that 404 (version not loaded), 409 (leaving), 429 and 503 are sent before any work.
+ * The interfaces guarantee that 404 (version not loaded), 409 (leaving), 429 and 503 are sent before any work.
  * @param status - HTTP status.
  * @param upstream - Name of the upstream.
  * @param retryAfterSeconds - Value of `Retry-After`, if sent.
@@ -59,13 +59,13 @@
             message: `The upstream ${upstream} answered with status ${status}.`,
             remedy: isRefusedBeforeWork
                 ? "Send the request to another upstream."
-                : "Ask for its outcome before sending it again.",
+                : "Check its outcome before sending it again.",
             retryAfterMilliseconds: retryAfterSeconds === undefined ? undefined : retryAfterSeconds * 1000,
         }),
     };
 }
 
-/** Tells whether an exception of the HTTP client proves that no connection existed, hence nothing was written. */
+/** Returns whether an exception of the HTTP client proves that no connection was established, so nothing was written. */
 export function provesNothingWritten(error: unknown): boolean {
     if (error instanceof errors.ConnectTimeoutError) {
         return true;
--- a/src/upstream/vmListClient.ts
+++ b/src/upstream/vmListClient.ts
@@ -21,7 +21,7 @@
 
 const listSchema = z.object({ vms: z.array(vmSchema) });
 
-/** A list with the tag under which the platform knows it. */
+/** A VM list with its entity tag. */
 interface TaggedList {
     readonly tag: string;
     readonly vms: readonly Vm[];
@@ -48,8 +48,8 @@
     }
 
     /**
-     * Returns all VMs of the site, as old as the platform's lag. The same array comes back while the list is unchanged:
-     * thousands of VMs read whole every second would take many times the bytes that control may spend.
+     * Returns all VMs of the site, with the delay of the platform's list. Returns the same array while the list is unchanged.
+     * Reading the complete list of thousands of VMs every second would exceed the bandwidth for control traffic many times.
      */
     async getVms(): Promise<Result<readonly Vm[], Failure>> {
         try {
@@ -86,6 +86,6 @@
     return new Failure({
         kind: "unavailable",
         message: `The VM list could not be read: ${reason}.`,
-        remedy: "Go on with the list that was read last.",
+        remedy: "Continue with the list that was read last.",
     });
 }
--- a/test/fleet/upstreamRegistry.test.ts
+++ b/test/fleet/upstreamRegistry.test.ts
@@ -15,7 +15,7 @@
 
 describe("UpstreamRegistry", () => {
     describe("set", () => {
-        it("gives work to those that are ready, and none to those that leave", () => {
+        it("returns upstreams that are ready and omits those that are leaving", () => {
             const { registry, getTaking } = createRegistry();
             registry.set(createUpstream("a"));
             registry.set(createUpstream("b"));
@@ -23,9 +23,9 @@
             expect(getTaking()).toEqual(["a"]);
         });
 
-        // A runner crashes and starts again under the identifier that it had. Its memory and its load are gone, so what
-        // was learned of it is wrong: callers would wait at a runner that seemed to hold their prompt.
-        it("tells that what was learned is void when an upstream was started anew", () => {
+        // A runner crashes and restarts under the same identifier. Its cache and its load are lost, so the state collected for it is wrong:
+        // requests would queue at a runner that seems to have their prompt cached.
+        it("notifies listeners when an upstream was restarted", () => {
             const { registry, gone } = createRegistry();
             registry.set(createUpstream("a", { startedAt: 1 }));
             registry.set(createUpstream("a", { startedAt: 1, isLeaving: true }));
@@ -36,16 +36,16 @@
     });
 
     describe("remove", () => {
-        it("forgets an upstream at once when its entry is gone for good", () => {
+        it("removes an upstream at once without a grace period", () => {
             const { registry, gone, getTaking } = createRegistry();
             registry.set(createUpstream("a"));
             registry.remove("a", 0);
             expect([getTaking(), gone]).toEqual([[], ["a"]]);
         });
 
-        // The store was away for longer than entries live. All of them lapsed, though every upstream works. Taken at their
-        // word the pools would be empty and every caller refused until the upstreams have registered again.
-        it("keeps one whose entry may only have lapsed, until it had time to register again", () => {
+        // The store was unavailable for longer than records live. All records expired although every upstream works. Without the grace
+        // period the pools would be empty, and every caller would be refused until the upstreams have registered again.
+        it("keeps an upstream whose record may have expired until it had time to register again", () => {
             const { clock, registry, getTaking } = createRegistry();
             registry.set(createUpstream("a"));
             registry.set(createUpstream("b"));
--- a/test/forwarding/eventSplitter.test.ts
+++ b/test/forwarding/eventSplitter.test.ts
@@ -13,7 +13,7 @@
 }
 
 describe("EventSplitter", () => {
-    it("gives whole events with their bytes unchanged, however the stream is cut", () => {
+    it("returns complete events with unchanged bytes, wherever the stream is split", () => {
         fc.assert(fc.property(fc.array(fc.nat(stream.length), { maxLength: 12 }), cuts => {
             const borders = [0, ...cuts.sort((first, second) => first - second), stream.length];
             const pieces = borders.slice(1).map((border, index) => Buffer.from(stream.slice(borders[index], border)));
@@ -23,9 +23,9 @@
         }));
     });
 
-    // A runner dies in the middle of an event and the stream goes on at another one. Joined, the two halves make an event
-    // that nobody sent.
-    it("forgets an unfinished event", () => {
+    // A runner fails in the middle of an event, and the stream is resumed at another runner. If the two parts were joined, the caller
+    // would receive an event that no runner sent.
+    it("discards an incomplete event", () => {
         const { splitter } = split([Buffer.from("id: 1\ndata: a\n\nid: 2\nda")]);
         expect(splitter.getRemainder().toString()).toEqual("id: 2\nda");
         splitter.reset();
--- a/test/forwarding/forwarder.test.ts
+++ b/test/forwarding/forwarder.test.ts
@@ -6,7 +6,7 @@
 import { createUpstream } from "../fixtures/upstreams.js";
 
 describe("Forwarder", () => {
-    it("passes a request on under its workspace, with the time that is left", async () => {
+    it("forwards a request with its workspace and the remaining time", async () => {
         const { send, calls } = createForwarder();
         const caller = await send();
         expect([caller.status, caller.chunks, caller.isComplete]).toEqual([200, ["done"], true]);
@@ -14,15 +14,15 @@
         expect([call.workspace, call.deadlineMilliseconds <= 1_000]).toEqual(["harbour", true]);
     });
 
-    // Which requests belong to one session, and who answered each, could not be read from the lines.
-    it("names the session and the version of each attempt in its lines", async () => {
+    // Without these fields, the log does not show which requests belong to a session and which version answered each of them.
+    it("logs the session and the version of each attempt", async () => {
         const { send, lines } = createForwarder({ versionReason: "candidate: share 0.1" });
         await send({ session: "s-1" });
         expect(lines.find(line => line.name === "request-routed")?.session).toEqual("s-1");
         expect(lines.find(line => line.name === "attempt-ended")?.versionReason).toEqual("candidate: share 0.1");
     });
 
-    // A route is split between two pools. A caller's next request drew its pool anew, and two services answered one session in turn.
+    // A route is split between two pools. When each request of a session drew its pool anew, two services answered one session in turn.
     it("serves all requests of a session by one of a route's pools", async () => {
         const pools = [{ pool: "app", weight: 1 }, { pool: "other", weight: 1 }];
         const upstreams = [createUpstream("u1"), createUpstream("u2", { pool: "other" })];
@@ -40,7 +40,7 @@
         expect(new Set(calls.map(({ upstream }) => upstream)).size).toEqual(2);
     });
 
-    it("turns away unknown keys and paths while its configuration is fresh", async () => {
+    it("refuses unknown keys and paths while its configuration is current", async () => {
         const { send, calls } = createForwarder();
         expect((await send({ apiKey: "other" })).refusal?.failure.kind).toEqual("unauthorized");
         expect((await send({ apiKey: undefined })).refusal?.failure.kind).toEqual("unauthorized");
@@ -48,9 +48,9 @@
         expect(calls.length).toEqual(0);
     });
 
-    // The node has just started and the store does not answer yet. A final "no" would tell every caller that its key or its
-    // path is wrong, and callers do not ask again after that.
-    it("asks callers back while it knows no configuration, or an old one", async () => {
+    // The node has just started, or the store does not answer. With a final refusal every caller would assume that its key or path is
+    // wrong, and would not retry.
+    it("asks callers to retry while its configuration is missing or old", async () => {
         const unknown = createForwarder({ getRoutes: () => undefined });
         const old = createForwarder({ getConfigurationAge: () => 3_000 });
         for (
@@ -69,9 +69,9 @@
         }
     });
 
-    // All nodes lost power, and callers connect while this one reads its first configuration. Refused at once, they would use up
-    // their only other try some milliseconds before they can be served.
-    it("lets callers wait for the first read after a start, and serves them by it", async () => {
+    // After a power failure callers connect while the node reads its first configuration. If they were refused at once, they would use up
+    // their only other attempt a few milliseconds before they can be served.
+    it("makes callers wait for the first read after a start, then serves them", async () => {
         let routes: RouteTable | undefined;
         const { send } = createForwarder({
             getRoutes: () => routes,
@@ -83,9 +83,8 @@
         expect((await send()).refusal).toEqual(undefined);
     });
 
-    // A key was taken away while this node was cut off from the store. Whoever found it would be served for as long as the
-    // cut lasts.
-    it("accepts no key by a configuration that is too old to know of its withdrawal", async () => {
+    // A key is revoked while this node is partitioned from the store. Anyone who has the key would be served until the partition ends.
+    it("refuses keys when its configuration is too old to show their revocation", async () => {
         const { send, calls } = createForwarder({
             getConfigurationAge: () => 4_800,
             getRoutes: () =>
@@ -101,7 +100,7 @@
         expect((await send({ body: Buffer.alloc(100_001) })).refusal?.failure.kind).toEqual("too-large");
     });
 
-    it("logs what decided, with the request's id and the age of the configuration", async () => {
+    it("logs each decision with the request's id and the age of the configuration", async () => {
         const { send, lines } = createForwarder();
         await send();
         const names = lines.map(line => [line.name, line.request]);
--- a/test/forwarding/shutdown.test.ts
+++ b/test/forwarding/shutdown.test.ts
@@ -4,9 +4,9 @@
 import { Shutdown } from "../../src/forwarding/index.js";
 import { createRoute, createStreamRoute } from "../fixtures/routes.js";
 
-describe("Departure", () => {
-    // A node is told to stop and callers go on connecting to it for seconds. What it takes on and can't finish is broken off.
-    it("takes on what can end in time, and refuses the rest at once", () => {
+describe("Shutdown", () => {
+    // Callers connect for seconds to a node that is stopping. Requests that it accepts but cannot complete are truncated.
+    it("accepts requests that can complete in time, and refuses the others at once", () => {
         const clock = new ManualClock();
         const departure = new Shutdown(clock);
         const call = createRoute({ timeoutMilliseconds: 800 });
--- a/test/forwarding/streamExchange.test.ts
+++ b/test/forwarding/streamExchange.test.ts
@@ -25,7 +25,7 @@
 }
 
 describe("StreamExchange", () => {
-    it("keeps the small model's answer when the model trusts it", async () => {
+    it("returns the small model's answer when its confidence is high", async () => {
         const { send, getModels } = createSite(() =>
             createAnswer([createEvent(1), createEvent(2)], { confidence: 80 })
         );
@@ -33,7 +33,7 @@
         expect(getModels()).toEqual(["small"]);
     });
 
-    it("drops an answer that the small model doubts before the caller has seen any of it", async () => {
+    it("discards an answer of low confidence from the small model before the caller receives any of it", async () => {
         const { send, getModels, calls } = createSite(({ model }) =>
             createAnswer([`data: ${model}\n\n`], { confidence: model === "small" ? 20 : 90 })
         );
@@ -42,8 +42,8 @@
         expect(calls[0].call.signal.aborted).toEqual(true);
     });
 
-    // A runner crashes in the middle of an event. The caller must get every event once and whole, from two runners.
-    it("goes on at another runner after the last whole event", async () => {
+    // A runner crashes in the middle of an event. The caller must receive every event once and complete, from two runners.
+    it("resumes at another runner after the last complete event", async () => {
         const { send, calls } = createSite((...[, , count]) =>
             count === 1
                 ? createAnswer([createEvent(1), `${createEvent(2)}id: 3\nda`], {
@@ -61,8 +61,8 @@
         expect([calls[1].call.model, calls[0].call.signal.aborted]).toEqual(["small", true]);
     });
 
-    // A runner falls silent after its first events, with its connection open. Waiting for it, the caller would give up.
-    it("leaves a runner that falls silent in the middle of a stream", async () => {
+    // A runner stops sending after its first events while its connection stays open. Without a timeout the caller would give up.
+    it("leaves a runner that becomes unresponsive in the middle of a stream", async () => {
         async function* stall(signal: AbortSignal): AsyncGenerator<Buffer> {
             yield Buffer.from(createEvent(1));
             await new Promise(resolve => signal.addEventListener("abort", resolve));
@@ -77,7 +77,7 @@
         expect([caller.chunks, caller.isComplete, calls.length]).toEqual([[createEvent(1), createEvent(2)], true, 2]);
     });
 
-    it("asks for what follows the last event when a stream ends without a known end", async () => {
+    it("requests the events after the last one when a stream ends without a known end", async () => {
         const { send, calls } = createSite((...[, , count]) =>
             count === 1
                 ? createAnswer([createEvent(1)], { confidence: 80, hasKnownEnd: false })
@@ -87,7 +87,7 @@
         expect(calls[1].call.lastEventId).toEqual("1");
     });
 
-    it("breaks off visibly when a stream can't go on", async () => {
+    it("aborts the connection when a stream cannot be resumed", async () => {
         const broken = createSite(() => createAnswer([createEvent(1)], { confidence: 80, breaksConnection: true }), {
             maxAttempts: 1,
         });
@@ -103,7 +103,7 @@
         expect([(await send()).isAborted, calls.length]).toEqual([true, 1]);
     });
 
-    it("is refused truthfully when every runner is full", async () => {
+    it("refuses with the outcome not run when every runner is full", async () => {
         const { send } = createSite(() => createCallFailure("refused"));
         expect((await send()).refusal?.outcome).toEqual("not-run");
     });
--- a/test/forwarding/unaryExchange.test.ts
+++ b/test/forwarding/unaryExchange.test.ts
@@ -15,7 +15,7 @@
     return createForwarder({ getRoutes: () => createRouteTable({ routes: [route] }), ...options });
 }
 
-/** Waits until a call is ended from outside, as at an upstream that never answers. */
+/** Waits until a call is aborted, like an upstream that never answers. */
 function waitForAbort(call: UpstreamCall) {
     return new Promise<ReturnType<typeof createCallFailure>>(resolve => {
         call.signal.addEventListener("abort", () => resolve(createCallFailure("broken")));
@@ -23,7 +23,7 @@
 }
 
 describe("runUnary", () => {
-    it("asks another upstream where a request may be repeated", async () => {
+    it("retries at another upstream when a request may be repeated", async () => {
         const { send, calls } = createSite("idempotent", {
             behaviour: (...[, , count]) =>
                 count === 1 ? createAnswer(["oops"], { status: 500 }) : createAnswer(["done"]),
@@ -32,15 +32,15 @@
         expect(calls[0].upstream).not.toEqual(calls[1].upstream);
     });
 
-    // A booking reaches an instance, and the connection breaks. It may have been made. Sent to another instance, the driver
+    // The connection to an instance breaks during a booking, which may have been made. If it were sent to another instance, the driver
     // would be ordered twice.
-    it("never repeats a request that may have run, and does not say that it has not", async () => {
+    it("never repeats a request that may have run, and does not report it as not run", async () => {
         const { send, calls } = createSite("at-most-once", { behaviour: () => createCallFailure("broken") });
         const { refusal } = await send();
         expect([calls.length, refusal?.outcome, refusal?.failure.kind]).toEqual([1, "unknown", "upstream-failed"]);
     });
 
-    it("never repeats one whose answer broke off", async () => {
+    it("never repeats a request whose answer was truncated", async () => {
         const { send, calls } = createSite("at-most-once", {
             behaviour: () => createAnswer(["ha"], { breaksConnection: true }),
         });
@@ -48,16 +48,16 @@
         expect([calls.length, refusal?.outcome]).toEqual([1, "ran"]);
     });
 
-    it("tries another upstream when no connection came about, which counts for nothing", async () => {
+    it("tries another upstream without counting an attempt when no connection was established", async () => {
         const { send, calls } = createSite("at-most-once", {
             behaviour: (...[, , count]) => count === 1 ? createCallFailure("not-sent") : createAnswer(["done"]),
         });
         expect([(await send()).status, calls.length]).toEqual([200, 2]);
     });
 
-    // An instance dies in the middle of an answer that has no length; its connection closes in order. Nobody can tell the part
-    // from the whole. Framed as whole, half a confirmation would pass for all of it.
-    it("does not claim that an answer without a known end is whole, and gets a better one where it may", async () => {
+    // An instance fails in the middle of an answer without a length, and its connection closes in order. The part cannot be
+    // distinguished from a complete answer. Framed as complete, half a confirmation would pass for all of it.
+    it("does not frame an answer without a known end as complete, and retries where it may", async () => {
         const behaviour = (...[, , count]: unknown[]) =>
             count === 1 ? createAnswer(["ha"], { hasKnownEnd: false }) : createAnswer(["whole"]);
         const booking = await createSite("at-most-once", { behaviour }).send();
@@ -66,8 +66,8 @@
         expect([query.chunks, query.hasCompleteFraming]).toEqual([["whole"], true]);
     });
 
-    // Every instance is full and says so. The caller must hear at once that nothing has run, and when to come back.
-    it("says that a request has not run, and when to come back, when every upstream refuses", async () => {
+    // Every instance is full and refuses. The caller must be informed at once that nothing has run, with a retry delay.
+    it("reports that a request has not run, with a retry delay, when every upstream refuses", async () => {
         const { send } = createSite("at-most-once", { behaviour: () => createCallFailure("refused") });
         const { refusal } = await send();
         expect([refusal?.outcome, refusal?.failure.kind]).toEqual(["not-run", "overloaded"]);
@@ -75,14 +75,14 @@
         expect(back >= 30 && back <= 300).toEqual(true);
     });
 
-    it("gives the upstream's own failure when nobody did better", async () => {
+    it("returns the upstream's own failure when no upstream succeeded", async () => {
         const { send } = createSite("idempotent", { behaviour: () => createAnswer(["oops"], { status: 500 }) });
         const caller = await send();
         expect([caller.status, caller.chunks]).toEqual([500, ["oops"]]);
     });
 
-    // An instance takes a request and falls silent. A caller of a repeatable request need not wait until its deadline.
-    it("leaves a silent upstream while there is time for another one", async () => {
+    // An instance accepts a request and stops responding. The caller of a repeatable request must not wait until its deadline.
+    it("leaves an unresponsive upstream while there is time for another one", async () => {
         const { send, calls, renewed } = createSite("idempotent", {
             behaviour: (call, ...[, count]) => count === 1 ? waitForAbort(call) : createAnswer(["done"]),
         });
@@ -90,7 +90,7 @@
         expect([caller.status, calls.length, renewed.length]).toEqual([200, 2, 1]);
     });
 
-    it("answers at the route's timeout, and ends the work", async () => {
+    it("refuses at the route's timeout and aborts the call", async () => {
         let wasEnded = false;
         const { send } = createSite("at-most-once", {
             behaviour: async call => {
@@ -105,7 +105,7 @@
         expect(performance.now() - before >= 380).toEqual(true);
     });
 
-    it("ends the work at once when the caller leaves", async () => {
+    it("aborts the call when the caller disconnects", async () => {
         const { forwarder, calls } = createSite("idempotent", { behaviour: waitForAbort });
         const caller = new CallerStandin();
         const handled = forwarder.handle(createCallerRequest(), caller);
@@ -115,7 +115,7 @@
         expect([calls.length, calls[0].call.signal.aborted]).toEqual([1, true]);
     });
 
-    it("repeats nothing when the pool's budget is used up", async () => {
+    it("does not retry when the pool's retry budget is used up", async () => {
         const { send, calls } = createSite("idempotent", {
             retryAllowance: 0,
             behaviour: () => createAnswer(["oops"], { status: 500 }),
--- a/test/routing/routeTable.test.ts
+++ b/test/routing/routeTable.test.ts
@@ -4,7 +4,7 @@
 
 describe("RouteTable", () => {
     describe("findRoute", () => {
-        it("takes the longest prefix of the host", () => {
+        it("returns the route with the longest prefix for the host", () => {
             const table = createRouteTable({
                 routes: [
                     createRoute({ name: "short", pathPrefix: "/plans/" }),
@@ -16,7 +16,7 @@
             expect(table.findRoute("APP.example:8080", "/plans/1")?.name).toEqual("short");
         });
 
-        it("finds nothing for another host, or a path that only resembles a prefix", () => {
+        it("returns nothing for another host or a path that only resembles a prefix", () => {
             const table = createRouteTable({ routes: [createRoute({ pathPrefix: "/plans/" })] });
             expect(table.findRoute("else.example", "/plans/1")).toEqual(undefined);
             expect(table.findRoute("app.example", "/plansecret")).toEqual(undefined);
@@ -24,7 +24,7 @@
     });
 
     describe("findWorkspace", () => {
-        it("knows the workspace of each key and no other key", () => {
+        it("returns the workspace of each key and nothing for other keys", () => {
             const table = createRouteTable({ keys: { "key-1": "harbour", "key-2": "harbour" } });
             expect(table.findWorkspace("key-2")?.name).toEqual("harbour");
             expect(table.findWorkspace("key-3")).toEqual(undefined);
--- a/test/upstream/vmListClient.test.ts
+++ b/test/upstream/vmListClient.test.ts
@@ -26,9 +26,9 @@
 }
 
 describe("VmListClient", () => {
-    // A site has thousands of VMs. Read whole every second, their list takes more of the network than all the rest of
-    // control; but a VM that leaves must be seen at the next read, or it goes on getting new work.
-    it("reads a list once while it is unchanged, and each change of it", async () => {
+    // A site has thousands of VMs. Reading their complete list every second takes more bandwidth than all other control traffic. But a
+    // leaving VM must be visible at the next read, or it continues to receive requests.
+    it("does not read an unchanged list again, and reads each change", async () => {
         const standin = createStandin("vm-list", { host, port: 0 }, { vm: { a: vm } });
         const address = formatAddress(await standin.start());
         try {
@@ -46,8 +46,8 @@
         }
     });
 
-    // The platform answers without tags. A client that went on with the last list would never see a VM leave.
-    it("reads the whole list each time from a platform that gives no tags", async () => {
+    // The platform sends no entity tags. A client that kept using its cached list would never detect a leaving VM.
+    it("reads the complete list each time when the platform sends no entity tags", async () => {
         let reads = 0;
         const server = createServer((_request, response) => {
             reads += 1;
