--- a/src/fleet/upstreamRegistry.ts
+++ b/src/fleet/upstreamRegistry.ts
@@ -12,7 +12,7 @@
     readonly #clock: Clock;
     readonly #upstreams = new Map<string, RegisteredUpstream>();
     /** Monotonic times until which removed upstreams still count as registered. */
-    readonly #expiring = new Map<string, number>();
+    readonly #expiryTimes = new Map<string, number>();
     readonly #removalListeners: UpstreamListener[] = [];
     #byPool: ReadonlyMap<string, readonly RegisteredUpstream[]> | undefined;
 
@@ -38,15 +38,15 @@
             this.#notifyRemoved(known);
         }
         this.#upstreams.set(upstream.id, upstream);
-        this.#expiring.delete(upstream.id);
+        this.#expiryTimes.delete(upstream.id);
         this.#byPool = undefined;
     }
 
     /**
      * Removes an upstream.
      * @param id - The upstream's identifier.
-     * @param graceMilliseconds - How long the upstream still counts as registered. Its record may have expired because the store was
-     * unavailable, and live upstreams need some time to register again. Without this time one outage would empty every pool.
+     * @param graceMilliseconds - How long the upstream still counts as registered. Its record may have expired because the store
+     * was unavailable, and live upstreams need some time to register again. Without this time one outage would empty every pool.
      */
     remove(id: string, graceMilliseconds: number): void {
         const known = this.#upstreams.get(id);
@@ -54,7 +54,7 @@
             return;
         }
         if (graceMilliseconds > 0 && !known.isLeaving) {
-            this.#expiring.set(id, this.#clock.monotonic() + graceMilliseconds);
+            this.#expiryTimes.set(id, this.#clock.monotonic() + graceMilliseconds);
             return;
         }
         this.#delete(known);
@@ -97,7 +97,7 @@
 
     #removeExpired(): void {
         const now = this.#clock.monotonic();
-        for (const [id, until] of this.#expiring) {
+        for (const [id, until] of this.#expiryTimes) {
             const known = this.#upstreams.get(id);
             if (now >= until && known !== undefined) {
                 this.#delete(known);
@@ -107,7 +107,7 @@
 
     #delete(upstream: RegisteredUpstream): void {
         this.#upstreams.delete(upstream.id);
-        this.#expiring.delete(upstream.id);
+        this.#expiryTimes.delete(upstream.id);
         this.#byPool = undefined;
         this.#notifyRemoved(upstream);
     }
--- a/src/forwarding/attempts.ts
+++ b/src/forwarding/attempts.ts
@@ -45,8 +45,9 @@
     /** Undefined for plain services. */
     readonly prompt: PromptLoad | undefined;
     /**
-     * Returns the timeout for the head of the answer, in milliseconds. Undefined waits until the deadline of the request: a separate
-     * timer of the same length would race with the deadline, and callers that ran out of time would receive an upstream failure.
+     * Returns the timeout for the head of the answer, in milliseconds. Undefined waits until the deadline of the request: a
+     * separate timer of the same length would race with the deadline, and callers that ran out of time would receive an upstream
+     * failure.
      * @param expectedMilliseconds - Expected time to the head of the answer.
      */
     readonly getHeadTimeout: (expectedMilliseconds: number) => number | undefined;
@@ -55,7 +56,7 @@
 /** Why no attempt was made. `nobody` means that no upstream was available. */
 export type NotMadeReason = "nobody" | "budget" | "attempts" | "ended";
 
-/** An attempt that failed, or was not made. */
+/** An attempt that failed or was not made. */
 export type AttemptFailure =
     | { readonly kind: "not-made"; readonly reason: NotMadeReason; }
     | { readonly kind: "failed"; readonly failure: UpstreamCallFailure; };
@@ -72,7 +73,7 @@
     readonly cancel: () => void;
 }
 
-/** Maximum value of the urgency, which is the value of the least urgent requests. */
+/** Maximum urgency value. 0 is the most urgent. */
 const maxUrgencyValue = 8;
 
 /** Makes attempts at upstreams. */
--- a/src/forwarding/callerReply.ts
+++ b/src/forwarding/callerReply.ts
@@ -22,6 +22,6 @@
     answer(status: number, headers: readonly string[], body: Buffer): void;
     /** Sends a refusal by the router itself. */
     refuse(refusal: Refusal): void;
-    /** Breaks the connection of an answer that cannot be completed, so that the caller does not take it for complete. */
+    /** Breaks the connection of an answer that cannot be completed, so that it does not look complete to the caller. */
     abort(): void;
 }
--- a/src/forwarding/eventSplitter.ts
+++ b/src/forwarding/eventSplitter.ts
@@ -14,9 +14,9 @@
 }
 
 /**
- * Splits a stream at the blank lines between events. An upstream may fail in the middle of an event. If the bytes of the incomplete
- * event were forwarded, they would be joined to the next event when the stream is resumed at another upstream, and the caller would
- * read a corrupt event. Therefore only complete events are returned.
+ * Splits a stream at the blank lines between events. An upstream may fail in the middle of an event. If the bytes of the
+ * incomplete event were forwarded, they would be joined to the next event when the stream is resumed at another upstream, and the
+ * caller would read a corrupt event. Therefore only complete events are returned.
  */
 export class EventSplitter {
     #remainder: Buffer = Buffer.alloc(0);
--- a/src/forwarding/exchange.ts
+++ b/src/forwarding/exchange.ts
@@ -37,7 +37,7 @@
     attempts = 0;
     /** Whether the pool's budget has counted the request. */
     isCountedInBudget = false;
-    /** Whether the request ran, as far as it is known. */
+    /** Whether the request ran, as far as known. */
     outcome: Outcome = "not-run";
     readonly #clock: Clock;
     readonly #endsAt: number;
--- a/src/forwarding/forwarder.ts
+++ b/src/forwarding/forwarder.ts
@@ -67,19 +67,19 @@
      */
     async handle(request: CallerRequest, reply: CallerReply): Promise<void> {
         await this.#options.waitForFirstRead();
-        const admitted = this.#admit(request);
-        if (admitted.isErr()) {
-            this.#options.metrics.refusals.inc({ kind: admitted.error.failure.kind });
+        const admission = this.#admit(request);
+        if (admission.isErr()) {
+            this.#options.metrics.refusals.inc({ kind: admission.error.failure.kind });
             this.#options.journal.write(events.requestRefused, {
                 request: request.id,
-                kind: admitted.error.failure.kind,
-                reason: admitted.error.failure.message,
+                kind: admission.error.failure.kind,
+                reason: admission.error.failure.message,
                 configurationAgeMs: Math.round(this.#options.getConfigurationAge()),
             });
-            reply.refuse(admitted.error);
+            reply.refuse(admission.error);
             return;
         }
-        const { route, workspace, priority, version } = admitted.value;
+        const { route, workspace, priority, version } = admission.value;
         const exchange = new Exchange({
             clock: this.#options.clock,
             request,
@@ -191,8 +191,8 @@
 }
 
 /**
- * Chooses one of a route's pools by their weights. All requests of a session get the same pool. If each request drew its own, different
- * services would answer one session in turn, and each would need its own prefill of the prompt.
+ * Chooses one of a route's pools by their weights. All requests of a session get the same pool. If each request drew its own,
+ * different services would answer one session in turn, and each would need its own prefill of the prompt.
  */
 function choosePool(route: Route, { id, session }: CallerRequest): string {
     if (route.pools.length === 1) {
--- a/src/forwarding/metrics.ts
+++ b/src/forwarding/metrics.ts
@@ -6,7 +6,7 @@
 /** Buckets in seconds, from a short call to a long stream. */
 const answerBuckets = [0.02, 0.05, 0.1, 0.15, 0.2, 0.3, 0.5, 0.75, 1, 1.5, 2, 3, 5, 10, 25];
 
-/** Creates the metrics in a registry of their own. */
+/** Creates the metrics in a separate registry. */
 export function createForwardingMetrics() {
     const registry = new Registry();
     const registers = [registry];
@@ -14,7 +14,7 @@
         registry,
         requests: new Counter({
             name: "rattanlock_forwarded_requests_total",
-            help: "Requests that matched a route, by route and by whether they ran as far as it is known.",
+            help: "Requests that matched a route, by route and by whether they ran, as far as known.",
             labelNames: ["route", "ran"] as const,
             registers,
         }),
--- a/src/forwarding/refusals.ts
+++ b/src/forwarding/refusals.ts
@@ -7,8 +7,8 @@
 import type { Exchange } from "./exchange.js";
 
 /**
- * Bounds of the retry delay as shares of the caller's remaining time; delays are drawn uniformly. A caller that retries later has too
- * little time left to be served. Callers that retry all at once meet the same full upstreams again.
+ * Bounds of the retry delay as shares of the caller's remaining time; delays are drawn uniformly. A caller that retries later has
+ * too little time left to be served. Callers that retry simultaneously find the same upstreams full again.
  */
 const minRetryShare = 0.04;
 const maxRetryShare = 0.16;
--- a/src/forwarding/streamExchange.ts
+++ b/src/forwarding/streamExchange.ts
@@ -17,13 +17,17 @@
  */
 const pauseTimeoutFactor = 2;
 /**
- * The timeout for the head of an answer is this factor times the expected time plus the margin, and at least the minimum. With shorter
- * timeouts, crowded runners are taken for failed ones: their work is discarded and repeated elsewhere, which crowds other runners.
+ * The timeout for the head of an answer is this factor times the expected time plus the margin, and at least the minimum. With
+ * shorter timeouts, overloaded runners are treated as failed: their work is discarded and repeated elsewhere, which overloads
+ * others as well.
  */
 const headTimeoutFactor = 3;
 const headTimeoutMarginMilliseconds = 700;
 const minHeadTimeoutMilliseconds = 1_400;
-/** The head timeout is also at least this factor times the objective: an answer in time at the first runner beats a late one at the second. */
+/**
+ * The head timeout is also at least this factor times the objective, since an answer of the first runner that is in time is
+ * better than a late one of the second.
+ */
 const lateHeadFactor = 1.2;
 /** Pause objective of routes that configure none. */
 const defaultPauseMilliseconds = 1_000;
@@ -44,7 +48,7 @@
 
     /**
      * @param exchange - The request.
-     * @param attempts - Makes the attempts.
+     * @param attempts - Sends the attempts to upstreams.
      * @param budget - The retry budget of the pool.
      */
     constructor(exchange: Exchange, attempts: Attempts, budget: WindowedRetryBudget) {
@@ -59,31 +63,31 @@
         const exchange = this.#exchange;
         this.#model = this.#chooseFirstModel();
         for (;;) {
-            const made = await this.#attempts.make({
+            const attempt = await this.#attempts.make({
                 exchange,
                 model: this.#model,
                 lastEventId: this.#lastEventId,
                 prompt: this.#getPromptLoad(this.#model),
                 getHeadTimeout: expected => this.#getHeadTimeout(expected),
             });
-            if (made.isErr()) {
-                if (this.#canRetry(made.error)) {
+            if (attempt.isErr()) {
+                if (this.#canRetry(attempt.error)) {
                     continue;
                 }
-                this.#fail(made.error);
+                this.#fail(attempt.error);
                 return;
             }
             exchange.markRun("ran");
-            const next = this.#chooseNextModel(made.value);
-            if (next !== undefined) {
-                made.value.finish("ok", `confidence ${made.value.answer.confidence}`);
-                made.value.cancel();
-                this.#model = next;
+            const nextModel = this.#chooseNextModel(attempt.value);
+            if (nextModel !== undefined) {
+                attempt.value.finish("ok", `confidence ${attempt.value.answer.confidence}`);
+                attempt.value.cancel();
+                this.#model = nextModel;
                 // The same runner may answer with the larger model: its prefill of the prompt was for the smaller model only.
                 exchange.excluded.clear();
                 continue;
             }
-            if (await this.#relay(made.value)) {
+            if (await this.#relay(attempt.value)) {
                 return;
             }
         }
@@ -125,7 +129,10 @@
             && this.#exchange.getElapsed() + expected <= this.#exchange.route.objectiveMilliseconds;
     }
 
-    /** Returns the load of the prompt. Its last part belongs to the request only; the parts before it may be shared with other requests. */
+    /**
+     * Returns the load of the prompt. Its last part belongs to the request only; the parts before it may be shared with other
+     * requests.
+     */
     #getPromptLoad(chosen: string | undefined): PromptLoad {
         const generation = this.#exchange.request.generation;
         const shared = generation?.parts.slice(0, -1) ?? [];
@@ -170,14 +177,14 @@
         if (!reply.hasStarted) {
             reply.start(answer.status, answer.headers, { hasKnownEnd: answer.hasKnownEnd || route.isResumable });
         }
-        const end = await this.#relayBody(attempt);
-        if (end.kind === "complete" && (answer.hasKnownEnd || !route.isResumable)) {
+        const relayed = await this.#relayBody(attempt);
+        if (relayed.kind === "complete" && (answer.hasKnownEnd || !route.isResumable)) {
             attempt.finish(answer.status >= minServerErrorStatus ? "error" : "ok", `status ${answer.status}`);
             reply.end();
             return true;
         }
         // A stream without a known end is resumed after its last event. If it was complete, no events follow.
-        const reason = end.kind === "broken" ? end.reason : "the answer may be incomplete";
+        const reason = relayed.kind === "broken" ? relayed.reason : "the answer may be incomplete";
         attempt.finish(this.#exchange.ended.aborted ? "cancelled" : "failed", reason);
         attempt.cancel();
         this.#splitter.reset();
@@ -217,7 +224,7 @@
             return { kind: "complete" };
         }
         catch (cause) {
-            const reason = isTimedOut ? `no event for ${pauseTimeout} ms` : ended.aborted ? "ended" : String(cause);
+            const reason = isTimedOut ? `no data for ${pauseTimeout} ms` : ended.aborted ? "ended" : String(cause);
             return { kind: "broken", reason };
         }
         finally {
--- a/src/forwarding/unaryExchange.ts
+++ b/src/forwarding/unaryExchange.ts
@@ -28,38 +28,38 @@
 /**
  * Answers a request. Retries at another upstream after a failure if the request may be repeated.
  * @param exchange - The request.
- * @param attempts - Makes the attempts.
+ * @param attempts - Sends the attempts to upstreams.
  */
 export async function runUnary(exchange: Exchange, attempts: Attempts): Promise<void> {
     let fallbackAnswer: BufferedAnswer | undefined;
     for (;;) {
-        const made = await attempts.make({
+        const attempt = await attempts.make({
             exchange,
             model: undefined,
             lastEventId: undefined,
             prompt: undefined,
             getHeadTimeout: () => getHeadTimeout(exchange),
         });
-        if (made.isErr()) {
-            if (canRetry(exchange, made.error)) {
+        if (attempt.isErr()) {
+            if (canRetry(exchange, attempt.error)) {
                 continue;
             }
-            await finishWithoutAnswer(exchange, made.error, fallbackAnswer);
+            await finishWithoutAnswer(exchange, attempt.error, fallbackAnswer);
             return;
         }
-        const answered = await readAnswer(exchange, made.value);
-        if (answered.isErr()) {
+        const answer = await readAnswer(exchange, attempt.value);
+        if (answer.isErr()) {
             if (isRepeatable(exchange.route)) {
                 continue;
             }
-            await finishWithoutAnswer(exchange, answered.error, fallbackAnswer);
+            await finishWithoutAnswer(exchange, answer.error, fallbackAnswer);
             return;
         }
-        if (isFailedOrPartial(answered.value) && isRepeatable(exchange.route)) {
-            fallbackAnswer = chooseFallback(fallbackAnswer, answered.value);
+        if (isFailedOrPartial(answer.value) && isRepeatable(exchange.route)) {
+            fallbackAnswer = chooseFallback(fallbackAnswer, answer.value);
             continue;
         }
-        await sendAnswer(exchange, answered.value);
+        await sendAnswer(exchange, answer.value);
         return;
     }
 }
@@ -126,7 +126,7 @@
     fallbackAnswer: BufferedAnswer | undefined,
 ): Promise<void> {
     if (fallbackAnswer !== undefined) {
-        // The upstream's own failure tells the caller more than a refusal by the router.
+        // The upstream's own failure is more informative than a refusal by the router.
         await sendAnswer(exchange, fallbackAnswer);
         return;
     }
--- a/src/forwarding/upstreamCall.ts
+++ b/src/forwarding/upstreamCall.ts
@@ -39,8 +39,8 @@
     readonly confidence: number | undefined;
     readonly load: ReportedLoad | undefined;
     /**
-     * Whether a complete body can be distinguished from a truncated one. An answer without a length ends with its connection, and one
-     * whose upstream failed looks the same. The router must not present such an answer as complete.
+     * Whether a complete body can be distinguished from a truncated one. An answer without a length ends with its connection, and
+     * one whose upstream failed looks the same. The router must not present such an answer as complete.
      */
     readonly hasKnownEnd: boolean;
     readonly body: AsyncIterable<Buffer>;
--- a/src/platform/callerServer.ts
+++ b/src/platform/callerServer.ts
@@ -92,12 +92,12 @@
         const limits = this.#getLimits();
         const id = findHeader(incoming.rawHeaders, headerNames.requestId) ?? "";
         if (countHeaderBytes(incoming.rawHeaders) > limits.headerBytes) {
-            reply.refuseUnread(createTooLarge("headers", limits.headerBytes), 431);
+            reply.refuseUnread(createTooLargeRefusal("headers", limits.headerBytes), 431);
             return;
         }
         const body = await readBody(incoming, limits.bodyBytes);
         if (body === "too-large") {
-            reply.refuseUnread(createTooLarge("body", limits.bodyBytes), 413);
+            reply.refuseUnread(createTooLargeRefusal("body", limits.bodyBytes), 413);
             return;
         }
         if (body === "gone") {
@@ -107,7 +107,7 @@
         try {
             const decoded = decodeRequest(incoming, body, arrivedAt);
             await (typeof decoded === "string"
-                ? reply.refuse(createMalformed(decoded))
+                ? reply.refuse(createMalformedRefusal(decoded))
                 : this.#options.handle(decoded, reply));
         }
         catch (error) {
@@ -117,18 +117,18 @@
     }
 }
 
-function createTooLarge(what: string, bytes: number): Refusal {
+function createTooLargeRefusal(part: string, bytes: number): Refusal {
     return {
         outcome: "not-run",
         failure: new Failure({
             kind: "too-large",
-            message: `The request's ${what} are above the limit of ${bytes} bytes.`,
+            message: `The request's ${part} are above the limit of ${bytes} bytes.`,
             remedy: "Send a smaller request or have the limit raised.",
         }),
     };
 }
 
-function createMalformed(message: string): Refusal {
+function createMalformedRefusal(message: string): Refusal {
     return {
         outcome: "not-run",
         failure: new Failure({
--- a/src/platform/decodeRequest.ts
+++ b/src/platform/decodeRequest.ts
@@ -69,7 +69,7 @@
 
 /**
  * Counts the bytes of a request's headers.
- * @param raw - Names and values in turn.
+ * @param raw - Alternating names and values.
  */
 export function countHeaderBytes(raw: readonly string[]): number {
     let bytes = 0;
--- a/src/platform/decodeUpstream.ts
+++ b/src/platform/decodeUpstream.ts
@@ -35,16 +35,16 @@
     if (!parsed.success) {
         return undefined;
     }
-    const entry = parsed.data;
+    const record = parsed.data;
     return {
         id,
-        address: entry.address,
-        pool: entry.service,
-        failureDomain: entry.zone,
-        version: entry.version,
-        slots: entry.slots,
-        isLeaving: entry.state === "draining",
-        startedAt: entry.born,
-        models: entry.models.map(model => ({ name: model.name, weightsVersion: model.version })),
+        address: record.address,
+        pool: record.service,
+        failureDomain: record.zone,
+        version: record.version,
+        slots: record.slots,
+        isLeaving: record.state === "draining",
+        startedAt: record.born,
+        models: record.models.map(model => ({ name: model.name, weightsVersion: model.version })),
     };
 }
--- a/src/platform/headers.ts
+++ b/src/platform/headers.ts
@@ -3,7 +3,9 @@
  */
 import { headerNames } from "./wire.js";
 
-/** Headers that concern one connection only (RFC 9110, section 7.6.1), and headers that the sender of each message sets itself. */
+/**
+ * Headers that concern one connection only (RFC 9110, section 7.6.1), and headers that the sender of each message sets itself.
+ */
 const connectionHeaders: ReadonlySet<string> = new Set([
     "connection",
     "content-length",
@@ -19,8 +21,8 @@
 ]);
 
 /**
- * Headers that only the router may set. If a caller's values were forwarded, the request could run under another workspace, reserve
- * a runner's memory, or continue from the memory of another caller's request.
+ * Headers that only the router may set. If a caller's values were forwarded, the request could run under another workspace,
+ * reserve a runner's memory, or continue from the memory of another caller's request.
  */
 const routerOnlyHeaders: ReadonlySet<string> = new Set([
     headerNames.apiKey,
@@ -75,7 +77,7 @@
 
 /**
  * Reads a numeric header.
- * @returns Undefined when the header is missing or not a number of at least 0.
+ * @returns Undefined when the header is missing or not a non-negative number.
  */
 export function findNumber(raw: readonly string[], name: string): number | undefined {
     const value = findHeader(raw, name);
@@ -87,12 +89,12 @@
     const connectionOptions = new Set(
         (findHeader(raw, "connection") ?? "").toLowerCase().split(",").map(name => name.trim()),
     );
-    const kept: string[] = [];
+    const forwarded: string[] = [];
     for (let index = 0; index + 1 < raw.length; index += 2) {
         const name = raw[index].toLowerCase();
         if (!connectionHeaders.has(name) && !dropped.has(name) && !connectionOptions.has(name)) {
-            kept.push(raw[index], raw[index + 1]);
+            forwarded.push(raw[index], raw[index + 1]);
         }
     }
-    return kept;
+    return forwarded;
 }
--- a/src/platform/httpReply.ts
+++ b/src/platform/httpReply.ts
@@ -85,8 +85,8 @@
     }
 
     /**
-     * Refuses a request whose body was not read. Closes the connection, because the rest of the body would otherwise be parsed as the
-     * next request.
+     * Refuses a request whose body was not read. Closes the connection, because the rest of the body would otherwise be parsed as
+     * the next request.
      */
     refuseUnread(refusal: Refusal, status: number): void {
         this.#refuse(refusal, status, ["Connection", "close"]);
@@ -118,8 +118,8 @@
 }
 
 /**
- * Returns the HTTP status of a refusal. 429 and 503 state that the request has not run. They must not be used where that is
- * unknown: the caller would retry and repeat a booking that may have been made.
+ * Returns the HTTP status of a refusal. 429 and 503 promise that the request has not run. They must not be used where that is
+ * unknown, because the caller would then retry and could repeat a booking.
  */
 function getStatus({ failure, outcome }: Refusal): number {
     switch (failure.kind) {
--- a/src/platform/node.ts
+++ b/src/platform/node.ts
@@ -29,7 +29,8 @@
     }
 
     /**
-     * Starts to follow the store, to serve callers, and then to talk to peers. Callers wait for the first two, so these come first.
+     * Starts to follow the store, to serve callers, and then to talk to peers. Callers wait for the first two, so these come
+     * first.
      * @param listeningServer - A server that already listens for callers. Without it, the node starts to listen itself.
      */
     async start(listeningServer?: Server): Promise<void> {
@@ -37,9 +38,9 @@
         journal.write(events.processStarted, { address: settings.address });
         topics.onRoutes(() => callerServer.applyLimits());
         this.#forgetRemovedUpstreams();
-        const isListening = callerServer.listen(listeningServer ?? settings.listen.callers);
+        const listening = callerServer.listen(listeningServer ?? settings.listen.callers);
         topics.start();
-        await isListening;
+        await listening;
         await topics.waitForFirstRead();
         await this.#startSiteServer();
         if (this.#stopping === undefined) {
--- a/src/platform/nodeParts.ts
+++ b/src/platform/nodeParts.ts
@@ -35,7 +35,9 @@
 import { StoreClient } from "./storeClient.js";
 import { UpstreamClient } from "./upstreamClient.js";
 
-/** Interval between two gossip exchanges that a node starts. With 150 ms, the failure of a node is detected within two seconds. */
+/**
+ * Interval between two gossip exchanges that a node starts. With 150 ms, the failure of a node is detected within two seconds.
+ */
 const gossipIntervalMilliseconds = 150;
 /** Maximum size of the values in one gossip exchange. */
 const maxGossipBytes = 64 * 1024;
@@ -88,7 +90,7 @@
 
 /**
  * Creates the container of a node. Each part is created once, on first use.
- * @param settings - The node's checked settings.
+ * @param settings - The node's validated settings.
  */
 export function createNodeContainer(settings: NodeSettings): AwilixContainer<NodeParts> {
     const container = createContainer<NodeParts>({ injectionMode: InjectionMode.PROXY, strict: true });
@@ -164,8 +166,8 @@
     upstreamClient: ({ topics, membership }) =>
         new UpstreamClient({
             getConnectionLimit: pool => {
-                const all = topics.getRoutes()?.getPool(pool)?.maxConnections ?? minConnections;
-                return Math.max(minConnections, Math.floor(all / membership.getMembers().length));
+                const poolLimit = topics.getRoutes()?.getPool(pool)?.maxConnections ?? minConnections;
+                return Math.max(minConnections, Math.floor(poolLimit / membership.getMembers().length));
             },
         }),
     rollouts: parts => createRollouts(parts),
@@ -319,14 +321,14 @@
 }
 
 function createPeerHandlers({ gossip, self, topics }: NodeParts): PeerHandlers {
-    const unsupported = (): never => {
+    const throwUnsupported = (): never => {
         throw new Error(`The node ${self.id} does not hold this state: on this platform it is kept in the store.`);
     };
     return {
         exchange: request => gossip.handleExchange(request),
         push: request => ({ counter: gossip.handlePush(request) }),
-        copyBills: unsupported,
-        decideClaims: unsupported,
+        copyBills: throwUnsupported,
+        decideClaims: throwUnsupported,
         fetchState: request => topics.answerPeer(request),
     };
 }
--- a/src/platform/nodeSettings.ts
+++ b/src/platform/nodeSettings.ts
@@ -11,7 +11,7 @@
     readonly port: number;
 }
 
-/** The checked settings of a node. */
+/** The validated settings of a node. */
 export interface NodeSettings {
     readonly name: string;
     readonly address: string;
--- a/src/platform/platformTopics.ts
+++ b/src/platform/platformTopics.ts
@@ -193,9 +193,9 @@
             name: topic,
             clock: suspensionClock,
             journal,
-            pickReader: detours => {
+            pickReader: fallbackReads => {
                 const isLoaded = this.#followers.get(topic)?.state.isLoaded() === true;
-                return this.#sources.pick({ topic, storeReader, isLoaded, fallbackReads: detours });
+                return this.#sources.pick({ topic, storeReader, isLoaded, fallbackReads });
             },
             onChanges,
             outageMilliseconds,
@@ -269,8 +269,9 @@
     }
 
     /**
-     * Returns how long a removed upstream may still count as expired, in milliseconds. The time counts from the end of the outage:
-     * if it counted from the removal, an upstream that really left then would receive requests for too long.
+     * Returns how long an upstream still counts as registered after its record has disappeared, in milliseconds. The time starts
+     * at the end of the outage. If it started at the removal, an upstream that has really left would receive requests for too
+     * long.
      */
     #getExpiryGrace(): number {
         return Math.max(0, expiryGraceMilliseconds - this.#upstreams.getTimeSinceOutage());
--- a/src/platform/statusWriter.ts
+++ b/src/platform/statusWriter.ts
@@ -67,7 +67,7 @@
         if (appended.isErr() || appended.value === "out-of-turn") {
             const cause = appended.isErr()
                 ? appended.error.message
-                : "another node has already written this step or a later one";
+                : "another node has written a later step";
             journal.write(events.rolloutWriteFailed, { rollout: order.pool, state: progress.state, cause });
         }
     }
--- a/src/platform/storeClient.ts
+++ b/src/platform/storeClient.ts
@@ -9,8 +9,8 @@
 import { storePaths } from "./wire.js";
 
 /**
- * How long the store may take in addition to the duration of a long poll. It answers in 4 ms, and in 240 ms when it is sixty times
- * slower. Without the timeout, a call whose response was lost would never end.
+ * How long the store may take in addition to the duration of a long poll. It answers in 4 ms, and in 240 ms when it is sixty
+ * times slower. Without the timeout, a call whose response was lost would never end.
  */
 const responseTimeoutMilliseconds = 600;
 /** Size of a length field, and of the two offsets before the records of a page. */
@@ -32,7 +32,7 @@
     readonly body: Buffer;
 }
 
-/** Outcome of an append. `out-of-turn` means that the position was already taken or that the epoch is outdated. */
+/** Outcome of an append. `out-of-turn` means that the position is not the next one or that its epoch is outdated. */
 export type AppendOutcome = "appended" | "out-of-turn";
 
 /** Position of an append in the sequence of its producer. The store accepts one append for each position. */
@@ -86,8 +86,8 @@
      * Appends records of a keyed topic atomically.
      * @param topic - The topic.
      * @param records - The keys and their values.
-     * @param position - The append's position, if two writers must not both append there. The store answers a repeated position as it
-     * answered the first time and appends nothing, so a writer has to read the topic to learn which append took effect.
+     * @param position - The append's position, if two writers must not both append there. The store answers a repeated position
+     * as it answered the first time and appends nothing, so a writer has to read the topic to see which append took effect.
      * @returns The outcome. After a failure the records may or may not have been appended.
      */
     async append(
@@ -143,7 +143,8 @@
                 records.set(key, { key, value: Buffer.from(value, "base64"), offset });
                 after = key;
             }
-            // The pages are not a consistent snapshot. Changes made after the first page are read again from that page's end offset.
+            // The pages are not a consistent snapshot. Changes made after the first page are read again from that page's end
+            // offset.
             end ??= page.value.end_offset;
             if (!page.value.has_more) {
                 return ok({ records: [...records.values()], isComplete: true, endOffset: end, confirmedAt });
--- a/src/platform/upstreamClient.ts
+++ b/src/platform/upstreamClient.ts
@@ -17,7 +17,9 @@
 
 /** Connecting takes a millisecond or two. A machine that is down or partitioned does not respond at all. */
 const connectTimeoutMilliseconds = 400;
-/** Connections are closed this long before the upstream's keep-alive timeout. A request sent while the upstream closes is lost. */
+/**
+ * Connections are closed this long before the upstream's keep-alive timeout. A request sent while the upstream closes is lost.
+ */
 const keepAliveMarginMilliseconds = 1_000;
 /** Keep-alive timeout for upstreams that announce none. */
 const defaultKeepAliveMilliseconds = 4_000;
@@ -69,7 +71,7 @@
         this.#options = options;
     }
 
-    /** Sends one request; never retries it. */
+    /** Sends one request. Never retries it. */
     async call(
         upstream: RegisteredUpstream,
         call: UpstreamCall,
@@ -88,7 +90,7 @@
         }
         catch (error) {
             const kind = provesNothingWritten(error) ? "not-sent" : "broken";
-            return err({ kind, reason: describe(error) });
+            return err({ kind, reason: describeError(error) });
         }
     }
 
@@ -192,12 +194,12 @@
 ): Result<UpstreamAnswer, UpstreamCallFailure> {
     const raw = response.headers as unknown as readonly string[];
     const load = readLoad(raw);
-    const echoed = findHeader(raw, headerNames.requestId);
+    const echoedId = findHeader(raw, headerNames.requestId);
     const fail = (kind: UpstreamCallFailure["kind"], reason: string): Result<never, UpstreamCallFailure> => {
         discard(response);
         return err({ kind, reason, load });
     };
-    if (echoed !== undefined && echoed !== call.request.id) {
+    if (echoedId !== undefined && echoedId !== call.request.id) {
         // This is a late answer to an earlier request on the connection. What follows on it cannot be attributed to a request.
         response.body.on("error", () => {
             // Destroying the body closes the connection, which the body reports as an error.
@@ -265,7 +267,7 @@
     });
 }
 
-function describe(error: unknown): string {
+function describeError(error: unknown): string {
     const code = (error as { code?: unknown; } | undefined)?.code;
     return typeof code === "string" ? code : String(error);
 }
--- a/src/platform/wire.ts
+++ b/src/platform/wire.ts
@@ -9,7 +9,7 @@
     /** The prompt's parts, as `ID:TOKENS` in their order. */
     promptParts: "prompt-prefix",
     lastEventId: "last-event-id",
-    /** Proves that the runner itself produced the answer. */
+    /** The runner's proof that it produced the answer itself. */
     seal: "server-seal",
     workspace: "tenant",
     expectedRunner: "expect-instance",
--- a/src/upstream/ratingClient.ts
+++ b/src/upstream/ratingClient.ts
@@ -21,7 +21,9 @@
     readonly timeoutMilliseconds: number;
 }
 
-/** Consecutive failures after which the service counts as unavailable. Sampled answers are still sent, so its return is detected. */
+/**
+ * Consecutive failures after which the service counts as unavailable. Sampled answers are still sent, so its return is detected.
+ */
 const unavailableAfterFailures = 3;
 
 /** Requests ratings. */
@@ -29,7 +31,7 @@
     readonly #url: string;
     readonly #dispatcher: Dispatcher;
     readonly #timeout: number;
-    #failuresInRow = 0;
+    #consecutiveFailures = 0;
 
     constructor(options: RatingClientOptions) {
         this.#url = options.url;
@@ -39,7 +41,7 @@
 
     /** Returns whether the service is available, so that plans may rely on ratings. */
     isAvailable(): boolean {
-        return this.#failuresInRow < unavailableAfterFailures;
+        return this.#consecutiveFailures < unavailableAfterFailures;
     }
 
     /**
@@ -52,7 +54,7 @@
         timeoutMilliseconds: number = this.#timeout,
     ): Promise<Result<number | undefined, Failure>> {
         const result = await this.#requestRating(rating, timeoutMilliseconds);
-        this.#failuresInRow = result.isOk() ? 0 : this.#failuresInRow + 1;
+        this.#consecutiveFailures = result.isOk() ? 0 : this.#consecutiveFailures + 1;
         return result;
     }
 
--- a/src/upstream/upstreamConnector.ts
+++ b/src/upstream/upstreamConnector.ts
@@ -29,7 +29,7 @@
     /** Creates the dispatcher for all calls to upstreams. It never opens an unencrypted connection. */
     createDispatcher(): Dispatcher {
         const agent = new Agent({ connect: (options, callback) => this.#connect(options, callback) });
-        return agent.compose(dispatch => (options, handler) => dispatch(encrypt(options), handler));
+        return agent.compose(dispatch => (options, handler) => dispatch(toHttps(options), handler));
     }
 
     #createConnector({ certificate, key, authority, serverName }: Credentials): buildConnector.connector {
@@ -43,7 +43,10 @@
     }
 }
 
-/** Changes the scheme to HTTPS. Clients build URLs from addresses only; whether connections are encrypted is a setting of the site. */
-function encrypt(options: Dispatcher.DispatchOptions): Dispatcher.DispatchOptions {
+/**
+ * Changes the scheme to HTTPS. Clients build URLs from addresses only; whether connections are encrypted is a setting of the
+ * site.
+ */
+function toHttps(options: Dispatcher.DispatchOptions): Dispatcher.DispatchOptions {
     return { ...options, origin: String(options.origin).replace(/^http:/, "https:") };
 }
--- a/src/upstream/upstreamFailure.ts
+++ b/src/upstream/upstreamFailure.ts
@@ -35,7 +35,7 @@
         outcome,
         failure: new Failure({
             kind: "upstream-failed",
-            message: `The call to ${upstream} failed: ${describe(error)}.`,
+            message: `The call to ${upstream} failed: ${describeError(error)}.`,
             remedy: outcome === "not-run" ? "Send the request again." : "Check its outcome before sending it again.",
             cause: error,
         }),
@@ -77,7 +77,7 @@
     return typeof code === "string" && connectFailureCodes.has(code);
 }
 
-function describe(error: unknown): string {
+function describeError(error: unknown): string {
     if (error instanceof Error) {
         const code = (error as { code?: unknown; }).code;
         return typeof code === "string" ? `${error.message || error.name} (${code})` : error.message || error.name;
--- a/test/fleet/upstreamRegistry.test.ts
+++ b/test/fleet/upstreamRegistry.test.ts
@@ -7,55 +7,55 @@
 function createRegistry() {
     const clock = new ManualClock(1_000);
     const registry = new UpstreamRegistry(clock);
-    const gone: string[] = [];
-    registry.onRemoved(upstream => gone.push(upstream.id));
-    const getTaking = (): string[] => registry.getAvailable("app").map(upstream => upstream.id);
-    return { clock, registry, gone, getTaking };
+    const removed: string[] = [];
+    registry.onRemoved(upstream => removed.push(upstream.id));
+    const getAvailable = (): string[] => registry.getAvailable("app").map(upstream => upstream.id);
+    return { clock, registry, removed, getAvailable };
 }
 
 describe("UpstreamRegistry", () => {
     describe("set", () => {
         it("returns upstreams that are ready and omits those that are leaving", () => {
-            const { registry, getTaking } = createRegistry();
+            const { registry, getAvailable } = createRegistry();
             registry.set(createUpstream("a"));
             registry.set(createUpstream("b"));
             registry.set(createUpstream("b", { isLeaving: true }));
-            expect(getTaking()).toEqual(["a"]);
+            expect(getAvailable()).toEqual(["a"]);
         });
 
-        // A runner crashes and restarts under the same identifier. Its cache and its load are lost, so the state collected for it is wrong:
-        // requests would queue at a runner that seems to have their prompt cached.
+        // A runner crashes and restarts under the same identifier. Its cache and its load are lost, so the state collected for it
+        // is wrong: requests would queue at a runner that seems to have their prompt cached.
         it("notifies listeners when an upstream was restarted", () => {
-            const { registry, gone } = createRegistry();
+            const { registry, removed } = createRegistry();
             registry.set(createUpstream("a", { startedAt: 1 }));
             registry.set(createUpstream("a", { startedAt: 1, isLeaving: true }));
-            expect(gone).toEqual([]);
+            expect(removed).toEqual([]);
             registry.set(createUpstream("a", { startedAt: 2 }));
-            expect(gone).toEqual(["a"]);
+            expect(removed).toEqual(["a"]);
         });
     });
 
     describe("remove", () => {
         it("removes an upstream at once without a grace period", () => {
-            const { registry, gone, getTaking } = createRegistry();
+            const { registry, removed, getAvailable } = createRegistry();
             registry.set(createUpstream("a"));
             registry.remove("a", 0);
-            expect([getTaking(), gone]).toEqual([[], ["a"]]);
+            expect([getAvailable(), removed]).toEqual([[], ["a"]]);
         });
 
-        // The store was unavailable for longer than records live. All records expired although every upstream works. Without the grace
-        // period the pools would be empty, and every caller would be refused until the upstreams have registered again.
+        // The store was unavailable for longer than records live. All records expired although every upstream works. Without the
+        // grace period the pools would be empty, and every caller would be refused until the upstreams have registered again.
         it("keeps an upstream whose record may have expired until it had time to register again", () => {
-            const { clock, registry, getTaking } = createRegistry();
+            const { clock, registry, getAvailable } = createRegistry();
             registry.set(createUpstream("a"));
             registry.set(createUpstream("b"));
             registry.remove("a", 2_000);
             registry.remove("b", 2_000);
             clock.advance(1_500);
             registry.set(createUpstream("b"));
-            expect(getTaking()).toEqual(["a", "b"]);
+            expect(getAvailable()).toEqual(["a", "b"]);
             clock.advance(600);
-            expect(getTaking()).toEqual(["b"]);
+            expect(getAvailable()).toEqual(["b"]);
         });
     });
 });
--- a/test/forwarding/eventSplitter.test.ts
+++ b/test/forwarding/eventSplitter.test.ts
@@ -23,8 +23,8 @@
         }));
     });
 
-    // A runner fails in the middle of an event, and the stream is resumed at another runner. If the two parts were joined, the caller
-    // would receive an event that no runner sent.
+    // A runner fails in the middle of an event, and the stream is resumed at another runner. If the two parts were joined, the
+    // caller would receive an event that no runner sent.
     it("discards an incomplete event", () => {
         const { splitter } = split([Buffer.from("id: 1\ndata: a\n\nid: 2\nda")]);
         expect(splitter.getRemainder().toString()).toEqual("id: 2\nda");
--- a/test/forwarding/forwarder.test.ts
+++ b/test/forwarding/forwarder.test.ts
@@ -14,7 +14,7 @@
         expect([call.workspace, call.deadlineMilliseconds <= 1_000]).toEqual(["harbour", true]);
     });
 
-    // Without these fields, the log does not show which requests belong to a session and which version answered each of them.
+    // Without these fields the log does not show which requests belong to a session and which version answered each of them.
     it("logs the session and the version of each attempt", async () => {
         const { send, lines } = createForwarder({ versionReason: "candidate: share 0.1" });
         await send({ session: "s-1" });
@@ -22,7 +22,7 @@
         expect(lines.find(line => line.name === "attempt-ended")?.versionReason).toEqual("candidate: share 0.1");
     });
 
-    // A route is split between two pools. When each request of a session drew its pool anew, two services answered one session in turn.
+    // A route is split between two pools. If each request drew its pool anew, two services would answer one session in turn.
     it("serves all requests of a session by one of a route's pools", async () => {
         const pools = [{ pool: "app", weight: 1 }, { pool: "other", weight: 1 }];
         const upstreams = [createUpstream("u1"), createUpstream("u2", { pool: "other" })];
@@ -48,8 +48,8 @@
         expect(calls.length).toEqual(0);
     });
 
-    // The node has just started, or the store does not answer. With a final refusal every caller would assume that its key or path is
-    // wrong, and would not retry.
+    // The node has just started, or the store does not answer. With a final refusal every caller would assume that its key or
+    // path is wrong, and would not retry.
     it("asks callers to retry while its configuration is missing or old", async () => {
         const unknown = createForwarder({ getRoutes: () => undefined });
         const old = createForwarder({ getConfigurationAge: () => 3_000 });
@@ -69,8 +69,8 @@
         }
     });
 
-    // After a power failure callers connect while the node reads its first configuration. If they were refused at once, they would use up
-    // their only other attempt a few milliseconds before they can be served.
+    // After a power failure callers connect while the node reads its first configuration. If they were refused at once, they
+    // would use up their only other attempt a few milliseconds before they can be served.
     it("makes callers wait for the first read after a start, then serves them", async () => {
         let routes: RouteTable | undefined;
         const { send } = createForwarder({
@@ -83,7 +83,8 @@
         expect((await send()).refusal).toEqual(undefined);
     });
 
-    // A key is revoked while this node is partitioned from the store. Anyone who has the key would be served until the partition ends.
+    // A key is revoked while this node is partitioned from the store. Anyone who has the key would be served until the partition
+    // ends.
     it("refuses keys when its configuration is too old to show their revocation", async () => {
         const { send, calls } = createForwarder({
             getConfigurationAge: () => 4_800,
--- a/test/forwarding/unaryExchange.test.ts
+++ b/test/forwarding/unaryExchange.test.ts
@@ -32,8 +32,8 @@
         expect(calls[0].upstream).not.toEqual(calls[1].upstream);
     });
 
-    // The connection to an instance breaks during a booking, which may have been made. If it were sent to another instance, the driver
-    // would be ordered twice.
+    // The connection to an instance breaks during a booking, which may have been made. If the request were sent to another
+    // instance, the driver would be ordered twice.
     it("never repeats a request that may have run, and does not report it as not run", async () => {
         const { send, calls } = createSite("at-most-once", { behaviour: () => createCallFailure("broken") });
         const { refusal } = await send();
@@ -66,13 +66,13 @@
         expect([query.chunks, query.hasCompleteFraming]).toEqual([["whole"], true]);
     });
 
-    // Every instance is full and refuses. The caller must be informed at once that nothing has run, with a retry delay.
+    // Every instance is full and refuses. The caller must receive a prompt refusal with the outcome not run and a retry delay.
     it("reports that a request has not run, with a retry delay, when every upstream refuses", async () => {
         const { send } = createSite("at-most-once", { behaviour: () => createCallFailure("refused") });
         const { refusal } = await send();
         expect([refusal?.outcome, refusal?.failure.kind]).toEqual(["not-run", "overloaded"]);
-        const back = refusal!.failure.retryAfterMilliseconds!;
-        expect(back >= 30 && back <= 300).toEqual(true);
+        const retryAfterMilliseconds = refusal!.failure.retryAfterMilliseconds!;
+        expect(retryAfterMilliseconds >= 30 && retryAfterMilliseconds <= 300).toEqual(true);
     });
 
     it("returns the upstream's own failure when no upstream succeeded", async () => {
@@ -91,17 +91,17 @@
     });
 
     it("refuses at the route's timeout and aborts the call", async () => {
-        let wasEnded = false;
+        let wasAborted = false;
         const { send } = createSite("at-most-once", {
             behaviour: async call => {
                 const failure = await waitForAbort(call);
-                wasEnded = true;
+                wasAborted = true;
                 return failure;
             },
         });
         const before = performance.now();
         const { refusal } = await send({ deadlineMilliseconds: 400 });
-        expect([refusal?.failure.kind, wasEnded]).toEqual(["deadline", true]);
+        expect([refusal?.failure.kind, wasAborted]).toEqual(["deadline", true]);
         expect(performance.now() - before >= 380).toEqual(true);
     });
 
--- a/test/platform/decode.test.ts
+++ b/test/platform/decode.test.ts
@@ -11,7 +11,7 @@
     return Buffer.from(JSON.stringify(value));
 }
 
-const entry = {
+const record = {
     service: "pool",
     address: "10.0.0.9:8080",
     zone: "north",
@@ -26,7 +26,7 @@
 
 describe("decodeUpstream", () => {
     it("decodes a record", () => {
-        const upstream = decodeUpstream("i-1", encode(entry));
+        const upstream = decodeUpstream("i-1", encode(record));
         expect([upstream?.pool, upstream?.failureDomain, upstream?.isLeaving, upstream?.startedAt]).toEqual([
             "pool",
             "north",
@@ -38,16 +38,18 @@
     // Another program writes a malformed record under an upstream's key: a field of another type, an unknown state, or arbitrary
     // bytes. The record must yield no upstream and must not crash the process that reads it.
     it("returns no upstream for a malformed record", () => {
-        const spoilt = [
-            encode({ ...entry, slots: "48" }),
-            encode({ ...entry, state: "resting" }),
-            encode({ ...entry, address: undefined }),
-            encode({ ...entry, address: "elsewhere" }),
+        const malformedValues = [
+            encode({ ...record, slots: "48" }),
+            encode({ ...record, state: "resting" }),
+            encode({ ...record, address: undefined }),
+            encode({ ...record, address: "elsewhere" }),
             encode([]),
             Buffer.from([0xff, 0x00, 0x7b]),
             Buffer.alloc(0),
         ];
-        expect(spoilt.map(value => decodeUpstream("i-1", value))).toEqual(spoilt.map(() => undefined));
+        expect(malformedValues.map(value => decodeUpstream("i-1", value))).toEqual(
+            malformedValues.map(() => undefined),
+        );
     });
 });
 
@@ -87,8 +89,11 @@
 
     it("fails on malformed records and treats an unknown route kind as the strictest", () => {
         expect(decodeConfiguration(Buffer.from("{")).isErr()).toEqual(true);
-        const strange = { ...configuration, routes: [{ ...configuration.routes[0], route_kind: "new" }] };
-        const table = decodeConfiguration(encode(strange))._unsafeUnwrap();
+        const configurationOfUnknownKind = {
+            ...configuration,
+            routes: [{ ...configuration.routes[0], route_kind: "new" }],
+        };
+        const table = decodeConfiguration(encode(configurationOfUnknownKind))._unsafeUnwrap();
         expect(table.findRoute("app.example", "/a/")?.kind).toEqual("at-most-once");
     });
 
@@ -170,8 +175,12 @@
     });
 
     it("reports the line and key of an invalid value", () => {
-        const wrong = filled.replace(/revoke_ms = 5/, "revoke_ms = soon");
-        const [mistake] = parseNodeSettings(wrong, "local.ini")._unsafeUnwrapErr();
-        expect([mistake.section, mistake.key, mistake.line > 0]).toEqual(["bounds", "revoke_ms", true]);
+        const invalid = filled.replace(/revoke_ms = 5/, "revoke_ms = soon");
+        const [validationError] = parseNodeSettings(invalid, "local.ini")._unsafeUnwrapErr();
+        expect([validationError.section, validationError.key, validationError.line > 0]).toEqual([
+            "bounds",
+            "revoke_ms",
+            true,
+        ]);
     });
 });
--- a/test/platform/node.test.ts
+++ b/test/platform/node.test.ts
@@ -43,8 +43,8 @@
         );
     });
 
-    // Another program writes a malformed record under a runner's key, and an invalid configuration. The node must continue with its
-    // previous state and apply later records.
+    // Another program writes a malformed record under a runner's key, and an invalid configuration. The node must continue with
+    // its previous state and apply later records.
     it("skips malformed records and keeps its state", async () => {
         site.store.put("keyed.servers", "i-9", Buffer.from("\u0000{"));
         site.store.put("keyed.op", "config", { version: "none" });
--- a/test/platform/platformSite.ts
+++ b/test/platform/platformSite.ts
@@ -259,8 +259,8 @@
 
     /** Stops all processes and servers of the site and removes its files. */
     async stop(): Promise<void> {
-        for (const release of this.#cleanups) {
-            await release();
+        for (const cleanup of this.#cleanups) {
+            await cleanup();
         }
         for (const node of this.nodes) {
             node.child.kill("SIGKILL");
--- a/test/platform/poolRollout.test.ts
+++ b/test/platform/poolRollout.test.ts
@@ -16,10 +16,10 @@
 
 /** Sends requests of new sessions to all nodes until the returned function is called or the site stops. */
 function startTraffic(site: PlatformSite): () => Promise<void> {
-    let isOver = false;
+    let isStopped = false;
     let sessions = 0;
     const run = async (): Promise<void> => {
-        while (!isOver) {
+        while (!isStopped) {
             sessions += 1;
             const node = site.nodes[sessions % site.nodes.length];
             await site.send(node, { headers: { session: `s-${sessions}` } }).catch(() => {
@@ -29,7 +29,7 @@
     };
     const runs = [run(), run(), run()];
     const stop = async (): Promise<void> => {
-        isOver = true;
+        isStopped = true;
         await Promise.all(runs);
     };
     site.addCleanup(stop);
--- a/test/platform/soak/main.ts
+++ b/test/platform/soak/main.ts
@@ -1,6 +1,6 @@
 /**
- * Runs the platform's soak test by hand: `node dist/test/platform/soak/main.js --seed 1 --count 50 --seconds 12`. With `--rollout` the
- * pool moves to a new version meanwhile.
+ * Runs the platform's soak test by hand: `node dist/test/platform/soak/main.js --seed 1 --count 50 --seconds 12`. With
+ * `--rollout` the pool moves to a new version meanwhile.
  */
 import { parseArgs } from "node:util";
 import { runPlatformSoak } from "./platformSoak.js";
--- a/test/platform/soak/platformSoak.test.ts
+++ b/test/platform/soak/platformSoak.test.ts
@@ -6,10 +6,10 @@
 const maxLines = 20;
 
 describe("runPlatformSoak", () => {
-    // Nodes crash, stall and restart; links to the store fail in one or both directions; the store is unavailable or loses answers;
-    // runners fail and leave; API keys are revoked. The faults occur in sequence and overlap, while callers reuse their connections.
-    // Callers may only notice truthful refusals: no booking may run twice, no answer may go to another caller, and no part of a
-    // stream may be lost.
+    // Nodes crash, stall and restart; links to the store fail in one or both directions; the store is unavailable or loses
+    // answers; runners fail and leave; API keys are revoked. The faults occur in sequence and overlap, while callers reuse their
+    // connections. Callers may only notice truthful refusals: no booking may run twice, no answer may go to another caller, and
+    // no part of a stream may be lost.
     const seeds = [
         { seed: 3, prefix: "127.72.41", hasRollout: false },
         // Guards against a reload signal that ended a node while it was starting.
--- a/test/platform/soak/platformSoak.ts
+++ b/test/platform/soak/platformSoak.ts
@@ -16,7 +16,7 @@
 const proxyPort = 7_030;
 /** The revocation bound in the site's settings. */
 const revocationMilliseconds = 6_000;
-const requestsAtOnce = 4;
+const concurrentRequests = 4;
 const runnerFaults: readonly RunnerFault[] = ["reset", "mute", "truncate", "error", "slow"];
 const faultShare = 0.3;
 /** Maximum time between the starts of two faults. It is short so that some faults overlap. */
@@ -37,7 +37,7 @@
     readonly milliseconds: number;
     /** First three bytes of a loopback block. */
     readonly prefix: string;
-    /** Whether the pool moves to a new version meanwhile. Draws no random numbers, so a seed gives the same faults with and without it. */
+    /** Whether the pool moves to a new version meanwhile. Draws no random numbers, so a seed's faults are the same without it. */
     readonly hasRollout?: boolean;
 }
 
@@ -91,7 +91,7 @@
         await this.#start();
         const addresses = this.#site.nodes.map(node => node.address);
         const callers = new SoakCallers(new RandomSource(this.#options.seed + 1), addresses, () => this.#drawKey());
-        callers.start(requestsAtOnce);
+        callers.start(concurrentRequests);
         if (this.#options.hasRollout === true) {
             await this.#orderRollout();
         }
@@ -221,8 +221,8 @@
     }
 
     #drawKey(): string {
-        const known = [...this.#keys, ...this.#revoked.slice(-1).map(({ key }) => key)];
-        return known[Math.floor(Math.random() * known.length)];
+        const keys = [...this.#keys, ...this.#revoked.slice(-1).map(({ key }) => key)];
+        return keys[Math.floor(Math.random() * keys.length)];
     }
 
     #injectFault(): void {
@@ -365,11 +365,11 @@
     }
 
     #drawNode(): number | undefined {
-        const free = Array.from({ length: nodeCount }, (...[, index]) => index + 1).filter(index =>
+        const available = Array.from({ length: nodeCount }, (...[, index]) => index + 1).filter(index =>
             !this.#unavailableNodes.has(index)
         );
         // One node always stays available, so that the others can read from a peer and callers get answers.
-        return free.length <= 1 ? undefined : this.#draw(free);
+        return available.length <= 1 ? undefined : this.#draw(available);
     }
 
     #draw<T>(items: readonly T[]): T {
--- a/test/platform/soak/soakCallers.ts
+++ b/test/platform/soak/soakCallers.ts
@@ -47,9 +47,9 @@
     }
 
     /** Starts to send, with this number of concurrent requests of each kind. */
-    start(atOnce: number): void {
+    start(concurrentRequests: number): void {
         for (const kind of ["booking", "call", "stream"] as const) {
-            for (let index = 0; index < atOnce; index += 1) {
+            for (let index = 0; index < concurrentRequests; index += 1) {
                 this.#running.push(this.#run(kind));
             }
         }
--- a/test/platform/soak/soakChecks.ts
+++ b/test/platform/soak/soakChecks.ts
@@ -1,7 +1,7 @@
 /** Checks the guarantees of a soak test against what callers and runners observed. */
 import type { ReceivedRequest } from "../standins/runnerStandin.js";
 import type { ObservedRequest } from "./soakCallers.js";
-import { createWholeBody, streamEventCount } from "./soakRunners.js";
+import { createCompleteBody, streamEventCount } from "./soakRunners.js";
 
 /** A request as a runner received it, and when. */
 export interface ExecutedRequest {
@@ -19,12 +19,12 @@
 /** Returns the violations of the guarantees, one line each. */
 export function findViolations(
     observed: readonly ObservedRequest[],
-    runs: readonly ExecutedRequest[],
+    executed: readonly ExecutedRequest[],
     revoked: readonly RevokedKey[],
     revocationMilliseconds: number,
 ): readonly string[] {
     const counts = new Map<string, number>();
-    for (const { request } of runs) {
+    for (const { request } of executed) {
         const id = String(request.headers["attempt-id"]);
         counts.set(id, (counts.get(id) ?? 0) + 1);
     }
@@ -34,7 +34,7 @@
     }
     const keys = new Map(revoked.map(({ key, at }) => [key, at]));
     const byId = new Map(observed.map(entry => [entry.id, entry]));
-    for (const { request } of runs) {
+    for (const { request } of executed) {
         const entry = byId.get(String(request.headers["attempt-id"]));
         const revokedAt = keys.get(entry?.key ?? "");
         if (entry !== undefined && revokedAt !== undefined && entry.sentAt > revokedAt + revocationMilliseconds) {
@@ -44,11 +44,11 @@
     return violations;
 }
 
-function* checkRuns({ id, kind, status }: ObservedRequest, runs: number): Iterable<string> {
-    if (kind === "booking" && runs > 1) {
-        yield `${id} ran ${runs} times`;
+function* checkRuns({ id, kind, status }: ObservedRequest, runCount: number): Iterable<string> {
+    if (kind === "booking" && runCount > 1) {
+        yield `${id} ran ${runCount} times`;
     }
-    if ((status === 429 || status === 503) && runs > 0) {
+    if ((status === 429 || status === 503) && runCount > 0) {
         yield `${id} was refused with ${status} although it ran`;
     }
 }
@@ -61,7 +61,7 @@
         yield `${id} got a success without a runner's seal`;
     }
     if (kind !== "stream") {
-        if (isWhole && body !== createWholeBody(id)) {
+        if (isWhole && body !== createCompleteBody(id)) {
             yield `${id} got a wrong body in a complete answer: ${body}`;
         }
         return;
--- a/test/platform/soak/soakRunners.ts
+++ b/test/platform/soak/soakRunners.ts
@@ -12,7 +12,7 @@
 export type RunnerFault = "none" | "reset" | "mute" | "truncate" | "error" | "slow";
 
 /** Returns the body of a complete answer to a request. */
-export function createWholeBody(requestId: string): string {
+export function createCompleteBody(requestId: string): string {
     return `done ${requestId}`;
 }
 
@@ -34,15 +34,15 @@
         if (isFaulty && fault === "slow") {
             await wait(slowDelayMilliseconds);
         }
-        const breaksOff = isFaulty && fault === "truncate";
+        const isTruncated = isFaulty && fault === "truncate";
         await (request.target.startsWith("/stream/")
-            ? answerStream(request, response, breaksOff)
-            : answerWhole(request, response, breaksOff));
+            ? answerStream(request, response, isTruncated)
+            : answerUnary(request, response, isTruncated));
     };
 }
 
-async function answerWhole(request: ReceivedRequest, response: ServerResponse, isTruncated: boolean): Promise<void> {
-    const body = createWholeBody(String(request.headers["attempt-id"]));
+async function answerUnary(request: ReceivedRequest, response: ServerResponse, isTruncated: boolean): Promise<void> {
+    const body = createCompleteBody(String(request.headers["attempt-id"]));
     response.writeHead(200, { ...createSeal(request), "Content-Length": String(body.length) });
     if (isTruncated) {
         response.write(body.slice(0, body.length / 2));
--- a/test/platform/standins/storeStandin.ts
+++ b/test/platform/standins/storeStandin.ts
@@ -20,7 +20,7 @@
 }
 
 /** Number of appends per producer whose answers are retained. Repeating one of these appends returns its first answer. */
-const retainedAnswers = 5;
+const maxRetainedAnswers = 5;
 
 /** Fault that the store simulates. */
 export type StoreFault = "well" | "busy" | "silent" | "loses-answers";
@@ -206,7 +206,7 @@
             return { status: 409, body: { reason: "fenced" } };
         }
         const last = known.answers.at(-1)!.sequence;
-        const first = known.answers.slice(-retainedAnswers).find(answer => answer.sequence === sequence);
+        const first = known.answers.slice(-maxRetainedAnswers).find(answer => answer.sequence === sequence);
         if (first !== undefined) {
             return first.answer;
         }
--- a/test/platform/storeUnavailable.test.ts
+++ b/test/platform/storeUnavailable.test.ts
@@ -29,8 +29,8 @@
         expect(readers.size).toEqual(1);
     });
 
-    // The store refuses one node but serves the others, and an API key is revoked meanwhile. The key must not be accepted for longer
-    // than the revocation bound, not even by that node.
+    // The store refuses one node but serves the others, and an API key is revoked meanwhile. The key must not be accepted for
+    // longer than the revocation bound, not even by that node.
     it("receive from each other what the store refuses to send", async () => {
         for (const [index, node] of site.nodes.entries()) {
             site.store.faultsByCaller.clear();
@@ -46,8 +46,8 @@
         site.store.faultsByCaller.clear();
     });
 
-    // The store stays unavailable, so nodes cannot know whether an API key has been revoked since. After the bound they must refuse
-    // all keys, and the refusal must state that nothing has run.
+    // The store stays unavailable, so nodes cannot know whether an API key has been revoked since. After the bound they must
+    // refuse all keys, and the refusal must state that nothing has run.
     it("refuse keys when their state is too old, and accept them when the store is available again", async () => {
         const [node] = site.nodes;
         expect((await site.send(node)).status).toEqual(200);
@@ -64,8 +64,8 @@
         }
     });
 
-    // A node is killed and restarts while the store does not answer it. It must read the state from its peers instead of waiting for
-    // the store. Until then it must refuse requests as temporarily unavailable, not as unknown.
+    // A node is killed and restarts while the store does not answer it. It must read the state from its peers instead of waiting
+    // for the store. Until then it must refuse requests as temporarily unavailable, not as unknown.
     it("restart with the state of their peers", async () => {
         const before = site.nodes[2];
         site.store.faultsByCaller.set(before.address, "silent");
--- a/test/platform/upstreamClient.test.ts
+++ b/test/platform/upstreamClient.test.ts
@@ -13,8 +13,8 @@
 const openResources: { close(): unknown; }[] = [];
 
 afterEach(async () => {
-    for (const part of openResources.splice(0)) {
-        await part.close();
+    for (const resource of openResources.splice(0)) {
+        await resource.close();
     }
 });
 
@@ -87,8 +87,8 @@
             socket.write("HTTP/1.1 503 X\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n")
         );
         expect(refused.called._unsafeUnwrapErr().kind).toEqual("refused");
-        const silentOnIt = await call(socket => socket.write("HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n"));
-        expect(silentOnIt.called._unsafeUnwrapErr().kind).toEqual("broken");
+        const unspecified = await call(socket => socket.write("HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n"));
+        expect(unspecified.called._unsafeUnwrapErr().kind).toEqual("broken");
         const replaced = await call(socket =>
             socket.write("HTTP/1.1 421 X\r\nInstance-Id: i-2\r\nContent-Length: 0\r\n\r\n")
         );
@@ -106,8 +106,8 @@
         expect(called._unsafeUnwrapErr().kind).toEqual("broken");
     });
 
-    // A runner answers late, after its caller was refused or answered by other means. The late answer arrives where the answer to the
-    // next request is expected, and another caller would receive it.
+    // A runner answers late, after its caller was refused or answered by other means. The late answer arrives where the answer to
+    // the next request is expected, and another caller would receive it.
     it("rejects an answer that belongs to another request", async () => {
         const { called } = await call(socket =>
             socket.write("HTTP/1.1 200 OK\r\nAttempt-Id: earlier\r\nServer-Seal: s\r\nContent-Length: 5\r\n\r\nother")
@@ -115,8 +115,8 @@
         expect(called._unsafeUnwrapErr().reason).toEqual("the answer belongs to another request");
     });
 
-    // A runner writes a second answer directly after the first one. The extra bytes belong to no request, and the next request on the
-    // connection would receive them.
+    // A runner writes a second answer directly after the first one. The extra bytes belong to no request, and the next request on
+    // the connection would receive them.
     it("does not reuse a connection after surplus bytes", async () => {
         const { client, upstream, called } = await call((socket, id, count) => {
             const answer =
@@ -128,8 +128,8 @@
         expect(await read(second)).toEqual("02");
     });
 
-    // An answer without a length ends with its connection. If the connection is reset midway, the received part looks like a complete
-    // answer, and the caller takes half a confirmation for a whole one.
+    // An answer without a length ends with its connection. If the connection is reset midway, the received part looks like a
+    // complete answer, and the caller mistakes half a confirmation for a complete one.
     it("does not treat an answer as complete when its connection was reset", async () => {
         const whole = await call((socket, id) =>
             socket.end(`HTTP/1.1 200 OK\r\nAttempt-Id: ${id}\r\nServer-Seal: s\r\nConnection: close\r\n\r\nwhole`)
--- a/test/platform/wireNames.test.ts
+++ b/test/platform/wireNames.test.ts
@@ -22,7 +22,7 @@
             .flatMap(table => Object.values(table))
             .filter(name => /[-/.]/.test(name) && !genericNames.has(name));
         const found: string[] = [];
-        for (const file of folders.flatMap(room => findFiles(join("src", room)))) {
+        for (const file of folders.flatMap(folder => findFiles(join("src", folder)))) {
             const text = readFileSync(file, "utf8").toLowerCase();
             for (const name of names.filter(candidate => text.includes(`"${candidate}"`))) {
                 found.push(`${file}: ${name}`);
@@ -34,7 +34,7 @@
     it("are used by one store client, one upstream client and one topic reader", () => {
         const users = findFiles("src/platform").filter(file => /new Pool\(/.test(readFileSync(file, "utf8")));
         expect(users.sort()).toEqual(["src/platform/storeClient.ts", "src/platform/upstreamClient.ts"]);
-        const readers = folders.flatMap(room => findFiles(join("src", room)))
+        const readers = folders.flatMap(folder => findFiles(join("src", folder)))
             .filter(file => /from "undici"/.test(readFileSync(file, "utf8")));
         expect(readers).toEqual([]);
     });
--- a/test/upstream/vmListClient.test.ts
+++ b/test/upstream/vmListClient.test.ts
@@ -26,8 +26,8 @@
 }
 
 describe("VmListClient", () => {
-    // A site has thousands of VMs. Reading their complete list every second takes more bandwidth than all other control traffic. But a
-    // leaving VM must be visible at the next read, or it continues to receive requests.
+    // A site has thousands of VMs. Reading their complete list every second takes more bandwidth than all other control traffic.
+    // But a leaving VM must be visible at the next read, or it continues to receive requests.
     it("does not read an unchanged list again, and reads each change", async () => {
         const standin = createStandin("vm-list", { host, port: 0 }, { vm: { a: vm } });
         const address = formatAddress(await standin.start());
