--- a/src/forwarding/attempts.ts
+++ b/src/forwarding/attempts.ts
@@ -53,7 +53,7 @@
     readonly getHeadTimeout: (expectedMilliseconds: number) => number | undefined;
 }
 
-/** Why no attempt was made. `nobody` means that no upstream was available. */
+/** Why no attempt was made. `nobody` means that no untried upstream was available. */
 export type NotMadeReason = "nobody" | "budget" | "attempts" | "ended";
 
 /** An attempt that failed or was not made. */
@@ -233,7 +233,8 @@
             transport.renewConnections(upstream);
         }
         if (failure.kind === "replaced") {
-            // The record of a replaced upstream is outdated. Until it is removed, no more requests go to its address.
+            // The record of a replaced upstream is outdated. Until it is removed, no more requests go to its address
+            // under its identifier.
             registry.markLeaving(upstream.id);
         }
         if (failure.load !== undefined) {
--- a/src/platform/callerServer.ts
+++ b/src/platform/callerServer.ts
@@ -122,7 +122,7 @@
         outcome: "not-run",
         failure: new Failure({
             kind: "too-large",
-            message: `The request's ${part} are above the limit of ${bytes} bytes.`,
+            message: `The size of the request's ${part} exceeds the limit of ${bytes} bytes.`,
             remedy: "Send a smaller request or have the limit raised.",
         }),
     };
--- a/src/platform/upstreamClient.ts
+++ b/src/platform/upstreamClient.ts
@@ -18,7 +18,8 @@
 /** Connecting takes a millisecond or two. A machine that is down or partitioned does not respond at all. */
 const connectTimeoutMilliseconds = 400;
 /**
- * Connections are closed this long before the upstream's keep-alive timeout. A request sent while the upstream closes is lost.
+ * Connections are closed this long before the upstream's keep-alive timeout. A request that is sent while the
+ * upstream closes the connection is lost.
  */
 const keepAliveMarginMilliseconds = 1_000;
 /** Keep-alive timeout for upstreams that announce none. */
--- a/test/platform/soak/platformSoak.ts
+++ b/test/platform/soak/platformSoak.ts
@@ -253,7 +253,7 @@
         const node = this.#site.nodes[index - 1];
         node.child.kill(signal);
         const code = await node.exited;
-        // A node exits by the signal itself until it serves: seed 36 sent the signal 79 ms after a start.
+        // Until it serves, a node is terminated by the signal itself: seed 36 sent the signal 79 ms after a start.
         const hasStarted = node.events.some(event => event.name === "process-started");
         if (signal === "SIGTERM" && hasStarted && code !== 0) {
             this.#violations.push(`node ${index} exited with ${code} after SIGTERM`);
