--- a/src/membership/chooseAddresses.ts
+++ b/src/membership/chooseAddresses.ts
@@ -1,17 +1,17 @@
 /**
- * Which members a caller is told to use.
+ * Chooses the entry addresses that a caller receives.
  */
 import type { Member } from "./membership.js";
 
-/** Callers take so many addresses from an answer, at most. */
+/** Maximum number of addresses in one response to a caller. */
 const maxAddresses = 64;
 
 /**
- * Chooses the members for one caller: those of its own failure domain first, then others, drawn anew for each caller so that
- * a large site's callers spread over all of it.
+ * Chooses the members for one caller: members of its own failure domain first, then the others. The order within each
+ * group is random for every caller, so that the callers of a large site spread over all members.
  * @param alive - Members that take requests.
- * @param failureDomain - The caller's, if it said.
- * @param random - Draws from 0 to 1; tests give another.
+ * @param failureDomain - Failure domain of the caller, if it sent one.
+ * @param random - Returns a number from 0 to 1.
  */
 export function chooseAddresses(
     alive: readonly Member[],
--- a/src/membership/gossip.ts
+++ b/src/membership/gossip.ts
@@ -1,9 +1,9 @@
 /**
- * Spreads small values that each node publishes about itself to all nodes.
+ * Distributes small values that each node publishes about itself to all nodes.
  *
- * Every period a node picks one random peer, and the two bring each other up to date within a bound of bytes. Urgent
- * values are pushed at once besides, from each receiver to a few more, a few times over; whoever the pushes miss gets
- * them by the next exchanges.
+ * In every period, a node picks one random peer, and both bring each other up to date within a limit of bytes. Urgent
+ * values are also pushed at once: each receiver forwards them to a few more peers, for a limited number of hops. Nodes
+ * that no push reaches receive these values in later exchanges.
  */
 import type { Clock, RandomSource } from "../common/index.js";
 import { events, type Journal } from "../events/index.js";
@@ -17,22 +17,28 @@
 import { newestProtocol, oldestProtocol } from "./protocol.js";
 import { shuffle } from "./shuffle.js";
 
-/** Versions and heartbeats start from the time since then, so that a restarted node goes on above its last run. */
+/**
+ * Epoch of initial versions and heartbeats. Counting from it lets a restarted node continue above the numbers of its
+ * last run.
+ */
 const versionEpochMilliseconds = Date.UTC(2025, 0, 1);
 /**
- * Time that a node's run gains on by one published value. A run that published faster than this over its whole life
- * would end above the start of the next one on the same VM. Peers would then keep the old run's values that the new
- * one has not overwritten, a "leaving" above all, and never send the restarted entry any work.
+ * Time that corresponds to one version. A run that publishes values faster than this over its whole life ends above the
+ * initial version of the next run on the same VM. Peers would then keep the values of the old run that the new one has
+ * not overwritten, "leaving" above all, and never send requests to the restarted entry.
  */
 const millisecondsPerVersion = 20;
 const pushFanOut = 4;
 const pushHops = 5;
-/** One exchange in so many goes to a peer that seems dead, so that two halves find each other again after a cut. */
+/**
+ * Share of exchanges that go to an unresponsive peer, so that the two sides of a network partition reconnect after it
+ * heals.
+ */
 const unresponsivePeerProbability = 0.15;
-/** An origin that has left the VM list is remembered until it has been silent for so long. */
+/** An origin that was removed from the VM list is retained until its heartbeat is this old. */
 const originRetentionMilliseconds = 60_000;
 
-/** Takes a value that is new here. Undefined when its origin removed it. */
+/** Receives a value that is new to this node. The value is undefined when its origin removed it. */
 export type GossipListener = (origin: string, key: string, value: Buffer | undefined) => void;
 
 /** Options of gossip. */
@@ -43,11 +49,11 @@
     readonly journal: Journal;
     readonly transport: GossipTransport;
     readonly periodMilliseconds: number;
-    /** The most bytes of values in one message; the digest comes on top. Large sites send less. */
+    /** Maximum bytes of values in one message, without the digest. Large sites send less. */
     readonly maxValueBytesPerMessage: number;
 }
 
-/** Publishes this node's values and learns those of others. */
+/** Publishes the values of this node and receives those of the others. */
 export class Gossip {
     readonly #options: GossipOptions;
     readonly #state = new GossipState();
@@ -68,12 +74,12 @@
         this.#publishIncarnation();
     }
 
-    /** Begins to exchange. */
+    /** Starts periodic exchanges. */
     start(): void {
         this.#schedule();
     }
 
-    /** Ends exchanging. */
+    /** Stops periodic exchanges. */
     stop(): void {
         clearTimeout(this.#timer);
         this.#timer = undefined;
@@ -111,7 +117,7 @@
     }
 
     /**
-     * Returns a value.
+     * Returns a value, or undefined if it is unknown or removed.
      * @param origin - The node that published it.
      * @param key - Its key.
      */
@@ -127,13 +133,13 @@
         return this.#state.getAll(key);
     }
 
-    /** Returns the peers that may exist, by the VM list. */
+    /** Returns the entries of the VM list, without this node. */
     getPeers(): ReadonlyMap<string, PeerAddress> {
         return this.#peers;
     }
 
     /**
-     * Returns the milliseconds since an origin was last known to have lived, or undefined if it never was.
+     * Returns the milliseconds since the heartbeat of an origin last increased, or undefined if none was received.
      * @param origin - The origin.
      */
     getHeartbeatAge(origin: string): number | undefined {
@@ -142,8 +148,8 @@
     }
 
     /**
-     * Takes the VM list in: it says who may exist.
-     * @param vms - The VMs; those that are not entries are passed over.
+     * Replaces the set of peers by the entries of the VM list.
+     * @param vms - The VMs. Those that are not entries are ignored.
      */
     setPeers(vms: readonly Vm[]): void {
         const peers = new Map<string, PeerAddress>();
@@ -159,7 +165,7 @@
         this.#removeDepartedOrigins();
     }
 
-    /** Exchanges with one random peer now. */
+    /** Exchanges state with one random peer. */
     async exchangeOnce(): Promise<void> {
         this.#removeDepartedOrigins();
         this.#heartbeat += 1;
@@ -184,8 +190,8 @@
     }
 
     /**
-     * Answers a peer's exchange.
-     * @param request - What it sent.
+     * Answers an exchange of a peer.
+     * @param request - The request of the peer.
      */
     handleExchange(request: ExchangeRequest): ExchangeReply {
         this.#options.journal.observe(request.counter);
@@ -209,8 +215,8 @@
     }
 
     /**
-     * Takes in what a peer pushed.
-     * @param request - What it sent.
+     * Applies the items that a peer pushed, and forwards the new ones.
+     * @param request - The request of the peer.
      * @returns This node's Lamport counter.
      */
     handlePush(request: PushRequest): number {
@@ -248,7 +254,7 @@
         void this.#options.transport.push(peer, { sender, counter, items, bases, hops: 0 });
     }
 
-    /** Takes digest lines in: heartbeats of others, and what is said of this node itself. */
+    /** Applies digest lines: heartbeats of other nodes, and the state that the sender holds of this node. */
     #applyDigest(lines: readonly DigestLine[]): void {
         const now = this.#options.clock.monotonic();
         for (const line of lines) {
@@ -262,8 +268,9 @@
     }
 
     /**
-     * Renumbers this node's values above what others remember of an earlier run of it. That happens when the wall
-     * clock went back over a restart; peers would otherwise take every new value for an old one.
+     * Renumbers the values of this node above the versions that peers hold from an earlier run of it. Peers hold higher
+     * versions when the wall clock was set back across a restart. They would otherwise discard every new value as
+     * outdated.
      */
     #renumberOwnValues(line: DigestLine): void {
         this.#heartbeat = Math.max(this.#heartbeat, line.heartbeat);
@@ -338,7 +345,10 @@
             : candidates[this.#options.random.nextInteger(candidates.length)];
     }
 
-    /** Divides the peers into those that were not heard of for long or did not answer, and the others. */
+    /**
+     * Splits the peers into unresponsive ones, whose heartbeat is too old or which did not answer a recent exchange,
+     * and the others.
+     */
     #classifyPeers(): { readonly unresponsive: PeerAddress[]; readonly responsive: PeerAddress[]; } {
         const unresponsive: PeerAddress[] = [];
         const responsive: PeerAddress[] = [];
@@ -353,17 +363,17 @@
         return { unresponsive, responsive };
     }
 
-    /** Returns how long a heartbeat may stay unchanged before its node is suspected. */
+    /** Returns the age of a heartbeat from which its node is suspected. */
     getSuspicionTimeoutMilliseconds(): number {
         return getSuspicionTimeout(this.getPeriodMilliseconds(), this.#peers.size);
     }
 
-    /** Returns how long news of a node takes to reach all others. */
+    /** Returns the time in which an update of a node reaches all others. */
     getPropagationMilliseconds(): number {
         return getPropagationTime(this.getPeriodMilliseconds(), this.#peers.size);
     }
 
-    /** Returns the time between two exchanges that this node begins. */
+    /** Returns the time between two exchanges that this node starts. */
     getPeriodMilliseconds(): number {
         return getPeriod(this.#options.periodMilliseconds, this.#peers.size);
     }
--- a/src/membership/gossipMessages.ts
+++ b/src/membership/gossipMessages.ts
@@ -1,13 +1,13 @@
 /**
- * Translates digests between their form in messages and the state's.
+ * Converts digests between their form in messages and the form in `GossipState`.
  *
- * At 350 nodes the digest is the largest part of an exchange, so origins stand in it by a hash of four bytes. Two
- * origins that share one are sent by name.
+ * At 350 nodes, the digest is the largest part of an exchange. It therefore refers to origins by a hash of four bytes.
+ * Origins whose hashes collide are sent by their full identifiers.
  */
 import type { DigestEntry } from "../generated/peer.js";
 import type { DigestLine, GossipState } from "./gossipState.js";
 
-/** A digest as it stands in a message. */
+/** A digest in the form of a message. */
 export interface DigestMessage {
     readonly digest: DigestEntry[];
     readonly origins: number[];
@@ -36,7 +36,7 @@
 }
 
 /**
- * Reads the digest lines of a message. Origins that are not known here are left out.
+ * Reads the digest lines of a message. Lines of unknown origins are omitted.
  * @param state - The state that knows the origins.
  * @param message - The message.
  */
--- a/src/membership/gossipPartners.ts
+++ b/src/membership/gossipPartners.ts
@@ -1,31 +1,32 @@
 /**
- * Which peers a node exchanges gossip with.
+ * Selects the peers that a node exchanges gossip with.
  */
 import { getUnitRank } from "../decisions/index.js";
 import type { PeerAddress } from "./peerAddress.js";
 
 /**
- * A node exchanges with so many peers of its own choice, of those that are heard of. Every node talking to every other one would
- * open thousands of connections as a large site starts, and each costs both sides milliseconds while callers wait. Two choices of
- * each node keep a random graph in one piece; one that does not answer is replaced, and four leave time for that.
+ * Number of responsive peers that a node starts exchanges with. If every node called every other one, a large site
+ * would open thousands of connections at its start, and each costs both sides milliseconds of processor time while
+ * callers wait. With two partners for each node, the random graph stays connected. Four leave time to replace a partner
+ * that does not answer.
  */
 export const maxPartners = 4;
 
-/** Chooses partners by a rank that is each node's own: all peers at a small site. */
+/** Selects partners by a rank that differs between nodes. At a small site, all peers are partners. */
 export class GossipPartners {
     readonly #self: string;
     readonly #ranks = new Map<string, number>();
-    /** Monotonic milliseconds at which a peer did not answer; others take its place long before it is suspected. */
+    /** Monotonic milliseconds at which a peer last failed to answer. It is replaced long before it is suspected. */
     readonly #unresponsiveAt = new Map<string, number>();
 
-    /** @param self - Identifier of the node that chooses. */
+    /** @param self - Identifier of this node. */
     constructor(self: string) {
         this.#self = self;
     }
 
     /**
-     * Forgets all peers but those that may exist.
-     * @param peers - Their identifiers.
+     * Removes the state of all peers except the given ones.
+     * @param peers - Identifiers of the peers to retain.
      */
     retain(peers: ReadonlyMap<string, unknown>): void {
         for (const known of [this.#ranks, this.#unresponsiveAt]) {
@@ -37,27 +38,27 @@
         }
     }
 
-    /** Notes that a peer did not answer. */
+    /** Records that a peer did not answer. */
     markUnresponsive(peer: string, now: number): void {
         this.#unresponsiveAt.set(peer, now);
     }
 
-    /** Notes that a peer answered, or asked. */
+    /** Records that a peer answered or sent a request. */
     markResponsive(peer: string): void {
         this.#unresponsiveAt.delete(peer);
     }
 
     /**
-     * Tells whether a peer did not answer when it was last asked.
+     * Returns whether the last exchange with a peer failed.
      * @param peer - The peer.
-     * @param since - What lies further back says nothing any more, in monotonic milliseconds.
+     * @param since - Failures before this time are ignored, in monotonic milliseconds.
      */
     wasUnresponsive(peer: string, since: number): boolean {
         return (this.#unresponsiveAt.get(peer) ?? Number.NEGATIVE_INFINITY) > since;
     }
 
     /**
-     * Returns the partners among some peers.
+     * Selects the partners among some peers.
      * @param peers - The peers.
      */
     select(peers: readonly PeerAddress[]): readonly PeerAddress[] {
--- a/src/membership/gossipState.ts
+++ b/src/membership/gossipState.ts
@@ -1,14 +1,14 @@
 /**
- * What a node knows of the values that all nodes publish about themselves, and how two nodes bring each other up to
- * date (scuttlebutt reconciliation).
+ * Holds the values that all nodes publish about themselves, and determines what two nodes have to send each other
+ * (scuttlebutt reconciliation).
  *
- * Each origin numbers its changes. A node knows an origin *up to* a version when it has every value at or below it, so
- * one number for each origin tells a peer exactly what is missing.
+ * Each origin numbers its changes. A node knows an origin *up to* a version when it has every value at or below that
+ * version. One number for each origin therefore tells a peer exactly which values are missing.
  */
 import { createHash } from "node:crypto";
 import type { Item } from "../generated/peer.js";
 
-/** Key under which each origin publishes the first version of its present run. */
+/** Key under which each origin publishes the first version of its current run. */
 export const incarnationKey = "incarnation";
 
 const itemOverheadBytes = 16;
@@ -23,33 +23,33 @@
 interface OriginState {
     readonly hash: number;
     readonly values: Map<string, GossipValue>;
-    /** Every value at or below this version is known. */
+    /** This node has every value at or below this version. */
     version: number;
     heartbeat: number;
-    /** Monotonic time at which the heartbeat last grew here. */
+    /** Monotonic time at which the heartbeat last increased. */
     heartbeatAt: number;
 }
 
-/** A digest line: how far an origin is known. */
+/** A digest line: the heartbeat and the version up to which an origin is known. */
 export interface DigestLine {
     readonly origin: string;
     readonly heartbeat: number;
     readonly version: number;
 }
 
-/** Holds the values of all origins. */
+/** Stores the values of all origins. */
 export class GossipState {
     readonly #origins = new Map<string, OriginState>();
-    /** More than one origin under a hash is a collision; those are sent by their full identifiers. */
+    /** Origins by hash. Origins whose hashes collide are sent by their full identifiers. */
     readonly #hashes = new Map<number, Set<string>>();
 
-    /** Returns the origins that are known. */
+    /** Returns the known origins. */
     getOrigins(): Iterable<string> {
         return this.#origins.keys();
     }
 
     /**
-     * Adds an origin of which nothing is known yet.
+     * Adds an origin without values.
      * @param origin - Its identifier.
      * @param now - Monotonic time.
      */
@@ -63,7 +63,7 @@
     }
 
     /**
-     * Forgets an origin.
+     * Removes an origin and its values.
      * @param origin - Its identifier.
      */
     remove(origin: string): void {
@@ -72,7 +72,7 @@
     }
 
     /**
-     * Returns the hash of an origin, or undefined when another has the same or the origin is not known.
+     * Returns the hash of an origin, or undefined when the hash is not unique or the origin is unknown.
      * @param origin - The origin.
      */
     getHash(origin: string): number | undefined {
@@ -81,7 +81,7 @@
     }
 
     /**
-     * Returns the origin with a hash, or undefined when there is none or more than one.
+     * Returns the origin with a hash, or undefined when no origin or more than one has it.
      * @param hash - The hash.
      */
     getByHash(hash: number): string | undefined {
@@ -90,7 +90,7 @@
     }
 
     /**
-     * Returns a value that is not removed.
+     * Returns a value, or undefined if it is unknown or removed.
      * @param origin - The origin.
      * @param key - The key.
      */
@@ -100,7 +100,7 @@
     }
 
     /**
-     * Returns how far an origin is known.
+     * Returns the heartbeat and the version up to which an origin is known.
      * @param origin - The origin.
      */
     getDigestLine(origin: string): DigestLine {
@@ -109,7 +109,7 @@
     }
 
     /**
-     * Returns the monotonic time at which an origin was last known to have lived.
+     * Returns the monotonic time at which the heartbeat of an origin last increased, or undefined if none was received.
      * @param origin - The origin.
      */
     getHeartbeatTime(origin: string): number | undefined {
@@ -118,8 +118,8 @@
     }
 
     /**
-     * Takes in a heartbeat counter. It counts whoever delivers it: a node that this one cannot reach, or that cannot
-     * reach this one, is still known to live as long as anybody hears it.
+     * Stores a heartbeat if it is newer, no matter which peer delivered it. A node without a direct connection to this
+     * one therefore still counts as alive while any other node reaches it.
      * @param origin - The origin.
      * @param heartbeat - The counter.
      * @param now - Monotonic time.
@@ -133,7 +133,7 @@
     }
 
     /**
-     * Takes a value in if it is newer than the known one.
+     * Stores a value if it is newer than the known one.
      * @param item - The value.
      * @returns Whether it was newer.
      */
@@ -151,23 +151,23 @@
     }
 
     /**
-     * Notes that an origin is known up to a version.
+     * Records that an origin is known up to a version.
      * @param origin - The origin.
-     * @param base - The version from which on values were sent without gaps.
-     * @param version - The last of them.
+     * @param base - Version above which the values were sent without gaps.
+     * @param version - The last version that was sent.
      */
     setVersion(origin: string, base: number, version: number): void {
         const state = this.#origins.get(origin);
-        // Below its base something is missing, when the origin was forgotten and added again in between.
+        // A version below the base means that values are missing: the origin was removed and added again in between.
         if (state !== undefined && state.version >= base) {
             state.version = Math.max(state.version, version);
         }
     }
 
     /**
-     * Collects the values that a peer lacks, in the order of versions for each origin, within a number of bytes.
-     * @param peerLines - How far the peer knows each origin.
-     * @param maxBytes - The bytes that all together may take. The first value is sent even if it is larger.
+     * Collects the values that a peer lacks, ordered by version for each origin, up to a number of bytes.
+     * @param peerLines - The versions up to which the peer knows each origin.
+     * @param maxBytes - Maximum total bytes. The first value is sent even if it is larger.
      */
     collect(peerLines: readonly DigestLine[], maxBytes: number): Item[] {
         const items: Item[] = [];
@@ -198,7 +198,7 @@
     }
 
     /**
-     * Returns the keys of an origin, with those that were removed.
+     * Returns the values of an origin by key, including removed ones.
      * @param origin - The origin.
      */
     getValues(origin: string): ReadonlyMap<string, GossipValue> {
@@ -212,7 +212,7 @@
         }
         const newer: Item[] = [];
         for (const [key, value] of state.values) {
-            // A value that was pushed ahead of its turn lies above the known version and is left for later.
+            // A value that was pushed ahead of earlier ones lies above the known version and is sent later.
             if (value.version > version && value.version <= state.version) {
                 newer.push({ origin, key, ...value });
             }
@@ -221,12 +221,12 @@
     }
 }
 
-/** Gives the short name of an origin in a digest. */
+/** Returns the hash that stands for an origin in a digest. */
 function hashOrigin(origin: string): number {
     return createHash("sha1").update(origin).digest().readUInt32BE(0);
 }
 
-/** Removes what an origin published before it was restarted; its new run does not know those keys. */
+/** Removes the values that an origin published before its restart. Its new run does not know those keys. */
 function removeOlder(state: OriginState, firstVersion: number): void {
     for (const [key, value] of state.values) {
         if (value.version < firstVersion) {
--- a/src/membership/gossipTiming.ts
+++ b/src/membership/gossipTiming.ts
@@ -1,53 +1,56 @@
 /**
- * How often a node exchanges and how much it sends, by the size of the site.
+ * Derives the intervals and message sizes of gossip from the size of the site.
  */
 
-/** The period grows with the site, for every node's digest does: 350 nodes exchange every 2.1 seconds. */
+/** The period grows with the site, since every digest does: 350 nodes exchange every 2.1 seconds. */
 const periodMillisecondsPerPeer = 6;
 /**
- * Bytes of values in a message for each second of the period. A node takes part in about two exchanges a period with
- * two such messages each, so values cost at most four times this a second, beside the digests.
+ * Bytes of values in a message for each second of the period. A node takes part in about two exchanges per period with
+ * two such messages each, so values cost at most four times this rate, in addition to the digests.
  */
 const valueBytesPerSecond = 2_500;
-/** Small sites may send more at once: there, news should not wait, and the whole traffic is small. */
+/**
+ * Byte budget that the nodes of a small site share. A small site may send more at once, since updates should not wait
+ * there and its total traffic is low.
+ */
 const siteValueByteBudget = 128 * 1024;
-/** Periods without news of a member that are still ordinary, whatever the size of the site. */
+/** Number of periods without an update from a member that are normal at any site size. */
 const minSuspicionPeriods = 6;
 
 /**
- * Returns the time between two exchanges that a node begins.
- * @param minMilliseconds - The time at a small site.
- * @param peers - How many peers there are.
+ * Returns the time between two exchanges that a node starts.
+ * @param minMilliseconds - The time at a small site, which is the minimum.
+ * @param peers - Number of peers.
  */
 export function getPeriod(minMilliseconds: number, peers: number): number {
     return Math.max(minMilliseconds, peers * periodMillisecondsPerPeer);
 }
 
 /**
- * Returns the time in which news almost surely reaches all nodes: about log2(n) periods until half of them know it, and ln(n) more
- * until the last one does.
+ * Returns the time in which an update reaches all nodes with high probability: about log2(n) periods until half of them
+ * have it, and ln(n) more until the last one has it.
  * @param periodMilliseconds - The time between two exchanges.
- * @param peers - How many peers there are.
+ * @param peers - Number of peers.
  */
 export function getPropagationTime(periodMilliseconds: number, peers: number): number {
     return periodMilliseconds * (Math.log2(peers + 2) + Math.log(peers + 2));
 }
 
 /**
- * Returns how long a heartbeat may stay unchanged before its node is suspected. Twice the time in which most nodes hear of it, and
- * some periods for lost messages, keep false suspicion rare.
+ * Returns the age of a heartbeat from which its node is suspected. Twice the time in which it reaches most nodes, and a
+ * few periods for lost messages, keep false suspicion rare.
  * @param periodMilliseconds - The time between two exchanges.
- * @param peers - How many peers there are.
+ * @param peers - Number of peers.
  */
 export function getSuspicionTimeout(periodMilliseconds: number, peers: number): number {
     return periodMilliseconds * (minSuspicionPeriods + 2 * Math.log2(peers + 2));
 }
 
 /**
- * Returns the most bytes of values in a message.
- * @param maxBytes - The bound at a small site.
+ * Returns the maximum bytes of values in a message.
+ * @param maxBytes - The limit at a small site.
  * @param periodMilliseconds - The time between two exchanges.
- * @param peers - How many peers there are.
+ * @param peers - Number of peers.
  */
 export function getMaxValueBytes(maxBytes: number, periodMilliseconds: number, peers: number): number {
     const byRate = valueBytesPerSecond * periodMilliseconds / 1_000;
--- a/src/membership/index.ts
+++ b/src/membership/index.ts
@@ -1,4 +1,4 @@
-/** Membership: gossip between entries, who is alive, and the calls that entries make to each other. */
+/** Membership: gossip between entries, states of members, and calls between entries. */
 export * from "./chooseAddresses.js";
 export * from "./gossip.js";
 export * from "./memberDirectory.js";
--- a/src/membership/memberDirectory.ts
+++ b/src/membership/memberDirectory.ts
@@ -1,11 +1,11 @@
 /**
- * Which nodes may exist, from the records that they leave in the platform's store. Gossip says which of them live.
+ * Lists the nodes that have a record in the platform's store. Gossip determines which of them are alive.
  */
 import { z } from "zod";
 import type { Vm } from "../world/index.js";
 import type { NodeIdentity } from "./peerAddress.js";
 
-/** What a node tells of itself in its record. */
+/** The record that a node stores about itself. */
 export interface MemberRecord extends NodeIdentity {
     /** Port on which it serves callers. */
     readonly callerPort: number;
@@ -20,12 +20,12 @@
     region: z.string(),
 });
 
-/** Folds the records of nodes. */
+/** Maintains the nodes by their records. */
 export class MemberDirectory {
     readonly #records = new Map<string, MemberRecord>();
     readonly #onChange: (vms: readonly Vm[]) => void;
 
-    /** @param onChange - Takes all nodes when one is new, changed or gone. */
+    /** @param onChange - Receives all nodes when one is added, changed or removed. */
     constructor(onChange: (vms: readonly Vm[]) => void) {
         this.#onChange = onChange;
     }
@@ -39,9 +39,10 @@
     }
 
     /**
-     * Takes in records, or their removals, and tells of them once. A node that starts reads hundreds at a time; told of each, the
-     * list of members would be worked out as often, while callers wait for the node.
-     * @param changed - Records as JSON by node; undefined when one was removed.
+     * Applies records or their removals, and calls `onChange` once. A node that starts reads hundreds of records at a
+     * time. With a call for each of them, the list of members would be computed as often, while callers wait for the
+     * node.
+     * @param changed - Records as JSON by node; undefined for a removed record.
      * @returns The nodes whose records could not be read.
      */
     apply(changed: Iterable<readonly [id: string, value: Buffer | undefined]>): readonly string[] {
@@ -94,7 +95,7 @@
         return recordSchema.parse(JSON.parse(value.toString()));
     }
     catch {
-        // The caller logs the record's key; a record that can't be read names no node.
+        // The caller logs the key of the record. An unreadable record identifies no node.
         return undefined;
     }
 }
--- a/src/membership/membership.ts
+++ b/src/membership/membership.ts
@@ -1,5 +1,6 @@
 /**
- * Who takes part: the VM list says who may exist, gossip says who answers and what they say of themselves.
+ * Determines the members and their states. The VM list defines which members may exist; gossip reports which of them
+ * are alive and what they publish about themselves.
  */
 import { createHash } from "node:crypto";
 import { z } from "zod";
@@ -14,17 +15,17 @@
 const nodeKey = "node";
 const leavingKey = "leaving";
 const offsetKey = "configuration-offset";
-/** A member counts as dead after so many times the time after which it is suspected. */
+/** A member counts as dead after this multiple of the suspicion timeout. */
 const deadTimeoutFactor = 3;
-/** A silent member's protocol still binds for so long: it may only be cut off. */
+/** Time for which the protocol of an unresponsive member still counts. It may only be cut off from this node. */
 const defaultProtocolRetentionMilliseconds = 10 * 60_000;
 /**
- * A member that was just listed is presumed alive for so long at a small site, in milliseconds, and for as long as news takes to reach
- * all nodes at a larger one. Longer, callers of a node that has just started would be sent to nodes that are gone.
+ * Time for which a newly listed member is presumed alive at a small site. At a larger site, it is the time in which
+ * updates reach all nodes. With a longer time, callers of a node that has just started would be sent to departed nodes.
  */
 const minGracePeriodMilliseconds = 3_000;
 const majority = 0.5;
-/** The list of members is worked out anew after so long; it is asked for with every claim. */
+/** The list of members is cached for this time, since every claim reads it. */
 const cacheMilliseconds = 100;
 
 const nodeSchema = z.object({
@@ -43,18 +44,18 @@
     readonly node: PublishedNode | undefined;
 }
 
-/** What is known of whether a member answers. */
+/** State of a member as estimated from its heartbeat. */
 export type MemberState = "alive" | "suspect" | "leaving" | "dead";
 
-/** A member, this node among them. */
+/** A member; this node is one of them. */
 export interface Member extends NodeIdentity {
     readonly state: MemberState;
     readonly protocol: ProtocolRange;
-    /** The newest configuration that the member has in force, or -1. */
+    /** Offset of the newest configuration that is in force at the member, or -1. */
     readonly configurationOffset: number;
-    /** Milliseconds since it was last known to live. */
+    /** Milliseconds since its heartbeat last increased, or since it was listed if none was received. */
     readonly heartbeatAge: number;
-    /** Whether anything was ever heard of it here. */
+    /** Whether this node has received any heartbeat of it. */
     readonly hasBeenSeen: boolean;
 }
 
@@ -64,20 +65,22 @@
     readonly gossip: Gossip;
     readonly clock: Clock;
     readonly journal: Journal;
-    /** The protocol versions that this program reads; tests give others. */
+    /** The protocol versions that this program reads. */
     readonly protocol?: ProtocolRange;
-    /** How long a silent member's protocol still binds. */
+    /** Time for which the protocol of an unresponsive member still counts. */
     readonly protocolRetentionMilliseconds?: number;
 }
 
-/** Knows the members. */
+/** Maintains the members and their states. */
 export class Membership {
     readonly #options: MembershipOptions;
     readonly #protocol: ProtocolRange;
-    /** By identifier: when each VM was first listed here. */
+    /** Monotonic time at which each VM was first listed here, by identifier. */
     readonly #listedAt = new Map<string, number>();
     readonly #states = new Map<string, MemberState>();
-    /** What members published of themselves, read once: with hundreds of them, reading it at each look took most of it. */
+    /**
+     * Parsed values that members published. With hundreds of members, parsing them on each read took most of its time.
+     */
     readonly #parsedNodes = new Map<string, ParsedNode>();
     #vms: readonly Vm[] = [];
     #isLeaving = false;
@@ -95,7 +98,7 @@
     }
 
     /**
-     * Takes the VM list in, and hands it on to gossip.
+     * Replaces the VM list, and passes it to gossip.
      * @param vms - All VMs.
      */
     setVms(vms: readonly Vm[]): void {
@@ -133,15 +136,16 @@
         return members;
     }
 
-    /** Returns the members that answer and are not leaving, this node among them unless it is leaving. */
+    /** Returns the members that are alive and not leaving. This node is among them unless it is leaving. */
     getAlive(): readonly Member[] {
         return this.getMembers().filter(member => member.state === "alive");
     }
 
     /**
-     * Returns the members that answer, and those that were listed so recently that nothing could be heard of them yet. As a site
-     * starts, nobody has heard of anybody: a node that took itself for the only one would read the store in everybody's place and
-     * send all callers to itself, and one that has heard of a few would send them all to those few.
+     * Returns the members that are alive, and those that were listed so recently that no heartbeat can have arrived
+     * yet. When a site starts, no node has received a heartbeat of another. A node that assumed to be the only one
+     * would read the store on behalf of all and send all callers to itself; one that has received a few heartbeats
+     * would send all callers to those few members.
      */
     getPresumedAlive(): readonly Member[] {
         const { gossip } = this.#options;
@@ -160,7 +164,7 @@
     }
 
     /**
-     * Returns what tells one run of a member's process from the next on the same VM.
+     * Returns an identifier of the current run of a member's process, which differs between runs on the same VM.
      * @param id - The member's identifier.
      */
     getIncarnation(id: string): string | undefined {
@@ -168,10 +172,10 @@
     }
 
     /**
-     * Returns the newest protocol version that all members read: records and messages are written in no newer one.
+     * Returns the newest protocol version that all members read. Records and messages are written in no newer one.
      *
-     * A member that was alive a while ago may only be cut off, so it still counts. A listed VM that was never heard
-     * may be of the oldest kind that this program still speaks with, and counts as such until it had time to answer.
+     * A member that was alive recently may only be cut off, so it still counts. A listed VM of which no heartbeat was
+     * received may run the oldest supported version, and counts as such until it had time to answer.
      */
     getCommonProtocol(): number {
         let common = this.#protocol.newest;
@@ -186,8 +190,8 @@
     }
 
     /**
-     * Returns the member that collects for a partition, by rendezvous hashing over the members that are alive. Nodes
-     * that see other members may disagree for a while; that costs speed and never safety.
+     * Returns the collector of a partition, by rendezvous hashing over the members that are alive. Nodes with different
+     * member lists may disagree for a while; this affects speed but not safety.
      * @param partition - The partition, such as `claims-3`.
      */
     getCollector(partition: string): Member | undefined {
@@ -211,19 +215,22 @@
         return best;
     }
 
-    /** Returns the share of listed entries that is known to live, this node among them. */
+    /** Returns the share of listed entries that are reachable, including this node. */
     getReachableShare(): number {
         const members = this.getMembers();
         const reachable = members.filter(member => member.state === "alive" || member.state === "leaving");
         return reachable.length / members.length;
     }
 
-    /** Tells whether at most half of the listed entries is known to live: this side of a cut is not the greater one. */
+    /**
+     * Returns whether at most half of the listed entries are reachable, so this node is not on the majority side of a
+     * network partition.
+     */
     isMajorityUnreachable(): boolean {
         return this.getReachableShare() <= majority;
     }
 
-    /** Tells all members that this one is leaving. */
+    /** Announces to all members that this one is leaving. */
     announceLeaving(): void {
         this.#isLeaving = true;
         this.#cache = undefined;
@@ -231,7 +238,7 @@
     }
 
     /**
-     * Publishes the newest configuration that this node has in force.
+     * Publishes the newest configuration that is in force at this node.
      * @param offset - Its offset.
      */
     setConfigurationOffset(offset: number): void {
@@ -242,7 +249,10 @@
         }
     }
 
-    /** Values of others that say nothing of members, such as evidence on roll-outs, come many times a second in a large site. */
+    /**
+     * Clears the cache for keys that concern members only: other values, such as evidence on roll-outs, arrive many
+     * times a second at a large site.
+     */
     #handleUpdate(key: string): void {
         if (key === nodeKey || key === leavingKey || key === offsetKey || key === incarnationKey) {
             this.#cache = undefined;
@@ -313,7 +323,8 @@
             return;
         }
         this.#states.set(id, state);
-        // Nothing was believed of a member that was just listed. In a large fleet that is a line for each other node at every start.
+        // The first state of a newly listed member is not logged if it is "dead": in a large fleet, that would be one
+        // line for each other node at every start.
         if (before !== undefined || state !== "dead") {
             this.#options.journal.write(events.memberChanged, { member: id, state, before });
         }
--- a/src/membership/peerAddress.ts
+++ b/src/membership/peerAddress.ts
@@ -1,9 +1,9 @@
 /**
- * Who a node is, where its peers listen, and what carries gossip between them.
+ * Identity of a node, address of a peer, and the transport of gossip messages.
  */
 import type { ExchangeReply, ExchangeRequest, PushRequest } from "../generated/peer.js";
 
-/** The node itself. */
+/** Identity of a node. */
 export interface NodeIdentity {
     readonly id: string;
     readonly address: string;
@@ -12,14 +12,14 @@
     readonly region: string;
 }
 
-/** Where a peer listens. */
+/** Address on which a peer listens. */
 export interface PeerAddress {
     readonly id: string;
     readonly address: string;
     readonly peerPort: number;
 }
 
-/** Carries messages to peers. A message that is not answered yields undefined. */
+/** Sends messages to peers. The result is undefined or false when the peer does not answer. */
 export interface GossipTransport {
     readonly exchange: (peer: PeerAddress, request: ExchangeRequest) => Promise<ExchangeReply | undefined>;
     readonly push: (peer: PeerAddress, request: PushRequest) => Promise<boolean>;
--- a/src/membership/peerClient.ts
+++ b/src/membership/peerClient.ts
@@ -1,6 +1,6 @@
 /**
- * Calls peers by gRPC. Each call has a deadline, is made once, and names its peer by IP number: which peer to ask, and
- * whether to ask again, is for the caller to decide, so the library's own retries and name resolution are off.
+ * Calls peers over gRPC. Each call has a deadline, is sent once, and addresses its peer by IP number. The caller
+ * decides which peer to call and whether to retry, so the retries and the name resolution of the library are off.
  */
 import { type ChannelCredentials, type ClientOptions, credentials, Metadata, type ServiceError } from "@grpc/grpc-js";
 import { err, ok, type Result } from "neverthrow";
@@ -23,11 +23,11 @@
 import { StateQueryStream } from "./stateQueryStream.js";
 
 const defaultDeadlineMilliseconds = 1_000;
-/** A connection without calls is closed after so long; gossip would otherwise hold one to each of 350 nodes. */
+/** A connection without calls is closed after this time. Gossip would otherwise hold one to each of 350 nodes. */
 const idleTimeoutMilliseconds = 60_000;
 const initialBackoffMilliseconds = 200;
 const maxBackoffMilliseconds = 2_000;
-/** Finds connections whose far side vanished without closing them, such as behind a cut. */
+/** Detects connections whose other end vanished without closing them, for example behind a network partition. */
 const keepaliveIntervalMilliseconds = 5_000;
 const keepaliveTimeoutMilliseconds = 2_000;
 
@@ -40,11 +40,11 @@
 
 /** Options of a client. */
 export interface PeerClientOptions {
-    /** For mutual TLS; without it connections are plain. */
+    /** For mutual TLS. Connections are not encrypted without it. */
     readonly credentials?: Credentials;
-    /** How long a call may take when it names no time of its own. */
+    /** Deadline of calls that specify no timeout. */
     readonly deadlineMilliseconds?: number;
-    /** The newest protocol that this program reads; tests give others. */
+    /** The newest protocol that this program reads. */
     readonly newestProtocol?: number;
 }
 
@@ -54,7 +54,7 @@
     readonly #clients = new Map<string, GeneratedClient>();
     readonly #stateStreams = new Map<string, StateQueryStream>();
     readonly #newestProtocol: number;
-    /** Created with the first call: a node that starts serves callers before it loads what it needs for peers. */
+    /** Created with the first call, because a starting node serves callers before it loads what calls to peers need. */
     #metadata: Metadata | undefined;
     #credentials: Credentials | undefined;
 
@@ -65,7 +65,7 @@
     }
 
     /**
-     * Uses other credentials for the connections that are opened from now on. Calls under way finish on the old ones.
+     * Uses other credentials for connections that are opened from now on. Calls in flight finish on the old ones.
      * @param peerCredentials - The renewed credentials.
      */
     setCredentials(peerCredentials: Credentials): void {
@@ -75,8 +75,8 @@
 
     /** Closes all connections. */
     close(): void {
-        for (const conversation of this.#stateStreams.values()) {
-            conversation.close("the client was closed");
+        for (const stateStream of this.#stateStreams.values()) {
+            stateStream.close("the client was closed");
         }
         this.#stateStreams.clear();
         for (const client of this.#clients.values()) {
@@ -86,14 +86,14 @@
     }
 
     /**
-     * Closes the connections to all but some peers.
-     * @param peers - The peers that may still be called.
+     * Closes the connections to all peers except the given ones.
+     * @param peers - The peers to retain.
      */
     retain(peers: Iterable<PeerAddress>): void {
         const targets = new Set([...peers].map(getTarget));
         for (const [target, client] of this.#clients) {
             if (!targets.has(target)) {
-                this.#stateStreams.get(target)?.close("the peer is gone");
+                this.#stateStreams.get(target)?.close("the peer was removed");
                 this.#stateStreams.delete(target);
                 client.close();
                 this.#clients.delete(target);
@@ -101,7 +101,7 @@
         }
     }
 
-    /** Returns a transport for gossip over this client. */
+    /** Returns a gossip transport that uses this client. */
     createGossipTransport(): GossipTransport {
         return {
             exchange: async (peer, request) => (await this.exchange(peer, request)).unwrapOr(undefined),
@@ -109,19 +109,19 @@
         };
     }
 
-    /** Exchanges state. */
+    /** Exchanges gossip state. */
     exchange(peer: PeerAddress, request: ExchangeRequest): Promise<Result<ExchangeReply, Failure>> {
         const client = this.#getClient(peer);
         return this.#call(client.exchange.bind(client), request);
     }
 
-    /** Delivers urgent state. */
+    /** Pushes urgent gossip values. */
     push(peer: PeerAddress, request: PushRequest): Promise<Result<PushReply, Failure>> {
         const client = this.#getClient(peer);
         return this.#call(client.push.bind(client), request);
     }
 
-    /** Asks a peer to keep copies of bills. */
+    /** Requests a peer to store replicas of bills. */
     copyBills(
         peer: PeerAddress,
         request: CopyBillsRequest,
@@ -131,7 +131,7 @@
         return this.#call(client.copyBills.bind(client), request, timeoutMilliseconds);
     }
 
-    /** Asks a collector to decide claims. */
+    /** Requests decisions on claims from a collector. */
     decideClaims(
         peer: PeerAddress,
         request: DecideClaimsRequest,
@@ -141,7 +141,7 @@
         return this.#call(client.decideClaims.bind(client), request, timeoutMilliseconds);
     }
 
-    /** Asks for folded state. */
+    /** Fetches folded state. */
     fetchState(
         peer: PeerAddress,
         request: FetchStateRequest,
@@ -152,10 +152,10 @@
     }
 
     /**
-     * Asks for folded state on a call that stays open between questions.
-     * @param peer - Whom to ask.
-     * @param request - The question.
-     * @param timeoutMilliseconds - How long the answer may take.
+     * Fetches folded state on a call that stays open between queries.
+     * @param peer - The peer to query.
+     * @param request - The query.
+     * @param timeoutMilliseconds - Timeout of the answer.
      */
     followState(
         peer: PeerAddress,
@@ -175,8 +175,8 @@
     }
 
     /**
-     * Lets go of a connection that fell silent. It may stay open and carry nothing for good, and every further call on it would
-     * wait in vain until the keep-alive of the library ends it seconds later; the next call opens another one.
+     * Closes an unresponsive connection. It may stay open without carrying data, and further calls on it would time out
+     * until the keepalive of the library closes it seconds later. The next call opens a new connection.
      */
     #closeClient(target: string): void {
         this.#clients.get(target)?.close();
@@ -215,7 +215,7 @@
             "grpc.service_config_disable_resolution": 1,
             "grpc.enable_retries": 0,
             "grpc.enable_http_proxy": 0,
-            // Clients share connections otherwise, and a new client would go on with one that fell silent.
+            // Otherwise clients share connections, and a new client would reuse an unresponsive one.
             "grpc.use_local_subchannel_pool": 1,
             "grpc.client_idle_timeout_ms": idleTimeoutMilliseconds,
             "grpc.initial_reconnect_backoff_ms": initialBackoffMilliseconds,
--- a/src/membership/peerCredentials.ts
+++ b/src/membership/peerCredentials.ts
@@ -1,10 +1,10 @@
 /**
- * Mutual TLS between entries: both sides show a certificate of the site's own authority.
+ * Mutual TLS between entries: both sides present a certificate issued by the authority of the site.
  */
 import { experimental, ServerCredentials } from "@grpc/grpc-js";
 import type { Credentials } from "../common/index.js";
 
-/** Hands credentials to a running server, and renewed ones later. */
+/** Provides credentials and their renewals to a running server. */
 export class CredentialSource implements experimental.CertificateProvider {
     readonly #authorityListeners = new Set<experimental.CaCertificateUpdateListener>();
     readonly #identityListeners = new Set<experimental.IdentityCertificateUpdateListener>();
@@ -15,7 +15,7 @@
     }
 
     /**
-     * Renews the credentials. Connections made from now on use them; those that are open stay.
+     * Renews the credentials. New connections use them; open connections are unaffected.
      * @param credentials - The renewed credentials.
      */
     set(credentials: Credentials): void {
@@ -28,7 +28,7 @@
         }
     }
 
-    /** Creates the server's side, which asks each caller for a certificate. */
+    /** Creates server credentials that require a certificate from each client. */
     createServerCredentials(): ServerCredentials {
         return experimental.createCertificateProviderServerCredentials(this, this, true);
     }
--- a/src/membership/peerServer.ts
+++ b/src/membership/peerServer.ts
@@ -1,5 +1,5 @@
 /**
- * Answers the calls of peers.
+ * Serves the calls of peers.
  */
 import {
     type handleBidiStreamingCall,
@@ -32,10 +32,10 @@
 
 const shutdownTimeoutMilliseconds = 2_000;
 
-/** Answers one kind of call, given the newest protocol that the caller reads. */
+/** Handles one kind of call. `protocol` is the newest protocol that the caller reads. */
 export type PeerHandler<Request, Reply> = (request: Request, protocol: number) => Reply | Promise<Reply>;
 
-/** What answers the calls of peers. */
+/** Handlers for the calls of peers. */
 export interface PeerHandlers {
     readonly exchange: PeerHandler<ExchangeRequest, ExchangeReply>;
     readonly push: PeerHandler<PushRequest, PushReply>;
@@ -47,15 +47,15 @@
 /** Options of a server. */
 export interface PeerServerOptions {
     readonly address: string;
-    /** 0 picks a free port. */
+    /** 0 selects a free port. */
     readonly port: number;
     readonly handlers: PeerHandlers;
     readonly journal: Journal;
-    /** For mutual TLS; without it connections are plain. */
+    /** For mutual TLS. Connections are not encrypted without it. */
     readonly credentials?: Credentials;
 }
 
-/** Listens for peers. */
+/** Serves the calls of peers. */
 export class PeerServer {
     readonly #options: PeerServerOptions;
     readonly #server = new Server();
@@ -78,7 +78,7 @@
     }
 
     /**
-     * Begins to listen.
+     * Starts listening.
      * @returns The port.
      */
     start(): Promise<Result<number, Failure>> {
@@ -92,7 +92,7 @@
         });
     }
 
-    /** Finishes the calls under way, for a short while, and stops listening. */
+    /** Stops listening, and waits a short time for calls in flight. */
     async stop(): Promise<void> {
         await new Promise<void>(resolve => {
             const timer = setTimeout(() => {
@@ -118,11 +118,11 @@
         return async (call, callback) => {
             try {
                 const reply = await handler(call.request, readProtocol(call.metadata));
-                // eslint-disable-next-line no-restricted-syntax -- The library takes no undefined here.
+                // eslint-disable-next-line no-restricted-syntax -- The callback of the library does not accept undefined.
                 callback(null, reply);
             }
             catch (error) {
-                // A message that a handler cannot digest must fail its call, not end the process.
+                // A message that a handler rejects fails its call only and does not end the process.
                 this.#options.journal.write(events.peerCallFailed, { cause: String(error) });
                 callback({ code: status.INTERNAL, details: "the handler failed" });
             }
@@ -145,13 +145,13 @@
             };
             call.on("data", (request: FollowStateRequest) => void answer(request));
             call.on("end", () => call.end());
-            // The peer went away in the middle of a question: nobody is left to answer.
+            // The peer disconnected during a query, so there is no recipient for the answer.
             call.on("error", () => undefined);
         };
     }
 }
 
-/** Reads which protocol a caller reads; the oldest release does not say. */
+/** Returns the newest protocol that a caller reads. The oldest release does not send it. */
 function readProtocol(metadata: Metadata): number {
     const protocol = Number(metadata.get(protocolKey)[0]);
     return Number.isInteger(protocol) ? protocol : oldestProtocol;
--- a/src/membership/protocol.ts
+++ b/src/membership/protocol.ts
@@ -4,10 +4,10 @@
 
 /** The oldest version that this program reads. */
 export const oldestProtocol = 1;
-/** The newest version that this program reads. Version 2 added the configuration's sections of pools. */
+/** The newest version that this program reads. Version 2 added sections of pools to the configuration. */
 export const newestProtocol = 2;
 
-/** Name under which a call between entries says the newest version that its caller reads. */
+/** Metadata key under which a call between entries carries the newest version that the caller reads. */
 export const protocolKey = "rattanlock-protocol";
 
 /** A range of versions that a node reads. */
--- a/src/membership/shuffle.ts
+++ b/src/membership/shuffle.ts
@@ -1,12 +1,12 @@
 /**
- * Drawing an order.
+ * Random permutation of items.
  */
 import type { RandomSource } from "../common/index.js";
 
 /**
- * Returns the items in an order drawn at random.
+ * Returns the items in random order.
  * @param items - The items.
- * @param random - Draws it.
+ * @param random - Source of randomness.
  */
 export function shuffle<T>(items: readonly T[], random: RandomSource): T[] {
     const shuffled = [...items];
--- a/src/membership/stateQueryStream.ts
+++ b/src/membership/stateQueryStream.ts
@@ -1,9 +1,9 @@
 /**
- * Questions and answers over one open call to a peer.
+ * Queries and answers on one open call to a peer.
  *
- * A node that follows its peer's state asks several times a second, for as long as it lives. A call of its own for each
- * question costs 2 to 3 ms of processor time on both sides together, most of it for the library's call objects; on a call that
- * stays open a question costs the message alone.
+ * A node that follows the state of a peer sends several queries a second for its whole life. A separate call for each
+ * query costs 2 to 3 ms of processor time on both sides together, mostly for the call objects of the library. On a call
+ * that stays open, a query costs only its message.
  */
 import type { ClientDuplexStream } from "@grpc/grpc-js";
 import { err, ok, type Result } from "neverthrow";
@@ -14,7 +14,7 @@
 
 type ResolveCallback = (result: Result<FetchStateReply, Failure>) => void;
 
-/** Asks one peer. */
+/** Sends queries to one peer. */
 export class StateQueryStream {
     readonly #open: () => Call;
     readonly #onTimeout: () => void;
@@ -23,7 +23,7 @@
     #lastId = 0;
 
     /**
-     * @param options - `open` opens the call; `onSilence` is told when an answer is overdue.
+     * @param options - `open` opens the call; `onTimeout` is called when an answer is overdue.
      */
     constructor(options: { readonly open: () => Call; readonly onTimeout: () => void; }) {
         this.#open = options.open;
@@ -31,9 +31,9 @@
     }
 
     /**
-     * Asks a question.
-     * @param request - The question.
-     * @param timeoutMilliseconds - How long the answer may take.
+     * Sends a query.
+     * @param request - The query.
+     * @param timeoutMilliseconds - Timeout of the answer.
      */
     query(request: FetchStateRequest, timeoutMilliseconds: number): Promise<Result<FetchStateReply, Failure>> {
         const call = this.#call ??= this.#startCall();
@@ -56,8 +56,8 @@
     }
 
     /**
-     * Ends the call; questions that wait for answers fail.
-     * @param reason - Why, for their failures.
+     * Ends the call. Queries in flight fail.
+     * @param reason - Reason for their failures.
      */
     close(reason: string): void {
         const call = this.#call;
@@ -71,11 +71,13 @@
     #startCall(): Call {
         const call = this.#open();
         call.on("data", ({ id, answer }: FollowStateReply) => {
-            const result = answer === undefined ? err(createFailure("it can't tell")) : ok(answer);
+            const result = answer === undefined
+                ? err(createFailure("the peer could not answer the query"))
+                : ok(answer);
             this.#pending.get(id)?.(result);
         });
         const handleEnd = (reason: string): void => {
-            // A call that was given up reports its end too; the one after it must not suffer for that.
+            // A cancelled call also reports its end, which must not close the call after it.
             if (this.#call === call) {
                 this.close(reason);
             }
--- a/test/membership/chooseAddresses.test.ts
+++ b/test/membership/chooseAddresses.test.ts
@@ -18,12 +18,13 @@
 }
 
 describe("chooseAddresses", () => {
-    it("gives all members of a small site", () => {
+    it("returns all members of a small site", () => {
         expect(chooseAddresses(createMembers(8), "near").length).toEqual(8);
     });
 
-    // Callers take no more than 64 addresses. Given the same ones of a large site, they would leave the rest of it idle.
-    it("gives a large site's callers their own failure domain and a draw of the others", () => {
+    // Guards against idle members of a large site: a response holds at most 64 addresses, so equal responses to all
+    // callers would leave the other members without requests.
+    it("returns the members of the caller's failure domain and a random sample of the others at a large site", () => {
         const members = createMembers(90);
         const first = chooseAddresses(members, "near");
         expect([first.length, first.filter(member => member.failureDomain === "near").length]).toEqual([64, 23]);
--- a/test/membership/gossip.test.ts
+++ b/test/membership/gossip.test.ts
@@ -16,7 +16,7 @@
 
 describe("Gossip", () => {
     describe("set", () => {
-        it("brings a value, and then its newer one, to all nodes", async () => {
+        it("distributes a value and its update to all nodes", async () => {
             const site = createGossipSite(size);
             for (const value of ["first", "second"]) {
                 site.nodes[0].gossip.set("load", Buffer.from(value));
@@ -33,7 +33,7 @@
             expect(known >= 36).toEqual(true);
         });
 
-        it("never moves a node back when an older message arrives late", async () => {
+        it("does not replace a value by an older one that arrives late", async () => {
             const site = createGossipSite(2);
             const [first, second] = site.nodes;
             first.gossip.set("load", Buffer.from("old"));
@@ -46,17 +46,17 @@
 
         it("calls listeners once for each newer value", async () => {
             const site = createGossipSite(4);
-            const heard: (string | undefined)[] = [];
+            const received: (string | undefined)[] = [];
             site.nodes[3].gossip.onUpdate((...[, key, value]) => {
                 if (key === "load") {
-                    heard.push(value?.toString());
+                    received.push(value?.toString());
                 }
             });
             site.nodes[0].gossip.set("load", Buffer.from("a"));
             await site.run(periodsToPropagate);
             site.nodes[0].gossip.remove("load");
             await site.run(periodsToPropagate);
-            expect(heard).toEqual(["a", undefined]);
+            expect(received).toEqual(["a", undefined]);
         });
     });
 
@@ -71,9 +71,9 @@
         });
     });
 
-    // Each node of a large site that talks to every other one opens thousands of connections as the site starts, and callers wait
-    // for their nodes meanwhile. With few partners the news still has to reach all.
-    it("keeps to a few partners at a large site, and reaches all through them", async () => {
+    // Guards against slow starts of a large site: if each node called every other one, it would open thousands of
+    // connections while callers wait. Updates must still reach all nodes through a few partners.
+    it("uses a few partners at a large site and still reaches all nodes", async () => {
         const site = createGossipSite(60);
         site.nodes[0].gossip.set("color", Buffer.from("red"));
         await site.run(12);
@@ -81,19 +81,20 @@
         expect(Math.max(...site.countPeers().values()) <= 4 + 60 * 0.15).toEqual(true);
     });
 
-    // Half of a large fleet loses power at once, and nobody suspects those nodes yet. Each node goes on choosing among the same few
-    // partners, most of them away for some; what the others publish still has to reach every node that is left.
-    it("reaches all that are left while half of the partners are away", async () => {
+    // Guards against updates that some nodes never receive after a power failure. Half of a large fleet fails at once
+    // and is not suspected yet. Each node still chooses among the same few partners, most of which are down for some
+    // nodes.
+    it("reaches all remaining nodes while half of the partners are down", async () => {
         for (const seed of [1, 2, 3]) {
             const site = createGossipSite(120, { seed, periodMilliseconds: 714 });
             await site.run(14);
-            const left = site.nodes.filter((...[, index]) => index % 2 === 0);
+            const survivors = site.nodes.filter((...[, index]) => index % 2 === 0);
             for (const node of site.nodes) {
-                node.isDown = !left.includes(node);
+                node.isDown = !survivors.includes(node);
             }
-            left[0].gossip.set("color", Buffer.from("red"));
+            survivors[0].gossip.set("color", Buffer.from("red"));
             await site.run(20);
-            expect(left.filter(node => node.gossip.get("entry-0", "color") === undefined).length).toEqual(0);
+            expect(survivors.filter(node => node.gossip.get("entry-0", "color") === undefined).length).toEqual(0);
         }
     });
 
@@ -108,8 +109,9 @@
             expect(site.nodes[1].gossip.get("entry-0", "mine")?.toString()).toEqual("a");
         });
 
-        // Values do not fit into one message. Cut anywhere, the rest must follow by later exchanges without a hole.
-        it("brings everything within the bound of bytes, a part at a time", async () => {
+        // Guards against lost values when they do not fit into one message: the rest must follow in later exchanges
+        // without a gap.
+        it("sends all values over several messages within the limit of bytes", async () => {
             const site = createGossipSite(4, { bytesPerExchange: 300 });
             for (let index = 0; index < 40; index += 1) {
                 site.nodes[0].gossip.set(`key-${index}`, Buffer.alloc(50, index));
@@ -131,8 +133,9 @@
             }
         });
 
-        // A value is pushed ahead of older ones that were not exchanged yet. The receiver must still get the older ones.
-        it("does not take an urgent value for a sign that it has the earlier ones", async () => {
+        // Guards against a lost value: an urgent value is pushed before older ones were exchanged, and the receiver
+        // must not assume that it has those too.
+        it("does not assume that a node with an urgent value has the earlier ones", async () => {
             const site = createGossipSite(3);
             const { gossip } = site.nodes[0];
             gossip.set("earlier", Buffer.from("e"));
@@ -143,9 +146,10 @@
             expect(isKnownToAll(site, "entry-0", "earlier", "e")).toEqual(true);
         });
 
-        // A process restarts on its VM with an empty state, and its wall clock has gone back. Its peers remember higher
-        // numbers than it starts from and would pass over all that it says, or show keys that it no longer has.
-        it("is heard after a restart, even with a clock that went back", async () => {
+        // Guards against a restarted node whose updates are ignored. Its process restarts without state after its wall
+        // clock was set back, so peers hold higher versions than its first ones. They would discard its new values, or
+        // keep keys that it no longer has.
+        it("accepts updates of a restarted node whose clock was set back", async () => {
             const site = createGossipSite(5);
             site.nodes[0].gossip.set("load", Buffer.from("before"));
             site.nodes[0].gossip.set("stale", Buffer.from("before"));
@@ -167,7 +171,7 @@
     });
 
     describe("handleExchange", () => {
-        it("takes nothing in from an origin that is not in the VM list", async () => {
+        it("ignores values of an origin that is not in the VM list", async () => {
             const site = createGossipSite(3);
             const stranger = site.add("stranger");
             stranger.membership.setVms(site.nodes.map(node => node.vm));
--- a/test/membership/memberDirectory.test.ts
+++ b/test/membership/memberDirectory.test.ts
@@ -8,33 +8,33 @@
     return Buffer.from(JSON.stringify(record));
 }
 
-function createDirectory(): { readonly directory: MemberDirectory; readonly told: (readonly Vm[])[]; } {
-    const told: (readonly Vm[])[] = [];
-    return { directory: new MemberDirectory(vms => told.push(vms)), told };
+function createDirectory(): { readonly directory: MemberDirectory; readonly reported: (readonly Vm[])[]; } {
+    const reported: (readonly Vm[])[] = [];
+    return { directory: new MemberDirectory(vms => reported.push(vms)), reported };
 }
 
 describe("MemberDirectory", () => {
-    // A node of a large fleet starts and reads the records of all others in one page. Working out the members after each record
-    // takes time in proportion to the square of the fleet, and callers of the node wait for it.
-    it("tells of all records of a page at once", () => {
-        const { directory, told } = createDirectory();
+    // Guards against a slow start in a large fleet: a node reads the records of all others in one page, and computing
+    // the members after each record takes time quadratic in the size of the fleet while callers wait.
+    it("reports all records of a page at once", () => {
+        const { directory, reported } = createDirectory();
         const ids = Array.from({ length: 195 }, (...[, index]) => `n-${index}`);
         expect(directory.apply(ids.map(id => [id, createRecord(id)] as const))).toEqual([]);
-        expect(told.length).toEqual(1);
-        expect(told[0].length).toEqual(195);
+        expect(reported.length).toEqual(1);
+        expect(reported[0].length).toEqual(195);
     });
 
-    it("forgets a node whose record was removed", () => {
-        const { directory, told } = createDirectory();
+    it("removes a node whose record was removed", () => {
+        const { directory, reported } = createDirectory();
         directory.apply([["n-1", createRecord("n-1")], ["n-2", createRecord("n-2")]]);
         directory.apply([["n-1", undefined]]);
-        expect(told.at(-1)?.map(vm => vm.id)).toEqual(["n-2"]);
+        expect(reported.at(-1)?.map(vm => vm.id)).toEqual(["n-2"]);
         expect(directory.getCallerPort("n-1")).toEqual(undefined);
     });
 
-    it("names the nodes whose records cannot be read, and tells nothing of them", () => {
-        const { directory, told } = createDirectory();
+    it("returns the nodes whose records cannot be read, and reports no change for them", () => {
+        const { directory, reported } = createDirectory();
         expect(directory.apply([["n-1", Buffer.from("{")]])).toEqual(["n-1"]);
-        expect(told).toEqual([]);
+        expect(reported).toEqual([]);
     });
 });
--- a/test/membership/membership.test.ts
+++ b/test/membership/membership.test.ts
@@ -5,7 +5,7 @@
 
 const size = 8;
 const periodsToPropagate = 12;
-/** Longer than it takes to suspect a silent member, and to take it for dead. */
+/** Periods until an unresponsive member is suspected, and until it counts as dead. */
 const periodsUntilSuspected = 16;
 const periodsUntilDead = 50;
 
@@ -26,14 +26,14 @@
 
 describe("Membership", () => {
     describe("getMembers", () => {
-        it("shows every listed entry as alive once it was heard, and as dead before", async () => {
+        it("shows a listed entry as dead until its first heartbeat, then as alive", async () => {
             const site = createGossipSite(size);
             expect(getState(site.nodes[0], "entry-1")).toEqual("dead");
             await site.run(periodsToPropagate);
             expect(site.nodes[0].membership.getAlive().length).toEqual(size);
         });
 
-        it("suspects a member that fell silent, then takes it for dead, then for alive when it is back", async () => {
+        it("suspects an unresponsive member, then counts it as dead, and as alive when it is back", async () => {
             const site = await createConvergedSite();
             site.nodes[3].isDown = true;
             await site.run(periodsUntilSuspected + 4);
@@ -45,9 +45,9 @@
             expect(getStates(site, "entry-3")).toEqual(new Set(["alive"]));
         });
 
-        // A switch drops packets in one direction between two entries, or all packets towards one. The entries still
-        // hear of each other through the rest, and must not take each other for dead and split the work.
-        it("keeps members alive through cuts that go one way", async () => {
+        // Guards against false deaths. A switch drops packets in one direction between two entries, or all packets to
+        // one entry. Their heartbeats still arrive through other entries, so they must not count as dead.
+        it("keeps members alive through one-way network partitions", async () => {
             const site = await createConvergedSite();
             site.cutLinks.add("entry-0>entry-1");
             for (const node of site.nodes) {
@@ -61,9 +61,9 @@
             }
         });
 
-        // A VM is replaced by another on the same address. What the old one said must not be taken for the new one's
-        // word, and the old one must not live on because somebody answers at its address.
-        it("tells a replaced VM from the one before on the same address", async () => {
+        // Guards against mixing up two VMs: one is replaced by another on the same address. Values of the old one must
+        // not count for the new one, and answers from the address must not keep the old one alive.
+        it("distinguishes a replaced VM from its predecessor on the same address", async () => {
             const site = await createConvergedSite();
             const old = site.nodes[2];
             old.membership.announceLeaving();
@@ -82,11 +82,11 @@
         });
     });
 
-    describe("getPresumed", () => {
-        // A whole site starts at once, and nobody has heard of anybody. A node that took itself for the only one sent all callers to
-        // itself, and read the store in everybody's place. A member that stays silent is gone, though, and callers must not be sent
-        // there.
-        it("counts on members that were just listed, until they had time to be heard", async () => {
+    describe("getPresumedAlive", () => {
+        // Guards against overload when a whole site starts at once and no node has received a heartbeat of another. A
+        // node that assumed to be the only one sent all callers to itself and read the store on behalf of all. A member
+        // that stays unresponsive has departed, and callers must not be sent to it.
+        it("includes newly listed members until their heartbeats had time to arrive", async () => {
             const site = createGossipSite(size, { periodMilliseconds: 150 });
             const [{ membership, clock }] = site.nodes;
             expect([membership.getAlive().length, membership.getPresumedAlive().length]).toEqual([1, size]);
@@ -96,10 +96,10 @@
             expect(membership.getPresumedAlive().length).toEqual(size);
         });
 
-        // The power of a large fleet fails and comes back. A few seconds later each node has heard of some of the others only; told of
-        // no more than those, all callers would crowd at a few nodes, and many nodes would take themselves for the one that reads
-        // the store.
-        it("counts on all members of a large fleet until the news of them had time to spread", async () => {
+        // Guards against overload of a few nodes after a power failure of a large fleet. Seconds after the restart,
+        // each node has received heartbeats of some others only. If callers received only those addresses, they would
+        // all use a few nodes, and many nodes would read the store on behalf of the others.
+        it("includes all members of a large fleet until their heartbeats had time to spread", async () => {
             const fleetSize = 195;
             const fleet = createGossipSite(fleetSize, { periodMilliseconds: 1_164 });
             for (let period = 0; period < 12; period += 1) {
@@ -115,7 +115,7 @@
     });
 
     describe("announceLeaving", () => {
-        it("tells all members at once", async () => {
+        it("reaches all members at once", async () => {
             const site = await createConvergedSite();
             site.nodes[0].membership.announceLeaving();
             await site.deliverMessages();
@@ -125,9 +125,10 @@
     });
 
     describe("getCommonProtocol", () => {
-        // Entries are replaced one after another by a program with a newer protocol. As long as an older one may read,
-        // nobody may write what it cannot read, also while it is only cut off for a moment.
-        it("stays with the older version until no older member is left", async () => {
+        // Guards against records that a member cannot read. Entries are replaced one after another by a program with a
+        // newer protocol. While an older one may still read, also one that is only cut off, no entry may write the
+        // newer protocol.
+        it("returns the older version until no older member is left", async () => {
             const site = createGossipSite(2);
             site.add("newer", { protocol: { oldest: 1, newest: newestProtocol + 1 } });
             site.distributeVmList();
@@ -144,7 +145,7 @@
             expect(newer.membership.getCommonProtocol()).toEqual(newestProtocol + 1);
         });
 
-        it("counts a listed entry that was never heard as an old one, for a while", async () => {
+        it("counts a listed entry without any heartbeat as an old one for a while", async () => {
             const site = createGossipSite(1);
             const newer = site.add("newer", { protocol: { oldest: 1, newest: 2 } });
             site.nodes[0].isDown = true;
@@ -156,7 +157,7 @@
     });
 
     describe("getCollector", () => {
-        it("is the same at all members, spreads partitions and moves only those of a member that left", async () => {
+        it("returns the same member at all nodes, spreads partitions, and moves only those of a departed member", async () => {
             const site = await createConvergedSite();
             const partitions = Array.from({ length: 64 }, (...[, index]) => `claims-${index}`);
             const collect = (node: GossipNode) => partitions.map(name => node.membership.getCollector(name)?.id);
@@ -171,9 +172,10 @@
         });
     });
 
-    describe("isMajorityAway", () => {
-        // The site is cut in two. The smaller side must know that it is the smaller one.
-        it("is true on the smaller side of a cut and false on the greater", async () => {
+    describe("isMajorityUnreachable", () => {
+        // Guards against a minority that acts as the majority: the smaller side of a network partition must detect that
+        // it is the smaller one.
+        it("is true on the smaller side of a network partition and false on the larger one", async () => {
             const site = await createConvergedSite();
             const smaller = ["entry-0", "entry-1", "entry-2"];
             for (const one of smaller) {
--- a/test/membership/peerCalls.test.ts
+++ b/test/membership/peerCalls.test.ts
@@ -32,7 +32,7 @@
 function createHandlers(changes: Partial<PeerHandlers> = {}): PeerHandlers {
     return {
         exchange: () => {
-            throw new Error("not wanted");
+            throw new Error("unexpected call");
         },
         push: () => ({ counter: 7 }),
         copyBills: () => ({ kept: [], counter: 0 }),
@@ -76,12 +76,12 @@
     });
 
     describe("push", () => {
-        it("brings the peer's reply", async () => {
+        it("returns the reply of the peer", async () => {
             const { identity } = await startServer(1, createHandlers());
             expect((await createClient().push(identity, emptyPush))._unsafeUnwrap()).toEqual({ counter: 7 });
         });
 
-        it("fails when the peer's handler fails, and the peer goes on", async () => {
+        it("fails when the handler of the peer fails, and the peer keeps running", async () => {
             const { identity } = await startServer(1, createHandlers());
             const client = createClient();
             const exchanged = await client.exchange(identity, {
@@ -99,25 +99,26 @@
             expect((await client.push(identity, emptyPush)).isOk()).toEqual(true);
         });
 
-        // A peer is frozen, or a switch swallows its packets: connections open and nothing ever comes back. Without a
-        // deadline the caller would hang for as long as the peer does.
+        // Guards against calls that never end. A peer is frozen, or a switch drops its packets: connections open, but
+        // no answer arrives. Without a deadline, the caller would wait for as long as the peer is frozen.
         it("ends at its deadline when the peer never answers", async () => {
             const sockets = new Set<Socket>();
-            const silent: TcpServer = createServer(socket => sockets.add(socket));
-            await new Promise<void>(resolve => silent.listen(0, `${network}.2`, resolve));
+            const unresponsiveServer: TcpServer = createServer(socket => sockets.add(socket));
+            await new Promise<void>(resolve => unresponsiveServer.listen(0, `${network}.2`, resolve));
             cleanups.push(() => {
                 for (const socket of sockets) {
                     socket.destroy();
                 }
-                silent.close();
+                unresponsiveServer.close();
             });
-            const address = silent.address();
+            const address = unresponsiveServer.address();
             const port = typeof address === "object" ? address?.port ?? 0 : 0;
             const pushed = await createClient(undefined, 150).push(createIdentity("x", 2, port), emptyPush);
             expect(pushed._unsafeUnwrapErr().kind).toEqual("unavailable");
         });
 
-        // A peer is replaced on its address and port. The client must find the new process, without a long backoff.
+        // Guards against a long backoff after a restart: a peer is replaced on its address and port, and the client
+        // must reconnect soon.
         it("reaches a peer that was restarted on the same port", async () => {
             const first = await startServer(3, createHandlers());
             const client = createClient();
@@ -138,12 +139,12 @@
     });
 
     describe("setCredentials", () => {
-        it("lets peers of the same authority in and others out", async () => {
+        it("accepts peers of the same authority and rejects others", async () => {
             const { identity } = await startServer(1, createHandlers(), readTestCredentials("site-first"));
             const cases: [Credentials | undefined, boolean][] = [
                 [readTestCredentials("site-second"), true],
                 [readTestCredentials("other-first"), false],
-                // Trusts this site, and shows a certificate of another.
+                // Trusts the authority of this site, but presents a certificate of another one.
                 [
                     { ...readTestCredentials("other-first"), authority: readTestCredentials("site-first").authority },
                     false,
@@ -156,15 +157,19 @@
             }
         });
 
-        // Certificates end every few weeks. Both sides must take renewed ones while they run; here even the authority
-        // changes, so that a connection made with the old ones would be refused.
+        // Guards against connections that fail when certificates expire, which happens every few weeks. Both sides must
+        // use renewed ones while they run. Here the authority changes too, so a connection with the old certificates
+        // would be refused.
         it("renews the credentials of both sides without a restart", async () => {
             const { server, identity } = await startServer(1, createHandlers(), readTestCredentials("site-first"));
             const client = createClient(readTestCredentials("site-second"));
             expect((await client.push(identity, emptyPush)).isOk()).toEqual(true);
             server.setCredentials(readTestCredentials("other-first"));
             client.setCredentials(readTestCredentials("other-first"));
-            await waitUntil(async () => (await client.push(identity, emptyPush)).isOk(), "the renewed ones are used");
+            await waitUntil(
+                async () => (await client.push(identity, emptyPush)).isOk(),
+                "the renewed credentials are used",
+            );
             const old = await createClient(readTestCredentials("site-second"), 1_000).push(identity, emptyPush);
             expect(old.isOk()).toEqual(false);
         });
@@ -209,14 +214,14 @@
         for (const membership of memberships) {
             membership.setVms(vms);
         }
-        const isSettled = () => memberships.every(membership => membership.getAlive().length === vms.length);
-        await waitUntil(isSettled, "all members see each other");
+        const areAllAlive = () => memberships.every(membership => membership.getAlive().length === vms.length);
+        await waitUntil(areAllAlive, "all members see each other");
         memberships[0].announceLeaving();
         const isLeaving = () => memberships.every(membership => membership.get("entry-11")?.state === "leaving");
         await waitUntil(isLeaving, "all members see that one is leaving");
     });
 
-    it("carry claims to the collector, and its verdict back", async () => {
+    it("carry claims to the collector and return its decisions", async () => {
         const log = new MemoryLog();
         const collector = createClaimNode({ log, name: "collector" });
         cleanups.push(() => collector.stop());
@@ -224,34 +229,34 @@
             21,
             createHandlers({ decideClaims: request => handleDecideClaims(collector.pool, request, () => 0) }),
         );
-        const ask = createRemoteDecider({
+        const decideRemotely = createRemoteDecider({
             self: "asker",
             membership: { getCollector: () => identity as Member },
             client: createClient(),
             getCounter: () => 0,
         });
         const operation = { kind: "claim", id: "c1", key: "run:w/k", value: "r1" } as const;
-        const verdicts = [];
+        const decisions = [];
         for (const id of ["c1", "c2"]) {
-            verdicts.push((await ask(0, { ...operation, id, value: id }))?.decision?.verdict);
+            decisions.push((await decideRemotely(0, { ...operation, id, value: id }))?.decision?.verdict);
         }
-        await ask(0, { ...operation, kind: "complete", outcome: "printed" });
-        const last = await ask(0, { ...operation, id: "c3" });
-        expect(verdicts).toEqual(["granted", "held"]);
+        await decideRemotely(0, { ...operation, kind: "complete", outcome: "printed" });
+        const last = await decideRemotely(0, { ...operation, id: "c3" });
+        expect(decisions).toEqual(["granted", "held"]);
         expect(last?.decision?.outcome).toEqual("printed");
-        expect(await ask(99, operation)).toEqual({ id: "c1", mayHaveTakenEffect: false });
+        expect(await decideRemotely(99, operation)).toEqual({ id: "c1", mayHaveTakenEffect: false });
     });
 
     it("carry copies of bills to a peer in another failure domain", async () => {
         const log = new MemoryLog();
         const { journal } = createJournal();
         const base = { append: log.append, clock: systemClock, journal };
-        const keeper = new BillReplicaStore({ ...base, writer: "keeper", hasDeparted: () => false });
-        const handlers = createHandlers({ copyBills: request => handleCopyBills(keeper, request, () => 0) });
+        const replicaStore = new BillReplicaStore({ ...base, writer: "keeper", hasDeparted: () => false });
+        const handlers = createHandlers({ copyBills: request => handleCopyBills(replicaStore, request, () => 0) });
         const { identity } = await startServer(31, handlers);
         const self = createIdentity("entry-a", 32, 1);
-        const near = { ...createIdentity("near", 33, 1), failureDomain: self.failureDomain };
-        const members = [self, near, identity].map(node => node as Member);
+        const sameDomainMember = { ...createIdentity("near", 33, 1), failureDomain: self.failureDomain };
+        const members = [self, sameDomainMember, identity].map(node => node as Member);
         const client = createClient();
         const options = { self, membership: { getAlive: () => members }, client, getCounter: () => 0 };
         expect(getBillCopyTargets(options).map(target => target.id)).toEqual([identity.id]);
@@ -261,8 +266,8 @@
             getCopyTargets: () => getBillCopyTargets(options),
         });
         expect((await writer.add(createBill("r1"))).isOk()).toEqual(true);
-        expect(keeper.getSize()).toEqual(1);
+        expect(replicaStore.getSize()).toEqual(1);
         expect((await writer.flush(1_000)).isOk()).toEqual(true);
-        await waitUntil(() => keeper.getSize() === 0, "the keeper was told");
+        await waitUntil(() => replicaStore.getSize() === 0, "the replica was removed");
     });
 });
--- a/test/membership/stateQueryStream.test.ts
+++ b/test/membership/stateQueryStream.test.ts
@@ -21,7 +21,7 @@
 
 async function startServer(host: string, port: number, fetchState: PeerHandlers["fetchState"]): Promise<PeerServer> {
     const failUnexpectedCall = (): never => {
-        throw new Error("not wanted");
+        throw new Error("unexpected call");
     };
     const handlers = {
         exchange: failUnexpectedCall,
@@ -46,14 +46,17 @@
     return { id: host, address: host, peerPort, failureDomain: "north", region: "south" };
 }
 
-/** Leads connections to a target; those that are open when it is told so carry nothing any more, without an end. */
+/**
+ * Starts a TCP relay to a target. `stall` makes the connections that are open at that time drop all data without
+ * closing.
+ */
 async function startRelay(host: string, target: { readonly host: string; readonly port: number; }) {
     const open = new Set<Socket>();
     const stalled = new Set<Socket>();
     const pipe = (from: Socket, to: Socket): void => {
         from.on("data", bytes => stalled.has(from) || to.write(bytes));
         from.on("error", () => {
-            // The other side gave the connection up.
+            // The other side closed the connection.
         });
         open.add(from);
     };
@@ -70,22 +73,22 @@
         server.close();
     });
     const address = server.address();
-    const silence = (): void => {
+    const stall = (): void => {
         for (const socket of open) {
             stalled.add(socket);
         }
     };
-    return { port: typeof address === "object" ? address?.port ?? 0 : 0, silence };
+    return { port: typeof address === "object" ? address?.port ?? 0 : 0, stall };
 }
 
-describe("StateConversation", () => {
+describe("StateQueryStream", () => {
     afterEach(async () => {
         for (const finish of cleanups.splice(0).reverse()) {
             await finish();
         }
     });
 
-    it("answers each question with its own answer, also when a later one is answered first", async () => {
+    it("matches each answer to its query, also when a later query is answered first", async () => {
         const host = `${network}.1`;
         await startServer(host, 7_100, async ({ knownOffset }) => {
             await new Promise(resolve => setTimeout(resolve, knownOffset === 1 ? 60 : 0));
@@ -103,11 +106,11 @@
         expect(order.at(-1)).toEqual(1);
     });
 
-    it("fails the question that the peer can't answer, and no other", async () => {
+    it("fails only the query that the peer cannot answer", async () => {
         const host = `${network}.2`;
         await startServer(host, 7_100, ({ knownOffset }) => {
             if (knownOffset === 2) {
-                throw new Error("The topic can't be read here.");
+                throw new Error("The topic is unavailable.");
             }
             return createReply(knownOffset);
         });
@@ -120,36 +123,38 @@
         expect(results.map(result => result.isOk())).toEqual([true, false, true]);
     });
 
-    // The connection to a peer falls silent for good, without a reset, while new ones work. A node that went on asking on it would
-    // hear nothing until the library's keep-alive notices, seconds after its knowledge has become too old for keyed requests.
-    it("asks on a new connection after an answer is overdue", async () => {
+    // Guards against refused keyed requests after a connection becomes unresponsive without a reset while new ones
+    // work. A node that kept using it would receive no answer until the keepalive of the library closes it, seconds
+    // after its state has become too old for keyed requests.
+    it("queries on a new connection after an answer is overdue", async () => {
         const host = `${network}.3`;
         await startServer(host, 7_100, ({ knownOffset }) => createReply(knownOffset));
         const relay = await startRelay(`${network}.5`, { host, port: 7_100 });
         const peer = createPeer(`${network}.5`, relay.port);
         const client = createClient();
         expect((await client.followState(peer, createRequest(1), timeoutMilliseconds)).isOk()).toEqual(true);
-        relay.silence();
+        relay.stall();
         expect((await client.followState(peer, createRequest(2), timeoutMilliseconds)).isErr()).toEqual(true);
-        // The library's own keep-alive would end the connection after seven seconds.
+        // The keepalive of the library would close the connection only after seven seconds.
         const isAnswered = async (): Promise<boolean> =>
             (await client.followState(peer, createRequest(3), timeoutMilliseconds)).isOk();
         await waitUntil(isAnswered, { description: "an answer on a new connection", timeoutMilliseconds: 5_000 });
     });
 
-    // A peer is killed and starts again on its address. Questions under way must fail at once, so that somebody else is asked.
-    it("fails at once when the peer dies, and finds it again", async () => {
+    // Guards against delayed queries: a peer is killed and restarts on its address. Queries in flight must fail at
+    // once, so that the node can query another peer.
+    it("fails at once when the peer dies, and reconnects after its restart", async () => {
         const host = `${network}.6`;
         const first = await startServer(host, 7_100, () => new Promise<FetchStateReply>(() => undefined));
         const client = createClient();
         const peer = createPeer(host, 7_100);
-        const asked = client.followState(peer, createRequest(1), 10_000);
+        const pending = client.followState(peer, createRequest(1), 10_000);
         await new Promise(resolve => setTimeout(resolve, 100));
         await first.stop();
-        expect((await asked).isErr()).toEqual(true);
+        expect((await pending).isErr()).toEqual(true);
         await startServer(host, 7_100, ({ knownOffset }) => createReply(knownOffset));
         const isBack = async (): Promise<boolean> =>
             (await client.followState(peer, createRequest(2), timeoutMilliseconds)).isOk();
-        await waitUntil(isBack, { description: "the peer" });
+        await waitUntil(isBack, { description: "an answer of the restarted peer" });
     });
 });
