--- a/src/topics/index.ts
+++ b/src/topics/index.ts
@@ -1,4 +1,4 @@
-/** Topics of the platform's store: reading them, folding them, and knowing how old a belief is. */
+/** Topics of the platform's store: reading them, folding them, and tracking the age of the folded state. */
 export * from "./keyedTopic.js";
 export * from "./peerTopics.js";
 export * from "./readSource.js";
--- a/src/topics/keyedTopic.ts
+++ b/src/topics/keyedTopic.ts
@@ -1,5 +1,5 @@
 /**
- * Topics of the platform's store whose newest record for each key is kept.
+ * Keyed topics of the platform's store, which retain the newest record of each key.
  */
 import type { Result } from "neverthrow";
 import type { Failure } from "../common/index.js";
@@ -12,27 +12,27 @@
     readonly offset: number;
 }
 
-/** Records of a topic, and how old the answer is. */
+/** Records of a topic, and the time at which they were confirmed. */
 export interface TopicPage {
     readonly records: readonly KeyedRecord[];
-    /** Whether the records are the newest of every key, so that keys that are missing were removed. */
+    /** Whether the records are the newest ones of all keys, so that missing keys were removed. */
     readonly isComplete: boolean;
-    /** The offset to read on from. */
+    /** The offset from which to continue reading. */
     readonly endOffset: number;
-    /** Monotonic milliseconds at which nothing newer was in the store, at least. */
+    /** Monotonic milliseconds at which the store held nothing newer. This is a lower bound. */
     readonly confirmedAt: number;
 }
 
-/** Reads one topic, from the store or through a peer that reads it. */
+/** Reads one topic, from the store or through a peer that follows it. */
 export interface KeyedTopicReader {
-    /** Where it reads: when a peer fails, another peer or the store may still do. */
+    /** Where records are read from. When a peer fails, another peer or the store may still answer. */
     readonly source: "store" | "peer";
     /** Reads the newest record of every key. */
     readonly readAll: () => Promise<Result<TopicPage, Failure>>;
     /**
-     * Waits for records at or after an offset. A failure of the kind `gone` asks for `readAll`.
-     * @param from - The offset.
-     * @param waitMilliseconds - How long to wait before answering with no records.
+     * Waits for records at or after an offset. A failure of the kind `gone` requires a call of `readAll`.
+     * @param from - The first offset to read.
+     * @param waitMilliseconds - How long to wait for a record before returning an empty page.
      */
     readonly readSince: (from: number, waitMilliseconds: number) => Promise<Result<TopicPage, Failure>>;
 }
--- a/src/topics/peerTopics.ts
+++ b/src/topics/peerTopics.ts
@@ -1,5 +1,5 @@
 /**
- * Reading topics through peers: few nodes read the store, the others hear from them.
+ * Reads topics through peers: few nodes read the store, and the others read from these nodes.
  */
 import { err, ok, type Result } from "neverthrow";
 import { z } from "zod";
@@ -9,21 +9,23 @@
 import type { KeyedRecord, KeyedTopicReader, TopicPage } from "./keyedTopic.js";
 import type { TopicFollower } from "./topicFollower.js";
 
-/** How long a peer may take beyond the wait that it was asked for; a peer that is away must not be waited for longer. */
+/**
+ * Timeout of a peer's answer in addition to the requested wait. An unreachable peer must not delay a read for longer.
+ */
 const responseTimeoutMilliseconds = 500;
-/** A peer waits no longer than this, whatever it is asked. */
+/** Upper limit of the wait that a peer may request. */
 const maxWaitMilliseconds = 10_000;
 
 const stateSchema = z.array(z.tuple([z.string(), z.number(), z.string().optional()]));
 
-/** Asks a peer for state. */
+/** Fetches state from a peer. */
 export type PeerStateQuery = (
     peer: PeerAddress,
     request: FetchStateRequest,
     timeoutMilliseconds: number,
 ) => Promise<Result<FetchStateReply, Failure>>;
 
-/** What a reader through a peer is made with. */
+/** Options of a reader through a peer. */
 export interface PeerTopicOptions {
     readonly topic: string;
     readonly peer: PeerAddress;
@@ -42,10 +44,10 @@
 }
 
 /**
- * Answers a peer's question for a topic.
- * @param follower - Follows the topic here.
- * @param request - The question.
- * @param clock - Tells ages.
+ * Answers a peer's query for a topic.
+ * @param follower - Follower of the topic on this node.
+ * @param request - The query.
+ * @param clock - The clock for ages.
  */
 export async function handleFetchState(
     follower: TopicFollower,
@@ -62,7 +64,8 @@
     const page = request.whole
         ? follower.state.getCompletePage()
         : await follower.waitForChanges(request.knownOffset, Math.min(request.waitMilliseconds, maxWaitMilliseconds));
-    // Whoever asks for everything knows nothing: an old state, with its age, beats none.
+    // A peer that requests the whole topic has no state yet. It receives even an old state with its age, which is
+    // better than none.
     if (follower.isDegraded() && !request.whole) {
         throw new Error("The topic can't be read here at the moment.");
     }
@@ -72,7 +75,7 @@
         offset: page.endOffset,
         state: encodeRecords(page.records),
         counter: 0,
-        // Rounded up: a belief must never seem younger than it is.
+        // Rounded up, so that the state never appears younger than it is.
         ageMilliseconds: Math.ceil(now - page.confirmedAt),
         heldMilliseconds: Math.floor(now - receivedAt),
         complete: page.isComplete,
@@ -94,8 +97,8 @@
             records,
             isComplete: complete,
             endOffset: offset,
-            // The answer left the peer no sooner than the question was sent plus the time it was held. An answer that was
-            // long on its way is therefore never taken for a fresh one.
+            // The peer sent the answer no earlier than the time at which the query was sent plus the time for which the
+            // peer held it. A delayed answer therefore never counts as fresh.
             confirmedAt: sentAt + heldMilliseconds - ageMilliseconds,
         }))
     );
@@ -121,8 +124,8 @@
         return err(
             new Failure({
                 kind: "protocol",
-                message: "A peer's answer cannot be read.",
-                remedy: "Read from the store, and finish the replacement of the nodes by the new release.",
+                message: "The answer of a peer cannot be parsed.",
+                remedy: "Read from the store, and finish replacing the nodes by the new release.",
                 cause,
             }),
         );
--- a/src/topics/readSource.ts
+++ b/src/topics/readSource.ts
@@ -1,38 +1,42 @@
 /**
- * Whom a node reads a topic from: the store, or a peer that reads the store.
+ * Chooses where a node reads a topic from: the store, or a peer that reads the store.
  */
 import type { Member } from "../membership/index.js";
 
-/** At least so many nodes of a failure domain hear from one of their own; fewer hear from the one that reads the store. */
+/**
+ * From this number of nodes on, the nodes of a failure domain read from one of their own. In smaller domains they read
+ * from the node that reads the store.
+ */
 const minNodesForRelay = 8;
 
-/** Where to read. */
+/** The source of a read. */
 export type ReadSource =
     | { readonly kind: "store"; }
     | { readonly kind: "peer"; readonly peer: Member; };
 
-/** What the choice rests on. */
+/** Input of the choice. */
 export interface ReadSourceOptions {
     readonly self: string;
     readonly failureDomain: string;
-    /** Nodes that are taken to live, this one among them. */
+    /** Nodes that are presumed alive, including this one. */
     readonly alive: readonly Member[];
-    /** Whether the state is old, or reading failed: the usual source does not do. */
+    /** Whether the state is old, or reading failed, so that the usual source is not sufficient. */
     readonly isStale: boolean;
-    /** How often another source than the usual one was tried since the state was last fresh. */
+    /** Number of fallback reads since the state was last fresh. */
     readonly fallbackReads: number;
-    /** Tells whether a node did not answer just now, so that the next by rank takes its place. */
+    /** Returns whether a node recently did not answer, so that the node with the next rank takes its place. */
     readonly isAvoided: (node: string) => boolean;
-    /** Ranks a node; the first by rank reads. */
+    /** Returns the rank of a node. The node with the highest rank reads the store. */
     readonly getRank: (node: string) => number;
 }
 
 /**
- * Chooses the source of the next read. One node reads the store, the first by rank. In a large failure domain the nodes hear
- * from the first of their own domain, which hears from the one that reads: the calls to the store do not grow with the site, and
- * no node answers more peers than its domain has nodes. When the usual source leaves the state old, the store and other peers
- * are tried in turn: a node that the store turns away hears from one that it serves.
- * @param options - What the choice rests on.
+ * Chooses the source of the next read. The node with the highest rank reads the store. In a large failure domain, the
+ * nodes read from the highest-ranked node of their domain, which reads from the store reader. The number of calls to
+ * the store therefore does not grow with the site, and no node serves more peers than its domain has nodes. When the
+ * usual source leaves the state old, the store and other peers are read in turn. A node that the store rejects can thus
+ * read from one that it serves.
+ * @param options - Input of the choice.
  */
 export function chooseReadSource(options: ReadSourceOptions): ReadSource {
     const { self, failureDomain, alive, isStale, fallbackReads, isAvoided, getRank } = options;
--- a/src/topics/topicFollower.ts
+++ b/src/topics/topicFollower.ts
@@ -1,16 +1,16 @@
 /**
- * Follows a topic: reads it whole once, then waits for changes, and knows how old its belief is.
+ * Follows a topic: reads it whole once, then waits for changes, and tracks the age of its state.
  */
 import type { Clock, Failure } from "../common/index.js";
 import { events, type Journal } from "../events/index.js";
 import type { KeyedRecord, KeyedTopicReader, TopicPage } from "./keyedTopic.js";
 import { TopicState } from "./topicState.js";
 
-/** Pause after a failed read, in milliseconds; doubled up to the longest one. */
+/** Pause after a failed read, in milliseconds. It doubles up to the maximum. */
 const initialBackoffMilliseconds = 100;
-/** A source that failed is passed over for so long while another one does, in milliseconds. */
+/** Time for which a failed source is avoided while another one works, in milliseconds. */
 const fallbackMilliseconds = 2_000;
-/** Kept short: after an outage every second without the store is a second in which keyed requests are refused. */
+/** Short, since keyed requests are refused until the store can be read again after an outage. */
 const maxBackoffMilliseconds = 400;
 
 /** Options of a follower. */
@@ -19,29 +19,33 @@
     readonly clock: Clock;
     readonly journal: Journal;
     /**
-     * Picks whom to read from, anew for each read.
-     * @param fallbackReads - Reads in a row that failed or left the state old; 0 when the last one was as it should be.
+     * Returns the reader for the next read.
+     * @param fallbackReads - Number of consecutive reads that failed or left the state old; 0 after a successful read.
      */
     readonly pickReader: (fallbackReads: number) => KeyedTopicReader;
-    /** A state that was confirmed longer ago than this is old: whoever it is read from lags behind, in milliseconds. */
+    /**
+     * A state that was confirmed longer ago than this is stale: the source that it is read from lags behind. In
+     * milliseconds.
+     */
     readonly staleMilliseconds: number;
-    /** A state that nobody could confirm for so long was followed by an outage of the store, in milliseconds. */
+    /** A state that no source confirmed for this time indicates an outage of the store, in milliseconds. */
     readonly outageMilliseconds: number;
     /** How long a read may wait for changes. An empty answer after that time confirms the state. */
     readonly waitMilliseconds: number;
     /**
-     * Returns how long to wait after a read that brought changes, in milliseconds. Changes that come one by one, such as the
-     * records of all nodes as a site starts, would otherwise cost every node a read each.
+     * Returns the pause after a read that brought changes, in milliseconds. Without it, changes that arrive one by one,
+     * such as the records of all nodes when a site starts, would cost every node one read each.
      */
     readonly getPause?: () => number;
     /**
-     * Waits after the first read until it is known whom else to ask. Every node that starts would otherwise wait for changes at the
-     * store for a while, though few nodes are to read it: several calls at each start, and all nodes at once after a loss of power.
+     * Waits after the first read until other sources are known. Otherwise every node that starts would wait for changes
+     * at the store for a while, although few nodes should read it. That costs several calls at each start, and calls of
+     * all nodes at once after a power failure.
      */
     readonly waitForPeers?: () => Promise<void>;
-    /** Takes what changed, in the order of offsets. */
+    /** Receives changed records, ordered by offset. */
     readonly onChanges: (changed: readonly KeyedRecord[]) => void;
-    /** Waits between failed reads; tests give another. */
+    /** Waits between failed reads. The default uses a timer. */
     readonly sleep?: (milliseconds: number) => Promise<void>;
 }
 
@@ -62,46 +66,46 @@
         this.#options = options;
     }
 
-    /** Begins to follow. */
+    /** Starts following the topic. */
     start(): void {
         this.#running = this.#run();
     }
 
-    /** Ends after the read that is under way. */
+    /** Stops after the read in flight. */
     stop(): void {
         this.#isStopped = true;
         this.#notifyWaiters();
     }
 
-    /** Resolves when the follower has ended. */
+    /** Resolves when the follower has stopped. */
     async waitUntilStopped(): Promise<void> {
         await this.#running;
     }
 
-    /** Returns the milliseconds since the state was last confirmed as the newest; infinite before the first read. */
+    /** Returns the milliseconds since the state was last confirmed as the newest, or infinity before the first read. */
     getAge(): number {
         return this.#options.clock.monotonic() - this.state.getConfirmedAt();
     }
 
-    /** Returns the milliseconds since the state could be confirmed again after an outage; infinite when there was none. */
+    /** Returns the milliseconds since the last outage ended, or infinity if there was none. */
     getTimeSinceOutage(): number {
         return this.#options.clock.monotonic() - this.#outageEndedAt;
     }
 
     /**
-     * Tells whether reading fails or leaves the state old, so that peers had better ask somebody else. The failure of one peer is
-     * not enough: the next read goes elsewhere at once.
+     * Returns whether reading fails or leaves the state old, so that peers should read from another source. The failure
+     * of one peer is not sufficient, since the next read uses another source at once.
      */
     isDegraded(): boolean {
         return this.#isFailing || this.getAge() > this.#options.staleMilliseconds;
     }
 
     /**
-     * Takes in a page that came from elsewhere.
+     * Applies a page, which may come from another source than this follower's reads.
      * @param page - The page.
      */
     applyPage(page: TopicPage): void {
-        // The first read of a node that has just started ends no outage: nothing that it knows can have lapsed.
+        // The first read of a starting node does not end an outage: the node has no state that can have expired.
         if (this.state.isLoaded() && this.getAge() > this.#options.outageMilliseconds) {
             this.#outageEndedAt = this.#options.clock.monotonic();
         }
@@ -113,10 +117,10 @@
     }
 
     /**
-     * Waits until there is something at or after an offset, for peers that read through this node. Ends sooner when this
-     * node's own reading fails: a peer that went on waiting would hear of changes too late.
+     * Waits until there is a record at or after an offset, for peers that read through this node. Returns early when
+     * the reads of this node fail, since a peer that kept waiting would receive changes too late.
      * @param from - The offset.
-     * @param waitMilliseconds - How long to wait at most.
+     * @param waitMilliseconds - Maximum time to wait.
      */
     async waitForChanges(from: number, waitMilliseconds: number): Promise<TopicPage> {
         await this.#waitUntil(() => this.state.getEndOffset() > from || this.isDegraded(), waitMilliseconds);
@@ -124,9 +128,9 @@
     }
 
     /**
-     * Waits until the topic has been read once. Nodes that start together ask each other before they have read anything; turned
-     * away, they would all go on reading the store.
-     * @param waitMilliseconds - How long to wait at most.
+     * Waits until the topic has been read once. Nodes that start together query each other before they have read
+     * anything. If they were refused, they would all keep reading the store.
+     * @param waitMilliseconds - Maximum time to wait.
      */
     async waitUntilLoaded(waitMilliseconds: number): Promise<void> {
         await this.#waitUntil(() => this.state.isLoaded(), waitMilliseconds);
@@ -184,13 +188,13 @@
         }
     }
 
-    /** A source that does on a detour is stayed with for a while, so that the usual one is not asked in vain each time. */
+    /** Uses a working fallback source for some time, so that not every read fails at the usual source first. */
     #startFallback(): void {
         this.#fallbackReads += 1;
         this.#fallbackUntil = this.#options.clock.monotonic() + fallbackMilliseconds;
     }
 
-    /** The first detour is taken at once: the usual reader may just have died. */
+    /** The first fallback read starts without a pause, since the usual reader may just have died. */
     async #backOff(fallbackReads: number): Promise<void> {
         if (fallbackReads > 1) {
             const backoffMilliseconds = Math.min(
--- a/src/topics/topicSources.ts
+++ b/src/topics/topicSources.ts
@@ -1,5 +1,5 @@
 /**
- * Whom a node reads topics from: the store, or a peer that reads it.
+ * Picks the source from which a node reads topics: the store, or a peer that reads it.
  */
 import type { Clock } from "../common/index.js";
 import { getUnitRank } from "../decisions/index.js";
@@ -8,36 +8,36 @@
 import { createPeerReader } from "./peerTopics.js";
 import { chooseReadSource } from "./readSource.js";
 
-/** A node that could not tell what the store holds is passed over for so long, in milliseconds; a restart takes about two seconds. */
+/** Time for which a node that failed to answer is avoided, in milliseconds. A restart takes about two seconds. */
 const avoidMilliseconds = 3_000;
 
-/** What sources are picked with. */
+/** Dependencies of the choice. */
 export interface TopicSourcesOptions {
     readonly self: NodeIdentity;
     readonly membership: Membership;
     readonly peerClient: PeerClient;
-    /** Counts suspensions, too. */
+    /** Must also count the time during which the process is suspended. */
     readonly clock: Clock;
-    /** Returns where a few peers may listen that are not known to be members. */
+    /** Returns addresses at which peers may listen that are not known as members. */
     readonly getSeeds: () => readonly { readonly host: string; readonly port: number; }[];
 }
 
-/** For which read a source is picked. */
+/** A read for which a source is picked. */
 export interface TopicRead {
     readonly topic: string;
     readonly storeReader: KeyedTopicReader;
     /** Whether the topic has been read once. */
     readonly isLoaded: boolean;
-    /** Reads in a row that failed or left the state old. */
+    /** Number of consecutive reads that failed or left the state old. */
     readonly fallbackReads: number;
 }
 
-/** Picks sources, and remembers which peers did not answer. */
+/** Picks sources, and avoids peers that recently did not answer. */
 export class TopicSources {
     readonly #options: TopicSourcesOptions;
-    /** Kept, since the choice of whom to read from ranks all nodes several times a second. */
+    /** Cached, since every choice of a source ranks all nodes, several times a second. */
     readonly #ranks = new Map<string, number>();
-    /** Until when a node that did not answer is passed over. */
+    /** Monotonic time until which a node that did not answer is avoided. */
     readonly #avoidedUntil = new Map<string, number>();
 
     constructor(options: TopicSourcesOptions) {
@@ -55,7 +55,8 @@
             failureDomain: self.failureDomain,
             alive: membership.getPresumedAlive(),
             isAvoided: node => this.#isAvoided(node),
-            // One failure is the usual source's, which is avoided from then on; the next by rank is as good.
+            // A single failure concerns the usual source, which is avoided from then on. The node with the next rank
+            // replaces it.
             isStale: !isLoaded || fallbackReads > 1,
             fallbackReads: isLoaded ? fallbackReads - 1 : fallbackReads,
             getRank: node => this.#getRank(node),
@@ -69,7 +70,7 @@
         if (
             isAlone && fallbackReads > 0 && fallbackReads % 2 === 0 && seed !== undefined && seed.host !== self.address
         ) {
-            // Nobody is known yet, since the store that would tell does not answer.
+            // No member is known yet, because the store, which holds their records, does not answer.
             return this.#createPeerReader(topic, { id: seed.host, address: seed.host, peerPort: seed.port });
         }
         return storeReader;
@@ -79,7 +80,10 @@
         return this.#options.clock.monotonic() < (this.#avoidedUntil.get(node) ?? Number.NEGATIVE_INFINITY);
     }
 
-    /** Asks somebody else for a while, so that nodes agree on the next reader before gossip tells that the first is gone. */
+    /**
+     * Avoids a node for some time, so that all nodes choose the same next reader before gossip reports the first one as
+     * dead.
+     */
     #avoid(node: string): void {
         this.#avoidedUntil.set(node, this.#options.clock.monotonic() + avoidMilliseconds);
     }
--- a/src/topics/topicState.ts
+++ b/src/topics/topicState.ts
@@ -3,35 +3,38 @@
  */
 import type { KeyedRecord, TopicPage } from "./keyedTopic.js";
 
-/** Removed keys that are remembered, so that peers who read through this node hear of the removal. */
+/**
+ * Maximum number of records before tombstones are pruned. Tombstones report removals to peers that read through this
+ * node.
+ */
 const maxTombstones = 1_000;
 
-/** Folds pages. Offsets decide: an older record never replaces a newer one, whoever delivers it last. */
+/** Folds pages. An older offset never replaces a newer one, regardless of the order in which pages arrive. */
 export class TopicState {
     readonly #records = new Map<string, KeyedRecord>();
     #endOffset = 0;
     #confirmedAt = Number.NEGATIVE_INFINITY;
     #isLoaded = false;
-    /** Removals before this offset are no longer remembered. */
+    /** Tombstones before this offset were pruned. */
     #prunedBefore = 0;
 
-    /** Returns the offset up to which the state is folded. */
+    /** Returns the end offset of the folded records. */
     getEndOffset(): number {
         return this.#endOffset;
     }
 
-    /** Tells whether the state has ever been complete. */
+    /** Returns whether a complete page has been folded. */
     isLoaded(): boolean {
         return this.#isLoaded;
     }
 
-    /** Returns the monotonic time at which this was the newest state of the store, at least. */
+    /** Returns the monotonic time at which the store held nothing newer than this state. This is a lower bound. */
     getConfirmedAt(): number {
         return this.#confirmedAt;
     }
 
     /**
-     * Returns a record, unless its key was removed.
+     * Returns a record, or undefined if its key is unknown or removed.
      * @param key - Its key.
      */
     get(key: string): KeyedRecord | undefined {
@@ -48,7 +51,7 @@
         }
     }
 
-    /** Returns everything. */
+    /** Returns the whole state. */
     getCompletePage(): TopicPage {
         return {
             records: [...this.getAll()],
@@ -59,7 +62,8 @@
     }
 
     /**
-     * Returns what changed at or after an offset, removals among it; everything when removals that old are forgotten.
+     * Returns the changes at or after an offset, including removals, or the whole state if tombstones since that offset
+     * were pruned.
      * @param from - The offset.
      */
     getSince(from: number): TopicPage {
@@ -78,7 +82,7 @@
     /**
      * Folds a page.
      * @param page - The page.
-     * @returns The records that changed something, in the order of offsets.
+     * @returns The records that changed the state, ordered by offset.
      */
     apply(page: TopicPage): readonly KeyedRecord[] {
         const changed: KeyedRecord[] = [];
@@ -92,7 +96,7 @@
             this.#isLoaded = true;
         }
         this.#endOffset = Math.max(this.#endOffset, page.endOffset);
-        // A page from a peer that lags behind confirms only what it has seen itself.
+        // A page of a peer that lags behind confirms only the offsets that it covers.
         if (page.endOffset >= this.#endOffset) {
             this.#confirmedAt = Math.max(this.#confirmedAt, page.confirmedAt);
         }
@@ -105,7 +109,7 @@
         if (known !== undefined && known.offset >= record.offset) {
             return false;
         }
-        // Set anew so that the map stays in the order of offsets, oldest first.
+        // Removed and set again, so that the map stays ordered by offset, lowest first.
         this.#records.delete(record.key);
         this.#records.set(record.key, record);
         return true;
--- a/test/topics/peerTopics.test.ts
+++ b/test/topics/peerTopics.test.ts
@@ -13,7 +13,7 @@
         clock,
         journal: createJournal().journal,
         pickReader: () => {
-            throw new Error("Not read here.");
+            throw new Error("unexpected read");
         },
         staleMilliseconds: 2_500,
         outageMilliseconds: 3_000,
@@ -22,7 +22,7 @@
     });
 }
 
-/** A reader through a peer whose answers take some time on their way back. */
+/** Creates a reader through a peer whose replies are delayed. */
 function createReader(options: { readonly stateAge: number; readonly replyDelay: number; }) {
     const peerClock = new ManualClock(500_000);
     const follower = createFollower(peerClock);
@@ -47,24 +47,24 @@
 }
 
 describe("createPeerReader", () => {
-    it("brings records and removals over", async () => {
+    it("transfers records and removals", async () => {
         const { reader } = createReader({ stateAge: 0, replyDelay: 1 });
         const page = (await reader.readSince(4, 0))._unsafeUnwrap();
         expect(page.records).toEqual([{ key: "old", value: undefined, offset: 4 }]);
         expect((await reader.readAll())._unsafeUnwrap().records.map(record => record.key)).toEqual(["config"]);
     });
 
-    // The store is away for everybody, and a node starts anew. Its peers' knowledge is old, but it says how old; without it the
-    // node would serve nobody until the store is back.
-    it("gives an old state to a peer that knows nothing, and to no other", async () => {
+    // Guards against an outage of a restarted node while the store is unavailable to all. The state of its peers is
+    // old, but they report its age. Without that state, the node could serve no requests until the store is back.
+    it("returns an old state only to a peer without any state", async () => {
         const { reader } = createReader({ stateAge: 60_000, replyDelay: 1 });
         expect((await reader.readAll())._unsafeUnwrap().records.length).toEqual(1);
         await expect(() => reader.readSince(4, 0)).toBeRejected();
     });
 
-    // An answer is held up on a cut link for four seconds and then delivered. It was fresh when it left. Counted from its
-    // arrival, the state would pass for a fresh one, and a key that was taken away meanwhile would be accepted.
-    it("counts the age of a state from the sending of the question", async () => {
+    // Guards against the use of revoked keys. A reply is delayed by four seconds on a faulty link. Measured from its
+    // arrival, the state would count as fresh, and a key that was removed in the meantime would be accepted.
+    it("measures the age of a state from the time at which the query was sent", async () => {
         const { reader, clock } = createReader({ stateAge: 300, replyDelay: 4_000 });
         const page = (await reader.readSince(4, 0))._unsafeUnwrap();
         expect(clock.monotonic() - page.confirmedAt).toEqual(4_300);
--- a/test/topics/readSource.test.ts
+++ b/test/topics/readSource.test.ts
@@ -27,37 +27,39 @@
     );
 }
 
-/** Returns how many sources lie between a node and the store. */
+/** Returns the number of relays between a node and the store. */
 function countHops(alive: readonly Member[], sources: readonly ReadSource[], index: number): number {
     const source = sources[index];
     return source.kind === "store" ? 0 : 1 + countHops(alive, sources, alive.indexOf(source.peer));
 }
 
-describe("chooseReader", () => {
-    it("lets one node of a small site read the store", () => {
+describe("chooseReadSource", () => {
+    it("makes one node of a small site read the store", () => {
         const sources = chooseAll(createMembers(8, index => `domain-${index % 4}`));
         expect(sources.filter(source => source.kind === "store").length).toEqual(1);
     });
 
-    // With a reader for each failure domain, 90 nodes in five of them made five times the calls of a small site.
-    it("lets one node of a large site read the store, and one of each large failure domain hear from it", () => {
+    // Guards against calls to the store that grow with the site: with a reader in each failure domain, 90 nodes in five
+    // domains made five times the calls of a small site.
+    it("makes one node of a large site read the store, and one of each large failure domain read from it", () => {
         const alive = createMembers(90, index => `domain-${index % 5}`);
         const sources = chooseAll(alive);
         expect(sources.filter(source => source.kind === "store").length).toEqual(1);
-        const heardBy = new Map<Member, number>();
+        const readersBySource = new Map<Member, number>();
         for (const [index, source] of sources.entries()) {
             expect(countHops(alive, sources, index) <= 2).toEqual(true);
             if (source.kind === "peer") {
-                heardBy.set(source.peer, (heardBy.get(source.peer) ?? 0) + 1);
+                readersBySource.set(source.peer, (readersBySource.get(source.peer) ?? 0) + 1);
             }
         }
-        expect(heardBy.size).toEqual(5);
-        expect(Math.max(...heardBy.values()) <= 17 + 4).toEqual(true);
+        expect(readersBySource.size).toEqual(5);
+        expect(Math.max(...readersBySource.values()) <= 17 + 4).toEqual(true);
     });
 
-    // The node that everybody hears from is killed. If each turned to the store until gossip told of it, a large site would read
-    // it a thousand times in those seconds; callers notice nothing either way, but the store turns calls away beyond its rate.
-    it("agrees on the next node when the first one does not answer", () => {
+    // Guards against a burst of reads at the store after the reader of a large site is killed. If all nodes read the
+    // store until gossip reports the death, they would call it a thousand times in those seconds. Callers notice
+    // nothing, but the store rejects calls above its rate limit.
+    it("chooses the same next node everywhere when the first one does not answer", () => {
         const alive = createMembers(8);
         const [first] = [...alive].sort((left, right) => getRank(right.id) - getRank(left.id));
         const sources = chooseAll(alive.filter(member => member !== first), node => node === first.id);
@@ -65,19 +67,19 @@
         expect(sources.some(source => source.kind === "peer" && source.peer === first)).toEqual(false);
     });
 
-    // The store turns some machines away and serves the others. The one that everybody hears from is turned away; whoever
-    // waits for it would soon refuse every key.
-    it("goes to the store and to other peers by turns while the state is old", () => {
+    // Guards against refused keyed requests when the store rejects some machines and serves others. If it rejects its
+    // reader, nodes that kept waiting for that reader would soon refuse all keys.
+    it("alternates between the store and other peers while the state is old", () => {
         const alive = createMembers(4);
         const kinds = Array.from(
             { length: 5 },
-            (...[, detours]) =>
+            (...[, fallbackReads]) =>
                 chooseReadSource({
                     self: "node-0",
                     failureDomain: "north",
                     alive,
                     isStale: true,
-                    fallbackReads: detours,
+                    fallbackReads,
                     isAvoided: () => false,
                     getRank,
                 }),
--- a/test/topics/topicFollower.test.ts
+++ b/test/topics/topicFollower.test.ts
@@ -16,7 +16,7 @@
     return err(new Failure({ kind, message: "No.", remedy: "Again." }));
 }
 
-/** Follows a topic of which each read gives the next of the given answers; ends with the last one. */
+/** Follows a topic whose reads return the given answers in order, and stops with the last one. */
 async function follow(
     answers: readonly ReadResult[],
     clock = new ManualClock(1_000),
@@ -25,7 +25,7 @@
 ) {
     const { journal, lines } = createJournal();
     const calls: string[] = [];
-    const detours: number[] = [];
+    const fallbackReads: number[] = [];
     const values: string[] = [];
     const pauses: number[] = [];
     let next = 0;
@@ -51,7 +51,7 @@
         clock,
         journal,
         pickReader: count => {
-            detours.push(count);
+            fallbackReads.push(count);
             return reader;
         },
         staleMilliseconds: 2_500,
@@ -66,18 +66,19 @@
     });
     follower.start();
     await follower.waitUntilStopped();
-    return { follower, clock, calls, detours, values, lines, pauses };
+    return { follower, clock, calls, fallbackReads, values, lines, pauses };
 }
 
 describe("TopicFollower", () => {
-    it("reads everything once and then what changes", async () => {
+    it("reads the whole topic once and then its changes", async () => {
         const { calls, values } = await follow([createPage(4, 1_000, true), createPage(5, 1_000)]);
         expect([calls, values]).toEqual([["all", "since 5"], ["4", "5"]]);
     });
 
-    // All nodes of a fleet start together after a loss of power. A node that follows a topic before it knows whom else to ask waits
-    // for changes at the store, and so does every other one: hundreds of calls in the second in which the store is needed most.
-    it("waits after its first read until it knows whom else to ask", async () => {
+    // Guards against a burst of calls to the store after a power failure, when all nodes start together. A node that
+    // follows a topic before it knows other sources waits for changes at the store. If all nodes did, hundreds of calls
+    // would reach the store while it is needed most.
+    it("waits after its first read until other sources are known", async () => {
         const order: string[] = [];
         const reader: KeyedTopicReader = {
             source: "store",
@@ -107,9 +108,10 @@
         expect(order).toEqual(["all", "peers known", "since"]);
     });
 
-    // The store dropped its history while this node was cut off. The records in between will never come; without reading
-    // everything again, the node would serve by an old configuration for good.
-    it("reads everything again when its offset has expired", async () => {
+    // Guards against a configuration that stays outdated. The store dropped its history while this node was cut off, so
+    // the missing records never arrive. Without reading the whole topic again, the node would keep using the old
+    // configuration.
+    it("reads the whole topic again when its offset has expired", async () => {
         const { calls, values } = await follow([
             createPage(4, 1_000, true),
             createFailure("gone"),
@@ -118,11 +120,11 @@
         expect([calls, values]).toEqual([["all", "since 5", "all"], ["4", "9"]]);
     });
 
-    // The peer that it reads from is cut off from the store: it answers, with a state that nobody confirms. Its age must
-    // not be hidden, and another source has to be asked.
-    it("tries elsewhere when answers leave the state old", async () => {
+    // Guards against a hidden lag: the peer that the node reads from is cut off from the store, and answers with a
+    // state that nothing confirms. The age must show, and another source must be read.
+    it("uses another source when answers leave the state old", async () => {
         const clock = new ManualClock(10_000);
-        const { detours, follower } = await follow(
+        const { fallbackReads, follower } = await follow(
             [
                 createPage(4, 9_900, true),
                 createPage(4, 9_950),
@@ -132,32 +134,33 @@
             clock,
             2_600,
         );
-        expect(detours).toEqual([0, 0, 1, 1]);
+        expect(fallbackReads).toEqual([0, 0, 1, 1]);
         expect(follower.getAge()).toEqual(10);
     });
 
-    it("counts detours while reading fails, and says when it works again", async () => {
-        const { detours, lines } = await follow([
+    it("counts fallback reads while reading fails, and logs the recovery", async () => {
+        const { fallbackReads, lines } = await follow([
             createPage(4, 1_000, true),
             createFailure("unavailable"),
             createFailure("unavailable"),
             createPage(5, 1_000),
         ]);
-        expect(detours).toEqual([0, 0, 1, 2]);
+        expect(fallbackReads).toEqual([0, 0, 1, 2]);
         expect(lines.map(line => line.name)).toEqual(["topic-lost", "topic-regained"]);
     });
 
-    // The one node that reads the store is turned away by it. Peers that went on waiting for its answers would hear of a new
-    // configuration seconds too late.
-    it("tells waiting peers at once that reading fails", async () => {
+    // Guards against late updates: the store rejects the one node that reads it, and peers that kept waiting for its
+    // answers would receive a new configuration seconds too late.
+    it("reports a read failure to waiting peers at once", async () => {
         const { follower } = await follow([createPage(4, 1_000, true), createFailure("unavailable")]);
         expect(follower.isDegraded()).toEqual(true);
         expect((await follower.waitForChanges(5, 60_000)).records).toEqual([]);
     });
 
-    // A node hears from a peer that dies. Had it told those who hear from it in turn, all of them would turn to the store, though
-    // the next peer by rank answers at once.
-    it("does not take the failure of one peer for its own", async () => {
+    // Guards against a burst of reads at the store: a node reads from a peer that dies. If it reported that failure to
+    // the nodes that read from it, all of them would read the store, although the peer with the next rank answers at
+    // once.
+    it("is not degraded by the failure of one peer", async () => {
         const { follower, pauses } = await follow(
             [createPage(4, 1_000, true), createFailure("unavailable")],
             undefined,
@@ -174,15 +177,16 @@
         expect(failed.follower.isDegraded()).toEqual(true);
     });
 
-    // The records of 90 nodes come one by one as a site starts. Read one by one at each node, they are 8,100 reads.
-    it("waits a little for more after a change, and not without one", async () => {
+    // Guards against too many reads: the records of 90 nodes arrive one by one when a site starts. Read one by one at
+    // each node, they cost 8,100 reads.
+    it("pauses after a read with changes, and not after one without", async () => {
         const { pauses } = await follow([createPage(4, 1_000, true), createPage(4, 1_000), createPage(5, 1_000)]);
         expect(pauses).toEqual([40, 40]);
     });
 
-    it("lets a waiting peer know of a change at once, and of nothing after its wait", async () => {
+    it("returns a change to a waiting peer at once, and an empty page after its wait", async () => {
         const { follower } = await follow([createPage(4, 1_000, true)]);
-        // Ages are counted from now on.
+        // Ages are measured from this time on.
         const waited = follower.waitForChanges(5, 10_000);
         follower.applyPage({
             records: [{ key: "config", value: Buffer.from("6"), offset: 6 }],
@@ -194,10 +198,10 @@
         expect((await follower.waitForChanges(7, 1)).records).toEqual([]);
     });
 
-    // A node is restarted while runners are replaced. It takes its first read for the end of an outage, keeps a runner whose entry
-    // is withdrawn right after, and sends it requests up to two seconds later, when the runner may be gone: callers wait for
-    // answers that never come.
-    it("takes the first read for no end of an outage, and a read after a long silence for one", async () => {
+    // Guards against requests to a departed runner. A node is restarted while runners are replaced. If its first read
+    // counted as the end of an outage, it would retain a runner whose entry is withdrawn right after, and send it
+    // requests up to two seconds later. Callers would wait for answers that never arrive.
+    it("counts a read as the end of an outage after a long time without reads, but not the first read", async () => {
         const { follower, clock } = await follow([createPage(4, 0, true)]);
         expect(follower.getTimeSinceOutage()).toEqual(Number.POSITIVE_INFINITY);
         clock.advance(4_000);
--- a/test/topics/topicState.test.ts
+++ b/test/topics/topicState.test.ts
@@ -26,32 +26,33 @@
 
 describe("TopicState", () => {
     describe("apply", () => {
-        it("takes a key that a whole page lacks for removed", () => {
+        it("removes a key that a complete page lacks", () => {
             const state = new TopicState();
             state.apply(createPage([createRecord("a", 0), createRecord("b", 1)]));
             const changed = state.apply(createPage([createRecord("b", 1)], { isComplete: true, endOffset: 3 }));
             expect(changed).toEqual([createRemoval("a", 2)]);
         });
 
-        // The pages of a whole read are no snapshot: a key may change after its page was read, and the change may be known
-        // already. Removing it again would take a live runner out, or bring an old configuration back.
-        it("keeps what is newer than the whole page", () => {
+        // Guards against lost updates: the pages of a whole read are not a snapshot, and a key may change after its
+        // page was read. Removing a newer record would drop a live runner or restore an old configuration.
+        it("retains records that are newer than a complete page", () => {
             const state = new TopicState();
             state.apply(createPage([createRecord("a", 0), createRecord("c", 7)]));
             state.apply(createPage([createRecord("a", 0)], { isComplete: true, endOffset: 5 }));
             expect(readAll(state)).toEqual({ a: "a@0", c: "c@7" });
         });
 
-        // Two peers answer, the one that lags behind last. Its answer is young but its state is old; believed to be fresh,
-        // a key that was taken away in between would be accepted.
-        it("is not confirmed by a page that has seen less", () => {
+        // Guards against the use of revoked keys. Two peers answer, and the one that lags behind answers last. Its
+        // answer is recent, but its state is old. If it confirmed the state, a key that was removed in between would be
+        // accepted.
+        it("is not confirmed by a page that ends at a lower offset", () => {
             const state = new TopicState();
             state.apply(createPage([createRecord("a", 4)], { confirmedAt: 100 }));
             state.apply(createPage([], { endOffset: 3, confirmedAt: 900 }));
             expect(state.getConfirmedAt()).toEqual(100);
         });
 
-        it("ends in the newest state whatever order pages come in, lost and repeated ones among them", () => {
+        it("converges to the newest state for any order of pages, with lost and repeated ones", () => {
             const keys = fc.constantFrom("a", "b", "c");
             const history = fc.array(fc.tuple(keys, fc.boolean()), { minLength: 1, maxLength: 20 });
             fc.assert(fc.property(history, fc.array(fc.nat(), { maxLength: 30 }), (entries, picks) => {
@@ -86,7 +87,7 @@
             expect(state.getSince(2).records).toEqual([createRemoval("a", 2)]);
         });
 
-        it("returns everything when removals that old are no longer known", () => {
+        it("returns the whole state when tombstones since the offset were pruned", () => {
             const state = new TopicState();
             for (let offset = 0; offset < 2_200; offset += 2) {
                 state.apply(createPage([createRecord(`k${offset}`, offset), createRemoval(`k${offset}`, offset + 1)]));
