--- a/src/log/logAccess.ts
+++ b/src/log/logAccess.ts
@@ -1,25 +1,25 @@
 /**
- * What claims, bills and leases need of the log: appending, and following a stream. The log client and the log
- * follower fit it; tests put a log in memory in their place.
+ * Interfaces of the log that claims, bills and leases use: appending a record, and following a stream. `LogClient` and
+ * `LogFollower` implement them; tests use a log in memory.
  */
 import type { Result } from "neverthrow";
 import type { Failure } from "../common/index.js";
 import type { LogEntry, LogRecord, StreamName } from "./record.js";
 
 /**
- * Appends a record once. A failure of the kind `overloaded` or `invalid-input` says that the record was not appended;
- * any other leaves it open.
+ * Appends a record once. After a failure of the kind `overloaded` or `invalid-input`, the record was not appended.
+ * After any other failure, it is unknown whether it was.
  */
 export type AppendRecord = (stream: StreamName, record: LogRecord) => Promise<Result<number, Failure>>;
 
-/** What to follow, and whom to tell. */
+/** Options for following a stream. */
 export interface FollowOptions {
     readonly stream: StreamName;
     /** The first offset to read. */
     readonly from: number;
-    /** Takes each entry, in the order of offsets. */
+    /** Receives each entry, in the order of offsets. */
     readonly onEntry: (entry: LogEntry) => void;
-    /** Told when entries expired before they were read, before reading goes on from `earliest`. */
+    /** Called when entries expired before they were read. Reading continues at `earliest` afterwards. */
     readonly onGap: (earliest: number) => void;
 }
 
@@ -32,7 +32,7 @@
 /** Creates a reader of a stream. */
 export type FollowStream = (options: FollowOptions) => StreamReader;
 
-/** Tells whether a failed append certainly had no effect. */
+/** Returns whether a failed append certainly had no effect. */
 export function isCertainlyNotAppended(failure: Failure): boolean {
     return failure.kind === "overloaded" || failure.kind === "invalid-input";
 }
--- a/src/log/logClient.ts
+++ b/src/log/logClient.ts
@@ -12,7 +12,7 @@
 const defaultConfirmTimeoutMilliseconds = 30_000;
 const confirmPauseMilliseconds = 250;
 const searchPageLimit = 500;
-/** The log service takes no larger record. */
+/** Upper limit of the log service for the size of a record. */
 export const maxRecordBytes = 256 * 1024;
 
 /** Options of a log client. */
@@ -20,24 +20,25 @@
     /** Base URL of the log service. */
     readonly url: string;
     readonly clock: Clock;
-    /** How long to wait for an answer, on top of a long poll's own wait. */
+    /** Timeout of a response, in addition to the wait of a long poll. */
     readonly timeoutMilliseconds?: number;
-    /** Carries requests; by default undici. */
+    /** Sends requests. The default uses undici. */
     readonly send?: LogTransport;
-    /** Waits between attempts; by default on the machine's timers. */
+    /** Waits between attempts. The default uses a timer. */
     readonly sleep?: (milliseconds: number) => Promise<unknown>;
     /**
-     * Returns the newest record format that every member reads. A newer record is refused, because a member that cannot
-     * read it would fold another state than the rest, and nobody would see that. Without it all formats are written.
+     * Returns the newest record format that every member reads. Records in a newer format are refused: a member that
+     * cannot read one would fold a different state than the others, and nothing would report that. If undefined, all
+     * formats are written.
      */
     readonly getNewestFormat?: () => number;
 }
 
 /** Options of a read. */
 export interface ReadOptions {
-    /** The most entries that a page may hold. */
+    /** Maximum number of entries in a page. */
     readonly limit?: number;
-    /** How long the log may wait for a new record before it answers with an empty page. */
+    /** How long the log may wait for a new record before it returns an empty page. */
     readonly waitMilliseconds?: number;
     readonly signal?: AbortSignal;
 }
@@ -57,9 +58,9 @@
 });
 const goneSchema = z.object({ earliest: z.number().int().nonnegative() });
 
-/** A read below the log's retention. */
+/** Failure of a read below the earliest offset that the log retains. */
 export class RetentionFailure extends Failure {
-    /** The oldest offset that the log still keeps. */
+    /** The earliest offset that the log retains. */
     readonly earliest: number;
 
     constructor(stream: string, from: number, earliest: number) {
@@ -91,10 +92,11 @@
     }
 
     /**
-     * Appends a record once, without repeating it.
+     * Appends a record once, without retries.
      * @param stream - The stream to append to.
      * @param record - The record.
-     * @returns The record's offset. A failure of the kind `unavailable` leaves it open whether the record was appended.
+     * @returns The offset of the record. After a failure of the kind `unavailable`, it is unknown whether the record
+     * was appended.
      */
     async append(stream: StreamName, record: LogRecord): Promise<Result<number, Failure>> {
         if (record.format > this.#getNewestFormat()) {
@@ -119,8 +121,8 @@
     /**
      * Reads a page of a stream.
      * @param stream - The stream.
-     * @param from - The first offset wanted, or `latest` for an empty page at the end of the stream.
-     * @param options - The size of the page and how long to wait for new records.
+     * @param from - The first offset to read, or `latest` for an empty page at the end of the stream.
+     * @param options - The size of the page, and how long to wait for new records.
      * @returns The page, or a `RetentionFailure` when the offset has expired.
      */
     async read(
@@ -150,17 +152,18 @@
     }
 
     /**
-     * Appends a record and makes sure of its place.
+     * Appends a record and confirms its offset.
      *
-     * A lost acknowledgement leaves two possibilities, and guessing either way is wrong: taken for a failure, a change
-     * in force is reported as refused; taken for a success, a change that never arrived is reported as in force. So
-     * the stream is read on from an offset known before the append. A record that is not there yet may still arrive;
-     * it is therefore appended again under the same identifier, which is harmless because every fold counts only the
-     * first record of an identifier. That first record's offset is returned, never the repeat's.
+     * After a lost acknowledgement, the record may have been appended or not, and neither may be assumed. If a lost
+     * acknowledgement counted as a failure, a change that is in force would be reported as refused. If it counted as a
+     * success, a change that never arrived would be reported as in force. The stream is therefore read from an offset
+     * that was known before the append. A record that is not found may still arrive, so it is appended again with the
+     * same identifier. This is harmless, because every fold ignores repeated identifiers. The offset of the first
+     * record is returned, never that of a repeat.
      * @param stream - The stream to append to.
      * @param record - The record.
-     * @param knownOffset - An offset that the record lies at or after, known before this call.
-     * @param timeoutMilliseconds - How long to go on trying.
+     * @param knownOffset - An offset known before this call, which is not greater than that of the record.
+     * @param timeoutMilliseconds - Time after which no further attempt is made.
      */
     async appendAndConfirm(
         stream: StreamName,
@@ -194,7 +197,7 @@
                 return err(isUncertain ? createUnconfirmedFailure(stream, record) : createRefusedFailure(stream));
             }
             await this.#sleep(pauseMilliseconds);
-            // Once an append was acknowledged only the reading is left; more repeats would fill the log for nothing.
+            // After an acknowledged append, only the read is retried; repeating the append would only fill the log.
             if (appended.isErr()) {
                 appended = await this.append(stream, record);
             }
@@ -244,7 +247,7 @@
         return err(
             new Failure({
                 kind: "protocol",
-                message: `The log answered ${response.status} with a body that cannot be read.`,
+                message: `The log answered ${response.status} with a body that cannot be parsed.`,
                 remedy: "Check that the log URL points at the platform's log service.",
                 cause,
             }),
@@ -259,7 +262,7 @@
     if (response.status === 429) {
         return new Failure({
             kind: "overloaded",
-            message: "The log is above its rate limit and did not take the request.",
+            message: "The log is above its rate limit and rejected the request.",
             remedy: "Wait for the time in Retry-After, and batch appends.",
             retryAfterMilliseconds: retryAfterMilliseconds ?? 1_000,
         });
@@ -268,7 +271,7 @@
         return new Failure({
             kind: "unavailable",
             message: `The log answered ${response.status}.`,
-            remedy: "Read on before repeating an append: a failing log may still have taken it.",
+            remedy: "Read on before repeating an append: a failing log may still have appended it.",
             retryAfterMilliseconds,
         });
     }
@@ -286,10 +289,10 @@
     const isAppend = method === "POST";
     return new Failure({
         kind: "unavailable",
-        message: `No whole answer came from the log at ${new URL(url).origin}.`,
+        message: `No complete response arrived from the log at ${new URL(url).origin}.`,
         remedy: isAppend
             ? "The append may have taken effect: read on from the offset known before it, and look for its identifier."
-            : "Try again after a while.",
+            : "Try again later.",
         cause,
     });
 }
@@ -297,7 +300,7 @@
 function createTooLargeFailure(stream: string, bytes: number): Failure {
     return new Failure({
         kind: "invalid-input",
-        message: `A record of ${bytes} bytes for the stream ${stream} is above the log's bound of ${maxRecordBytes}.`,
+        message: `A record of ${bytes} bytes for the stream ${stream} exceeds the log's limit of ${maxRecordBytes}.`,
         remedy: "Split it into several records.",
     });
 }
@@ -306,14 +309,14 @@
     return new Failure({
         kind: "unavailable",
         message: `It is unknown whether the record ${record.id} reached the stream ${stream}.`,
-        remedy: "Read the stream on when the log answers again, and look for that identifier.",
+        remedy: "Continue reading the stream when the log answers again, and look for that identifier.",
     });
 }
 
 function createRefusedFailure(stream: string): Failure {
     return new Failure({
         kind: "overloaded",
-        message: `The log kept refusing an append to the stream ${stream}; nothing was appended.`,
+        message: `The log repeatedly rejected an append to the stream ${stream}; nothing was appended.`,
         remedy: "Try again later, or raise the log's rate limit.",
     });
 }
@@ -326,7 +329,7 @@
     return new Failure({
         kind: "overloaded",
         message: `A member cannot read format ${record.format}, so a record of it was not appended to ${stream}.`,
-        remedy: "Finish the replacement of the entries by the new release; until then write an older format.",
+        remedy: "Finish replacing the entries by the new release; until then, write an older format.",
         retryAfterMilliseconds: 1000,
     });
 }
--- a/src/log/logFollower.ts
+++ b/src/log/logFollower.ts
@@ -1,5 +1,5 @@
 /**
- * Follows a stream of the log by long polls, through outages and retention gaps.
+ * Follows a stream of the log by long polling, across outages and retention gaps.
  */
 import { type Clock, type Failure, RandomSource } from "../common/index.js";
 import { events, type Journal } from "../events/index.js";
@@ -18,20 +18,23 @@
     /** The first offset to read. */
     readonly from: number;
     readonly clock: Clock;
-    /** Takes each entry, in the order of offsets. */
+    /** Receives each entry, in the order of offsets. */
     readonly onEntry: (entry: LogEntry) => void;
-    /** Told when entries expired before they were read, before reading goes on from `earliest`. */
+    /** Called when entries expired before they were read. Reading continues at `earliest` afterwards. */
     readonly onGap: (earliest: number) => void;
-    /** Told when everything that the log held was read. `askedAt` is the monotonic time at which that read was sent. */
+    /**
+     * Called when all entries that the log held were read. `requestedAt` is the monotonic time at which that read was
+     * sent.
+     */
     readonly onCaughtUp?: (requestedAt: number) => void;
     readonly journal?: Journal;
     /** How long a long poll may wait for a new record. */
     readonly waitMilliseconds?: number;
-    /** Draws the jitter of the backoff. By default it is seeded differently in every process. */
+    /** Source of the jitter of the backoff. By default, its seed differs between processes. */
     readonly random?: RandomSource;
 }
 
-/** Reads a stream from an offset on, for as long as it is not stopped. */
+/** Reads a stream from an offset on, until it is stopped. */
 export class LogFollower {
     readonly #options: LogFollowerOptions;
     readonly #random: RandomSource;
@@ -43,32 +46,33 @@
 
     constructor(options: LogFollowerOptions) {
         this.#options = options;
-        // Equal seeds would let every node return at the same moment after an outage and overload the log again.
+        // With equal seeds, all nodes would return at the same time after an outage and overload the log again.
         this.#random = options.random ?? new RandomSource(Math.floor(Math.random() * 2 ** 31));
         this.#offset = options.from;
         this.#lastContactAt = options.clock.monotonic();
     }
 
-    /** Begins to read. */
+    /** Starts reading. */
     start(): void {
         this.#loop ??= this.#run();
     }
 
-    /** Ends reading, and waits until no callback will be called any more. */
+    /** Stops reading, and waits until no further callback will be called. */
     async stop(): Promise<void> {
         this.#abort.abort();
         await this.#loop;
     }
 
-    /** Returns the offset to read next. */
+    /** Returns the next offset to read. */
     getOffset(): number {
         return this.#offset;
     }
 
     /**
-     * Returns the milliseconds since the log last answered, measured from when the answered request was sent.
+     * Returns the milliseconds since the last answered request to the log was sent.
      *
-     * Measured from the arrival, an answer that lay in a socket while this process was paused would look fresh.
+     * If the age were measured from the arrival of the answer, one that waited in a socket while this process was
+     * paused would appear fresh.
      */
     getContactAge(): number {
         return this.#options.clock.monotonic() - this.#lastContactAt;
@@ -115,7 +119,7 @@
             if (entry.offset < this.#offset) {
                 continue;
             }
-            // A log that skips expired offsets without saying so would otherwise go unnoticed.
+            // A log that skips expired offsets without reporting them would otherwise go unnoticed.
             if (entry.offset > this.#offset) {
                 this.#handleGap(entry.offset);
             }
--- a/src/log/record.ts
+++ b/src/log/record.ts
@@ -1,37 +1,37 @@
 /**
- * Records of the platform's append-only log, as the log service shows them.
+ * Records of the platform's append-only log, in the form of the log service.
  */
 
-/** What a writer appends. */
+/** A record to append. */
 export interface LogRecord {
-    /** Unique. A fold ignores a second record with the same identifier. */
+    /** Unique identifier. A fold ignores further records with the same identifier. */
     readonly id: string;
-    /** Kind, such as `publish`; readers pass over kinds that they do not know. */
+    /** Kind, such as `publish`. Readers ignore unknown kinds. */
     readonly kind: string;
-    /** Version of the record's format. A writer uses the newest that every member reads. */
+    /** Version of the record's format. A writer uses the newest one that every member reads. */
     readonly format: number;
-    /** Name of the process or operator that wrote it. */
+    /** Name of the process or operator that wrote the record. */
     readonly writer: string;
     readonly body: unknown;
 }
 
-/** A record with its place in a stream. */
+/** A record with its offset in a stream. */
 export interface LogEntry {
-    /** Place in the stream, from 0 without gaps. */
+    /** Position in the stream, counted from 0 without gaps. */
     readonly offset: number;
     /** Wall-clock milliseconds of the log service at the append. */
     readonly time: number;
     readonly record: LogRecord;
 }
 
-/** A part of a stream, as one read returns it. */
+/** A page of a stream, as returned by one read. */
 export interface LogPage {
     readonly entries: readonly LogEntry[];
-    /** The offset to read from next. */
+    /** The offset from which to continue reading. */
     readonly next: number;
-    /** The oldest offset that the log still keeps. */
+    /** The earliest offset that the log retains. */
     readonly earliest: number;
 }
 
-/** Names of the streams. Claims are split over partitions: `claims-0`, `claims-1`, ... */
+/** Names of the streams. Claims are partitioned: `claims-0`, `claims-1`, ... */
 export type StreamName = "config" | "control" | "bills" | `claims-${number}`;
--- a/src/log/transport.ts
+++ b/src/log/transport.ts
@@ -1,5 +1,5 @@
 /**
- * Carries requests to the log service over HTTP. Tests pass a function of their own in its place.
+ * HTTP transport of requests to the log service. Tests replace it by a function.
  */
 import { Agent, request as undiciRequest } from "undici";
 
@@ -7,31 +7,31 @@
 export interface LogRequest {
     readonly method: "GET" | "POST";
     readonly url: string;
-    /** A JSON document. */
+    /** Body as a JSON document. */
     readonly body?: string;
-    /** How long to wait for the whole answer. */
+    /** Timeout of the complete response. */
     readonly timeoutMilliseconds: number;
-    /** Ends the request early. */
+    /** Aborts the request. */
     readonly signal?: AbortSignal;
 }
 
-/** An answer of the log service. */
+/** A response of the log service. */
 export interface LogResponse {
     readonly status: number;
-    /** The `Retry-After` header in seconds, when there was one. */
+    /** Value of the `Retry-After` header in seconds, if present. */
     readonly retryAfterSeconds?: number;
     readonly body: string;
 }
 
-/** Sends a request and rejects when no whole answer came. */
+/** Sends a request. Rejects when no complete response arrives. */
 export type LogTransport = (request: LogRequest) => Promise<LogResponse>;
 
-/** Makes the transport over undici, with a connection pool of its own. */
+/** Creates a transport over undici with its own connection pool. */
 export function createTransport(): LogTransport {
     const agent = new Agent({ keepAliveTimeout: 10_000 });
     return async request => {
-        // One controller a request: `AbortSignal.any` on a long-lived signal keeps every request's signal alive, which
-        // would show as memory that grows with each long poll.
+        // One controller per request: `AbortSignal.any` on a long-lived signal retains the signal of every request, so
+        // memory would grow with each long poll.
         const controller = new AbortController();
         const abort = () => controller.abort();
         const timer = setTimeout(abort, request.timeoutMilliseconds);
--- a/test/log/logClient.test.ts
+++ b/test/log/logClient.test.ts
@@ -28,13 +28,13 @@
             expect(log.getEntries().length).toEqual(appended);
         }
 
-        it("tells a refusal from a lost acknowledgement", async () => {
+        it("distinguishes a rejected append from a lost acknowledgement", async () => {
             await checkKind("overloaded", "overloaded", 0);
             await checkKind("down", "unavailable", 0);
             await checkKind("lost-acknowledgement", "unavailable", 1);
         });
 
-        it("refuses a record that the log would not take", async () => {
+        it("refuses a record that exceeds the log's limit", async () => {
             const log = new MemoryLog();
             const record = { ...createRecord("a"), body: "x".repeat(300_000) };
             const result = await createClient(log).client.append("config", record);
@@ -43,7 +43,7 @@
     });
 
     describe("read", () => {
-        it("names the earliest offset when the wanted one has expired", async () => {
+        it("returns the earliest offset when the requested one has expired", async () => {
             const log = new MemoryLog();
             log.append(createRecord("a"));
             log.append(createRecord("b"));
@@ -53,9 +53,10 @@
         });
     });
 
-    describe("appendSettled", () => {
-        // The log takes a record and the connection drops before the answer. An operator who is told "failed" would
-        // publish again; one who is told the repeat's offset would wait for the wrong record.
+    describe("appendAndConfirm", () => {
+        // Guards against wrong reports of a publication: the log appends a record, and the connection drops before the
+        // response. An operator who sees a failure would publish again; one who receives the offset of the repeat would
+        // wait for the wrong record.
         it("finds the record whose acknowledgement was lost", async () => {
             const log = new MemoryLog();
             log.append(createRecord("other"));
@@ -65,9 +66,10 @@
             expect(log.getEntries().length).toEqual(2);
         });
 
-        // The first attempt is still on its way when the stream is read, so that it is appended again; then both are
-        // there. Folds count the first, and so must the offset that a lease uses as its fencing number.
-        it("returns the first record's offset when a slow attempt arrives after all", async () => {
+        // Guards against a wrong fencing token: the first attempt is still in flight when the stream is read, so the
+        // record is appended again, and both arrive. Folds use the first one, so its offset must be returned, which a
+        // lease uses as its fencing token.
+        it("returns the offset of the first record when a slow attempt arrives after its repeat", async () => {
             const log = new MemoryLog();
             const client = new LogClient({
                 url: "http://127.20.1.1:1",
@@ -83,7 +85,7 @@
             expect(result._unsafeUnwrap()).toEqual(0);
         });
 
-        it("waits as long as an overloaded log asks for", async () => {
+        it("waits for the time that an overloaded log requests", async () => {
             const log = new MemoryLog();
             log.failAppends("overloaded");
             const { client, pauses } = createClient(log);
@@ -91,8 +93,9 @@
             expect(pauses).toEqual([2_000]);
         });
 
-        // The log stays away. The caller must learn that it is unknown whether the record arrived, and not wait for ever.
-        it("says that the outcome is unknown at the deadline", async () => {
+        // Guards against a call that never ends while the log is unavailable: the caller must see that it is unknown
+        // whether the record was appended.
+        it("reports an unknown outcome at the deadline", async () => {
             const log = new MemoryLog();
             log.setDown(true);
             const failure = (await createClient(log).client.appendAndConfirm("config", createRecord("a"), 0, 1_000))
--- a/test/log/logFollower.test.ts
+++ b/test/log/logFollower.test.ts
@@ -13,7 +13,7 @@
 
 const started: LogFollower[] = [];
 
-// A follower that a failed test left running would keep the test process from ending.
+// A follower that a failed test left running would prevent the test process from exiting.
 afterEach(async () => {
     for (const follower of started.splice(0)) {
         await follower.stop();
@@ -21,7 +21,7 @@
 });
 
 function createFollower(log: MemoryLog, from: number, send: LogTransport = log.send, clock: Clock = systemClock) {
-    const caughtUp: { readonly askedAt: number; readonly contactAge: number; }[] = [];
+    const caughtUp: { readonly requestedAt: number; readonly contactAge: number; }[] = [];
     const offsets: number[] = [];
     const gaps: number[] = [];
     const names: string[] = [];
@@ -35,7 +35,7 @@
         journal,
         onEntry: entry => offsets.push(entry.offset),
         onGap: earliest => gaps.push(earliest),
-        onCaughtUp: askedAt => caughtUp.push({ askedAt, contactAge: follower.getContactAge() }),
+        onCaughtUp: requestedAt => caughtUp.push({ requestedAt, contactAge: follower.getContactAge() }),
     });
     started.push(follower);
     return { follower, offsets, gaps, names, caughtUp };
@@ -55,13 +55,14 @@
             expect(offsets).toEqual(Array.from({ length: 1_198 }, (...[, index]) => index + 3));
         });
 
-        // The log is away and comes back. A reader that gave up would keep an old configuration without a sign.
-        it("goes on after an outage, and says that it was lost and regained", async () => {
+        // Guards against an old configuration that stays in use without notice: a reader that stops after an outage of
+        // the log would miss all later records.
+        it("continues after an outage, and logs its start and end", async () => {
             const log = new MemoryLog();
             log.setDown(true);
             const { follower, offsets, names } = createFollower(log, 0);
             follower.start();
-            await waitFor(() => names.includes("log-lost"), "the outage to be noticed");
+            await waitFor(() => names.includes("log-lost"), "the start of the outage in the journal");
             appendMany(log, 2);
             log.setDown(false);
             await waitFor(() => offsets.length === 2, "the entries after the outage");
@@ -69,14 +70,15 @@
             expect(names).toEqual(["log-lost", "log-regained"]);
         });
 
-        // Records expired while this reader was away. Going on without a word would leave a hole in the fold.
-        it("reports a gap before it goes on from the earliest entry", async () => {
+        // Guards against a gap in the fold: records expired while this reader was cut off, and reading on without a
+        // report would hide that.
+        it("reports a gap before it continues at the earliest entry", async () => {
             const log = new MemoryLog();
             appendMany(log, 10);
             log.expireBefore(6);
             const { follower, offsets, gaps } = createFollower(log, 2);
             follower.start();
-            await waitFor(() => offsets.length === 4, "the entries that are left");
+            await waitFor(() => offsets.length === 4, "the remaining entries");
             await follower.stop();
             expect(gaps).toEqual([6]);
             expect(offsets).toEqual([6, 7, 8, 9]);
@@ -84,28 +86,30 @@
     });
 
     describe("start", () => {
-        // A log that drops expired records answers with later ones and no word about it. The hole must not go unnoticed.
-        it("reports a gap that the log itself does not mention", async () => {
+        // Guards against a gap that no one notices: a log that drops expired records may return later ones without
+        // reporting that.
+        it("reports a gap that the log does not report", async () => {
             const log = new MemoryLog();
             appendMany(log, 4);
-            const skipFirst: LogTransport = async request => {
+            const skipFirstEntries: LogTransport = async request => {
                 const response = await log.send(request);
                 const page = JSON.parse(response.body);
                 const entries = page.entries.filter((entry: { offset: number; }) => entry.offset >= 2);
                 return { ...response, body: JSON.stringify({ ...page, entries }) };
             };
-            const { follower, offsets, gaps } = createFollower(log, 0, skipFirst);
+            const { follower, offsets, gaps } = createFollower(log, 0, skipFirstEntries);
             follower.start();
-            await waitFor(() => offsets.length === 2, "the entries that are left");
+            await waitFor(() => offsets.length === 2, "the remaining entries");
             await follower.stop();
             expect([gaps, offsets]).toEqual([[2], [2, 3]]);
         });
     });
 
     describe("getContactAge", () => {
-        // The process is paused for a minute while an answer lies in its socket. Counted from its arrival the minute-old
-        // answer would pass for news, and a withdrawal of that minute would be missed by a node that calls itself fresh.
-        it("counts from when the answered read was sent", async () => {
+        // Guards against missed withdrawals: the process is paused for a minute while an answer waits in its socket.
+        // Measured from its arrival, the answer would appear fresh, and the node would miss the withdrawals of that
+        // minute.
+        it("measures from the time at which the answered read was sent", async () => {
             const log = new MemoryLog();
             const clock = new ManualClock();
             const pause: LogTransport = async request => {
@@ -117,12 +121,12 @@
             follower.start();
             await waitFor(() => caughtUp.length > 0, "the first answer");
             await follower.stop();
-            expect(caughtUp[0]).toEqual({ askedAt: 0, contactAge: 60_000 });
+            expect(caughtUp[0]).toEqual({ requestedAt: 0, contactAge: 60_000 });
         });
     });
 
     describe("stop", () => {
-        it("calls nothing afterwards", async () => {
+        it("calls no callback afterwards", async () => {
             const log = new MemoryLog();
             const { follower, offsets } = createFollower(log, 0);
             follower.start();
--- a/test/log/memoryLog.ts
+++ b/test/log/memoryLog.ts
@@ -1,9 +1,9 @@
 /**
- * An in-memory log behind the transport function, with the faults that the log service may show.
+ * A log in memory behind the transport function, with the faults of the log service.
  */
 import type { LogEntry, LogRecord, LogRequest, LogResponse, LogTransport } from "../../src/log/index.js";
 
-/** What the next append meets. */
+/** Fault of an append. */
 export type AppendFault = "lost-acknowledgement" | "lost-record" | "overloaded" | "down";
 
 /** A log in memory. */
@@ -27,7 +27,7 @@
         this.#isDown = isDown;
     }
 
-    /** Lets every record before an offset expire. */
+    /** Expires all records before an offset. */
     expireBefore(offset: number): void {
         this.#earliest = offset;
     }
@@ -76,19 +76,19 @@
         }
         const entries = this.#entries.slice(from, from + Number(query.get("limit") ?? 100));
         if (entries.length === 0) {
-            // Lets a following reader's loop breathe, as a long poll would.
+            // Yields to the event loop of a follower, as a long poll does.
             await new Promise(resolve => setTimeout(resolve, 1));
         }
         return { status: 200, body: JSON.stringify({ entries, next: from + entries.length, earliest }) };
     }
 }
 
-/** Waits until a condition holds, and fails after a bound. */
+/** Waits until a condition holds, and fails after a timeout. */
 export async function waitFor(condition: () => boolean, description: string): Promise<void> {
     const deadline = Date.now() + 10_000;
     while (!condition()) {
         if (Date.now() > deadline) {
-            throw new Error(`Waited in vain for: ${description}`);
+            throw new Error(`Timed out waiting for:${description}`);
         }
         await new Promise(resolve => setTimeout(resolve, 2));
     }
