--- a/src/claims/claimClient.ts
+++ b/src/claims/claimClient.ts
@@ -1,20 +1,21 @@
 /**
  * Claims keys for the requests of this node.
  *
- * What can go wrong, and why a key still runs at most once:
+ * Failures, and why a key still runs at most once:
  *
- * - The same key comes in at two entries. Both claims reach the log; the first in its order wins, and the other entry
- *   reads the winner. Each call of `claim` carries an identifier of its own, so a repeated request identifier does
- *   not make two entries the same claimant.
- * - The entry dies before the write: nothing stands in the log, the caller's next attempt is granted. It dies after
- *   the write, or after the dispatch: the claim stands without an outcome and nobody can know whether it ran, so
- *   others read `held` until the key expires. That is "unknown" to the caller, never "not run".
- * - The claimant is paused after it was granted the key. Nobody takes a key over from a holder, so it may go on when it
- *   wakes, except when it slept for so long that the key expired and ran elsewhere. `isStillValid` lapses long before
- *   that, on the monotonic clock, counted from before the claim was written; `confirm` then asks the log again.
- * - The answer to the write is lost, or the collector is cut off. The same identifier is written again through another
- *   collector: a second record of it counts for nothing. If no answer comes in time the claimant gives up, does not
- *   dispatch, and writes a release. The release holds even if the claim reaches the log after it.
+ * - The same key arrives at two entries. Both claims reach the log; the first one in its order wins, and the other
+ * entry reads the winner. Each call of `claim` has its own identifier, so a repeated request identifier does not make
+ * two entries the same claimant.
+ * - The entry dies. If it dies before the write, the log holds no claim, and the next attempt of the caller is granted.
+ * If it dies after the write or the dispatch, the claim has no outcome, and it is unknown whether the request ran.
+ * Others read `held` until the key expires, which callers receive as "unknown", never as "not run".
+ * - The claimant is paused after the grant. No other claim takes over a held key, so the claimant may continue after
+ * the pause, unless the key has expired in the meantime and ran elsewhere. `isStillValid` becomes false long before
+ * that: it measures the time since before the claim was written, on the monotonic clock. `confirm` then reads the state
+ * from the log.
+ * - The response to the write is lost, or the collector is cut off. The same operation is written again through another
+ * collector; folds ignore the second record of an identifier. Without a decision in time, the claimant does not
+ * dispatch and writes a release. The release is effective even if the claim reaches the log after it.
  */
 import { err, ok, type Result } from "neverthrow";
 import { createHash, randomUUID } from "node:crypto";
@@ -28,42 +29,45 @@
 const defaultRetryTimeoutMilliseconds = 10 * 60_000;
 const initialRetryPauseMilliseconds = 500;
 const maxRetryPauseMilliseconds = 30_000;
-/** Longest outcome that is kept; a longer one is kept as "completed" without its text. */
+/** Maximum length of a stored outcome. A longer one is stored as "completed" without its text. */
 export const maxOutcomeCharacters = 16_384;
 
-/** What is wanted. */
+/** A request to claim a key. */
 export interface ClaimRequest {
     readonly key: string;
-    /** What to claim the key for. */
+    /** The value that the key is claimed for. */
     readonly value: string;
     readonly requestId: string;
 }
 
-/** The key belongs to this call. */
+/** A claim that holds the key for this call. */
 export interface GrantedClaim {
     readonly kind: "granted";
     readonly key: string;
     readonly value: string;
-    /** Names the claim in `complete`, `release` and `confirm`. */
+    /** Identifies the claim in `complete`, `release` and `confirm`. */
     readonly claimId: string;
-    /** Tells whether the request may still be dispatched without asking the log again by `confirm`. */
+    /** Returns whether the request may still be dispatched without a call of `confirm`. */
     readonly isStillValid: () => boolean;
 }
 
-/** The key belongs to another claim. */
+/** A claim that was denied because another one holds the key. */
 export interface DeniedClaim {
-    /** `held`: the other has no outcome yet, and perhaps never will. `completed`: it has. */
+    /** `held`: the other claim has no outcome yet, and may never have one. `completed`: it has an outcome. */
     readonly kind: "held" | "completed";
-    /** What the key is claimed for. */
+    /** The value that the key is claimed for. */
     readonly value: string;
-    /** The outcome that the other left; empty when it was too long to keep. */
+    /** The outcome of the other claim; empty when it was too long to store. */
     readonly outcome?: string;
 }
 
-/** How a claim ended. */
+/** Result of a claim. */
 export type ClaimVerdict = GrantedClaim | DeniedClaim;
 
-/** Asks a partition's collector, wherever it runs. Undefined when it cannot be reached. */
+/**
+ * Requests a decision from the collector of a partition. Returns undefined when that is this node or when it is
+ * unreachable.
+ */
 export type RemoteDecider = (
     partition: number,
     operation: ClaimOperation,
@@ -71,20 +75,23 @@
 
 /** Options of a claim client. */
 export interface ClaimClientOptions {
-    /** How many partitions there are; the same on all nodes, for ever. */
+    /** Number of partitions. It must be the same on all nodes and must never change. */
     readonly partitions: number;
     readonly clock: Clock;
     readonly journal: Journal;
-    /** Asks the partition's own collector on another node; undefined when that is this node or it is out of reach. */
+    /**
+     * Requests a decision from the partition's collector on another node. Returns undefined when that is this node or
+     * when it is unreachable.
+     */
     readonly decideRemotely: RemoteDecider;
-    /** Decides on this node. */
+    /** Decides operations on this node. */
     readonly decideLocally: (
         partition: number,
         operations: readonly ClaimOperation[],
     ) => Promise<readonly PoolDecision[]>;
-    /** How long a grant may be used without asking again. Must be far below the lifetime of a run's key. */
+    /** How long a grant is valid without `confirm`. Must be far below the lifetime of a run's key. */
     readonly validityMilliseconds?: number;
-    /** How long to go on writing a release or an outcome that the log did not confirm. */
+    /** How long to retry the write of a release or an outcome that the log did not confirm. */
     readonly retryTimeoutMilliseconds?: number;
     readonly createId?: () => string;
 }
@@ -101,7 +108,7 @@
         this.#createId = options.createId ?? randomUUID;
     }
 
-    /** Gives up the releases and outcomes that still wait for the log. */
+    /** Cancels the retries of releases and outcomes that the log did not confirm. */
     stop(): void {
         this.#isStopped = true;
         for (const timer of this.#retryTimers) {
@@ -111,9 +118,9 @@
     }
 
     /**
-     * Claims a key. Only a granted claim may be dispatched. After a failure this node must not dispatch; its own
-     * caller may be told "not run", and whoever else asks for the key is told what the log says.
-     * @param request - What is wanted.
+     * Claims a key. Only a granted claim may be dispatched. After a failure, this node must not dispatch. It may answer
+     * its own caller with "not run"; other callers of the key receive the state that the log holds.
+     * @param request - The request.
      */
     async claim(request: ClaimRequest): Promise<Result<ClaimVerdict, ClaimFailure>> {
         const startedAt = this.#options.clock.monotonic();
@@ -131,9 +138,9 @@
     }
 
     /**
-     * Asks the log again whether a granted claim still stands, for a claimant whose grant has lapsed.
+     * Confirms with the log that a granted claim still holds its key, for a claimant whose grant is no longer valid.
      * @param grant - The grant.
-     * @returns A fresh grant, or what the key belongs to now.
+     * @returns A new grant, or the claim that holds the key now.
      */
     async confirm(grant: GrantedClaim): Promise<Result<ClaimVerdict, ClaimFailure>> {
         const startedAt = this.#options.clock.monotonic();
@@ -143,7 +150,7 @@
     }
 
     /**
-     * Writes the outcome of a run, for whoever asks for the key again.
+     * Writes the outcome of a run, for later callers of the key.
      * @param options - The granted claim and its outcome.
      */
     async complete(
@@ -166,7 +173,7 @@
     }
 
     /**
-     * Gives a key back that was not dispatched. Only when this succeeds may others be told that the key did not run.
+     * Releases a key that was not dispatched. Other callers may receive "not run" only after this succeeds.
      * @param options - The granted claim.
      */
     async release(
@@ -216,7 +223,7 @@
         return err(new ClaimFailure(local.mayHaveTakenEffect || (remote?.mayHaveTakenEffect ?? false)));
     }
 
-    /** Goes on writing a release or an outcome that the log did not confirm, until it does or the time is over. */
+    /** Retries the write of a release or an outcome until the log confirms it or the retry timeout is over. */
     #scheduleRetry(
         operation: ClaimOperation,
         startedAt: number,
@@ -240,9 +247,9 @@
 }
 
 /**
- * Gives the partition of a key.
+ * Returns the partition of a key.
  * @param key - The key.
- * @param partitions - How many partitions there are.
+ * @param partitions - Number of partitions.
  */
 export function getPartition(key: string, partitions: number): number {
     return createHash("sha1").update(key).digest().readUInt32BE(0) % partitions;
--- a/src/claims/claimFailure.ts
+++ b/src/claims/claimFailure.ts
@@ -1,18 +1,18 @@
 /**
- * Failures of claims, truthful about whether the log may hold the operation all the same.
+ * Failures of claims, which state whether the operation may still be in the log.
  */
 import { Failure } from "../common/index.js";
 
 const retryAfterMilliseconds = 2_000;
 
-/** A claim could not be decided. */
+/** Failure of a claim that could not be decided. */
 export class ClaimFailure extends Failure {
-    /** Whether the operation may stand in the log, or arrive there later. */
+    /** Whether the operation may be in the log, or may arrive there later. */
     readonly mayHaveTakenEffect: boolean;
 
     /**
-     * @param mayHaveTakenEffect - Whether the operation may stand in the log.
-     * @param cause - What went wrong.
+     * @param mayHaveTakenEffect - Whether the operation may be in the log.
+     * @param cause - The cause of the failure.
      */
     constructor(mayHaveTakenEffect: boolean, cause?: unknown) {
         super({
--- a/src/claims/claimFold.ts
+++ b/src/claims/claimFold.ts
@@ -1,9 +1,9 @@
 /**
- * The deterministic state of one partition of claims: every reader of the same records holds the same state, and the
- * first claim on a key in the log's order wins.
+ * The deterministic state of one partition of claims. Every reader of the same records has the same state, and the
+ * first claim on a key in the order of the log wins.
  *
- * Time is the log service's own, as it stands in the entries, and never goes back: readers whose clocks differ would
- * otherwise expire a key at different records and disagree about who was granted it.
+ * The fold uses the log service's time, as recorded in the entries, and never moves it back. With their own clocks,
+ * readers would expire a key at different records and disagree about who was granted it.
  */
 import type { LogEntry } from "../log/record.js";
 import {
@@ -17,28 +17,28 @@
 
 const hourMilliseconds = 3_600_000;
 
-/** How long things are kept, by the log's time. All nodes must use the same. */
+/** Retention times, measured by the log's time. All nodes must use the same values. */
 export interface ClaimLifetimes {
-    /** How long a run's key is kept after the claim. Afterwards the key may run again. */
+    /** How long a run's key is retained after the claim. Afterwards, the key may run again. */
     readonly runMilliseconds: number;
-    /** How long a session's pin is kept after its last use in the log. */
+    /** How long a session's pin is retained after its last use in the log. */
     readonly pinMilliseconds: number;
-    /** How long identifiers of records and of ended claims are kept to recognise a late repeat. */
+    /** How long identifiers of records and of ended claims are retained to detect late repeats. */
     readonly deduplicationMilliseconds: number;
 }
 
-/** The lifetimes when nothing else is set. */
+/** The default lifetimes. */
 export const defaultLifetimes: ClaimLifetimes = {
     runMilliseconds: 24 * hourMilliseconds,
     pinMilliseconds: 72 * hourMilliseconds,
     deduplicationMilliseconds: hourMilliseconds,
 };
 
-/** Who holds a key. */
+/** The claim that holds a key. */
 export interface Holding {
     readonly id: string;
     readonly value: string;
-    /** Log time of the claim, or of a pin's last renewal. */
+    /** Log time of the claim, or of the last renewal of a pin. */
     readonly time: number;
     readonly outcome?: string;
 }
@@ -46,7 +46,7 @@
 /** Folds the records of one partition. */
 export class ClaimFold {
     readonly #lifetimes: ClaimLifetimes;
-    /** Ordered by `time`, so that expiry only ever looks at the front of each purpose's map. */
+    /** Ordered by `time`, so that expiry only checks the front of each map. */
     readonly #runs = new Map<string, Holding>();
     readonly #pins = new Map<string, Holding>();
     readonly #endedClaims = new Map<string, number>();
@@ -58,23 +58,23 @@
         this.#lifetimes = lifetimes;
     }
 
-    /** Returns the last offset that is folded in, or -1. */
+    /** Returns the offset of the last folded entry, or -1. */
     getOffset(): number {
         return this.#offset;
     }
 
-    /** Returns the greatest log time seen. */
+    /** Returns the maximum log time of the folded entries. */
     getLogTime(): number {
         return this.#logTime;
     }
 
-    /** Returns how many keys are held. */
+    /** Returns the number of held keys. */
     getSize(): number {
         return this.#runs.size + this.#pins.size;
     }
 
     /**
-     * Returns who holds a key.
+     * Returns the claim that holds a key.
      * @param key - The key.
      */
     get(key: string): Holding | undefined {
@@ -82,9 +82,9 @@
     }
 
     /**
-     * Folds an entry in. An entry at or before the folded offset is passed over, so the state only moves forward.
+     * Folds an entry. An entry at or before the folded offset is ignored, so the state only moves forward.
      * @param entry - The next entry of the partition.
-     * @returns How each operation in it ended.
+     * @returns The decision on each operation of the entry.
      */
     apply(entry: LogEntry): readonly ClaimDecision[] {
         if (entry.offset <= this.#offset) {
@@ -113,7 +113,7 @@
     }
 
     /**
-     * Tells how an operation stands by the present state, without changing it.
+     * Returns the decision on an operation by the current state, without changing the state.
      * @param operation - The operation.
      */
     decide(operation: ClaimOperation): ClaimDecision {
@@ -133,9 +133,9 @@
     }
 
     /**
-     * Returns the share of its lifetime that a pin has spent since its last use in the log.
+     * Returns the time since the last use of a pin in the log, as a fraction of its lifetime.
      * @param key - The pin's key.
-     * @param elapsedMilliseconds - Time that has passed since the last folded entry.
+     * @param elapsedMilliseconds - Time since the last folded entry.
      */
     getPinAgeFraction(key: string, elapsedMilliseconds: number): number {
         const holding = this.#pins.get(key);
@@ -144,10 +144,10 @@
     }
 
     /**
-     * Returns the state as parts of a snapshot that each fit into a record.
+     * Returns the state as parts of a snapshot, each of which fits into a record.
      * @param snapshot - Identifier of the snapshot.
-     * @param maxItemsPerPart - The most holdings, or remembered identifiers, in a part.
-     * @param maxBytesPerPart - The most bytes of holdings in a part.
+     * @param maxItemsPerPart - Maximum number of holdings, or of identifiers, in a part.
+     * @param maxBytesPerPart - Maximum bytes of holdings in a part.
      */
     createSnapshot(snapshot: string, maxItemsPerPart: number, maxBytesPerPart: number): readonly ClaimsSnapshotPart[] {
         const chunks = [
@@ -172,7 +172,7 @@
     /**
      * Creates a fold from all parts of a snapshot.
      * @param parts - The parts, in any order.
-     * @param lifetimes - How long things are kept.
+     * @param lifetimes - Retention times.
      */
     static fromSnapshot(parts: readonly ClaimsSnapshotPart[], lifetimes: ClaimLifetimes = defaultLifetimes): ClaimFold {
         const fold = new ClaimFold(lifetimes);
@@ -210,9 +210,9 @@
     }
 
     #claim({ id, key, value }: ClaimOperation): void {
-        // Two collectors may have written the same claim. If its claimant released it in between, the late one must
-        // not take the key again: nobody would be left to release it, and its callers would read "in progress" until
-        // the key expires.
+        // Two collectors may have written the same claim. If its claimant released it in between, the late record must
+        // not claim the key again: no claimant would release it, and callers would receive "in progress" until the key
+        // expires.
         if (this.#endedClaims.has(id)) {
             return;
         }
@@ -228,14 +228,14 @@
     }
 
     #release({ id, key }: ClaimOperation): void {
-        // Another entry may already have read the pin and answered its caller from that version. Giving it back would
-        // let the next request of the session pin another one.
+        // Another entry may already have read the pin and answered its caller from that version. If the pin were
+        // released, the next request of the session could pin another version.
         if (getPurpose(key) === "pin") {
             return;
         }
         const holdings = this.#getHoldings(key);
         const holding = holdings.get(key);
-        // A completed run stays: releasing it would let the key run a second time.
+        // A completed run is retained: after a release, the key could run a second time.
         if (holding?.id === id && holding.outcome !== undefined) {
             return;
         }
--- a/src/claims/claimOperation.ts
+++ b/src/claims/claimOperation.ts
@@ -1,11 +1,11 @@
 /**
- * Operations on claims, and the form in which they stand in the log.
+ * Operations on claims, and their form in the log.
  */
 import { z } from "zod";
 
 /**
- * What a claim is for; it decides how long the key is kept.
- * - `run`: an idempotency key. The key is kept for a fixed time after the claim.
+ * The purpose of a claim, which determines how long the key is retained.
+ * - `run`: an idempotency key. The key is retained for a fixed time after the claim.
  * - `pin`: the version of a session. Each further claim on the key renews it.
  */
 export type ClaimPurpose = "run" | "pin";
@@ -13,23 +13,23 @@
 /** One operation on a key. */
 export interface ClaimOperation {
     readonly kind: "claim" | "release" | "complete";
-    /** Unique for each attempt to claim. A release or completion carries the identifier of the claim that it ends. */
+    /** Unique for each attempt to claim. A release or completion has the identifier of the claim that it ends. */
     readonly id: string;
     readonly key: string;
-    /** What is claimed for the key: a request identifier or a version. */
+    /** The value that the key is claimed for: a request identifier or a version. */
     readonly value: string;
-    /** For a completion: the outcome, to be given to whoever asks for the key again. */
+    /** For a completion: the outcome, which later callers of the key receive. */
     readonly outcome?: string;
 }
 
-/** How an operation ended, by the order of the log. */
+/** The decision on an operation, by the order of the log. */
 export interface ClaimDecision {
     readonly kind: ClaimOperation["kind"];
     readonly id: string;
     /**
-     * - `granted`: the key belongs to this claim.
-     * - `held`: it belongs to another claim that has not completed.
-     * - `completed`: its claim has completed; `outcome` tells how.
+     * - `granted`: this claim holds the key.
+     * - `held`: another claim holds the key and has not completed.
+     * - `completed`: the claim that holds the key has completed with `outcome`.
      * - `released`: this claim has ended without running and can never be granted again.
      */
     readonly verdict: "granted" | "held" | "completed" | "released";
@@ -38,33 +38,33 @@
     readonly outcome?: string;
 }
 
-/** The kind of the records that carry operations. */
+/** Kind of records with operations. */
 export const claimsKind = "claims";
-/** The kind of the records that carry a part of a snapshot. */
+/** Kind of records with a part of a snapshot. */
 export const claimsSnapshotKind = "claims-snapshot";
-/** The format in which this version writes both kinds. */
+/** Format in which this program writes both kinds. */
 export const claimsFormat = 1;
 
 const pinPrefix = "pin:";
 
-/** Tells what a key is for. */
+/** Returns the purpose of a key. */
 export function getPurpose(key: string): ClaimPurpose {
     return key.startsWith(pinPrefix) ? "pin" : "run";
 }
 
 /**
- * Gives the key that a session's pin is claimed under.
- * @param workspace - The workspace, whose name holds no slash.
- * @param session - The session's identifier, unique in its workspace.
+ * Returns the key under which a session's pin is claimed.
+ * @param workspace - The workspace. Its name contains no slash.
+ * @param session - The identifier of the session, unique within its workspace.
  */
 export function createPinKey(workspace: string, session: string): string {
     return `${pinPrefix}${workspace}/${session}`;
 }
 
 /**
- * Gives the key that a request's run is claimed under.
- * @param workspace - The workspace, whose name holds no slash.
- * @param idempotencyKey - What the caller sent in `Idempotency-Key`.
+ * Returns the key under which a request's run is claimed.
+ * @param workspace - The workspace. Its name contains no slash.
+ * @param idempotencyKey - The value of the caller's `Idempotency-Key` header.
  */
 export function createRunKey(workspace: string, idempotencyKey: string): string {
     return `run:${workspace}/${idempotencyKey}`;
@@ -83,7 +83,7 @@
 
 /** @internal */
 export const claimsSnapshotSchema = z.object({
-    /** The snapshot's identifier, the same in all its parts. */
+    /** Identifier of the snapshot, equal in all its parts. */
     snapshot: z.string(),
     /** The last offset that the snapshot covers. */
     covers: z.number().int(),
@@ -101,5 +101,5 @@
     recordIds: z.array(z.tuple([z.string(), z.number()])),
 });
 
-/** A part of a snapshot, as it stands in a record. */
+/** A part of a snapshot, in the form of a record body. */
 export type ClaimsSnapshotPart = Readonly<z.infer<typeof claimsSnapshotSchema>>;
--- a/src/claims/collector.ts
+++ b/src/claims/collector.ts
@@ -1,9 +1,9 @@
 /**
- * Decides the claims of one partition: writes them to the log in batches, and answers from what the log's order says.
+ * Decides the claims of one partition: appends them to the log in batches, and answers by the order of the log.
  *
- * Nothing here is trusted. A collector that is not the partition's own, or a second one beside it, writes the same
- * operations a second time, and the fold counts only the first of each. So a mistaken collector costs appends and
- * time, and can never grant a key twice.
+ * Safety does not depend on collectors. A collector that is not the partition's own, or a second one at the same time,
+ * writes the same operations again, and the fold ignores repeats. A wrong collector therefore costs appends and time,
+ * but can never grant a key twice.
  */
 import { err, ok, type Result } from "neverthrow";
 import { randomUUID } from "node:crypto";
@@ -27,9 +27,9 @@
 const defaultMinAppendIntervalMilliseconds = 40;
 const defaultDecisionTimeoutMilliseconds = 2_000;
 const retryPauseMilliseconds = 100;
-/** A pin that has spent this share of its lifetime is renewed in the log by its next use. */
+/** A pin older than this fraction of its lifetime is renewed in the log at its next use. */
 const pinRenewalAgeFraction = 0.5;
-/** A pin that could not be renewed is still trusted up to this share. */
+/** A pin that could not be renewed remains usable up to this fraction of its lifetime. */
 const maxPinAgeFraction = 0.75;
 const maxSnapshotAttempts = 5;
 const maxOperationsPerRecord = 500;
@@ -45,18 +45,18 @@
     readonly follow: FollowStream;
     readonly clock: Clock;
     readonly journal: Journal;
-    /** Name of this process, written into its records. */
+    /** Name of this process, used as the writer of its records. */
     readonly writer: string;
     readonly lifetimes?: ClaimLifetimes;
     /** How long an operation waits for others to share its record. */
     readonly batchMilliseconds?: number;
-    /** Shortest time between two records of this partition; keeps the site under the log's rate limit. */
+    /** Minimum time between two records of this partition, which keeps the site below the log's rate limit. */
     readonly minAppendIntervalMilliseconds?: number;
-    /** How long an operation may take in all. */
+    /** Timeout of an operation. */
     readonly decisionTimeoutMilliseconds?: number;
-    /** How often a snapshot is written; well below the log's retention. */
+    /** Interval of snapshots; must be well below the retention of the log. */
     readonly snapshotIntervalMilliseconds?: number;
-    /** Tells whether this node is the one to write the partition's snapshots. */
+    /** Returns whether this node writes the snapshots of the partition. */
     readonly isDesignated?: () => boolean;
     readonly createId?: () => string;
 }
@@ -75,7 +75,7 @@
     readonly #options: CollectorOptions;
     readonly #reader: PartitionReader;
     readonly #createId: () => string;
-    /** By kind and identifier: a claim and its release carry the same identifier. */
+    /** Pending operations by kind and identifier, since a claim and its release have the same identifier. */
     readonly #pending = new Map<string, PendingOperation[]>();
     readonly #queue: PendingOperation[] = [];
     #timer: NodeJS.Timeout | undefined;
@@ -99,7 +99,7 @@
         });
     }
 
-    /** Begins to follow the partition. */
+    /** Starts following the partition. */
     start(): void {
         this.#reader.start();
         const interval = this.#options.snapshotIntervalMilliseconds ?? defaultSnapshotIntervalMilliseconds;
@@ -107,7 +107,7 @@
         this.#snapshotTimer.unref();
     }
 
-    /** Ends following. Operations that wait are answered as unavailable. */
+    /** Stops following the partition. Pending operations fail as unavailable. */
     async stop(): Promise<void> {
         this.#isStopped = true;
         clearTimeout(this.#timer);
@@ -118,14 +118,14 @@
         await this.#reader.stop();
     }
 
-    /** Returns the milliseconds since the collector was last asked for anything. */
+    /** Returns the milliseconds since the last operation was requested. */
     getIdleTime(): number {
         return this.#options.clock.monotonic() - this.#lastUsedAt;
     }
 
     /**
      * Decides an operation by the order of the log.
-     * @param operation - The operation. Asked again with the same identifier, it is the same operation.
+     * @param operation - The operation. A repeat with the same identifier is the same operation.
      */
     decide(operation: ClaimOperation): Promise<Result<ClaimDecision, ClaimFailure>> {
         this.#lastUsedAt = this.#options.clock.monotonic();
@@ -155,11 +155,12 @@
     }
 
     /**
-     * Answers what needs no record.
+     * Answers an operation that needs no record.
      *
-     * What another claim holds or has completed is answered from the fold: if the fold is behind, the caller is told
-     * "in progress" a little too long, and nothing runs. A grant never is. A claimant that was paused for days would
-     * find its own claim in a fold that is as old as its pause, while the key has expired and run elsewhere since.
+     * A key that another claim holds or has completed is answered from the fold: if the fold is behind, the caller
+     * receives "in progress" for slightly too long, and nothing runs. A grant is never answered from the fold. A
+     * claimant that was paused for days would find its own claim in a fold as old as the pause, while the key has
+     * expired and run elsewhere.
      */
     #decideFromFold(operation: ClaimOperation): ClaimDecision | undefined {
         const fold = this.#reader.getFold();
@@ -173,14 +174,17 @@
         return decision.verdict === "granted" ? undefined : decision;
     }
 
-    /** Answers from a pin that is younger than a share of its lifetime, so that it cannot have expired unseen. */
+    /**
+     * Answers from a pin that is younger than a fraction of its lifetime, so that it cannot have expired without this
+     * fold's notice.
+     */
     #readPin(operation: ClaimOperation, maxAgeFraction: number): ClaimDecision | undefined {
         const fold = this.#reader.getFold();
         const age = fold?.getPinAgeFraction(operation.key, this.#reader.getEntryAge());
         return age !== undefined && age < maxAgeFraction ? fold?.decide(operation) : undefined;
     }
 
-    /** Answers when the time is over: sessions go on with the pins that they have while the log is away. */
+    /** Handles the timeout of an operation. Sessions continue with their known pins while the log is unavailable. */
     #handleTimeout(pending: PendingOperation): void {
         const { operation, mayHaveTakenEffect } = pending;
         const isPin = operation.kind === "claim" && getPurpose(operation.key) === "pin";
@@ -254,9 +258,9 @@
     }
 
     /**
-     * Appends a record again under the same identifier until the log takes it, or nobody waits for it any more. A
-     * process that was paused in between must not write what its callers were already told has failed, so the
-     * deadline is looked at right before each append.
+     * Appends a record repeatedly under the same identifier until the log accepts it or all its operations have timed
+     * out. A process that was paused in between must not write an operation whose caller already received a failure, so
+     * the deadline is checked right before each append.
      */
     async #appendWithRetries(record: LogRecord, batch: readonly PendingOperation[]): Promise<void> {
         while (!this.#isStopped && batch.some(pending => !this.#isExpired(pending))) {
@@ -303,7 +307,7 @@
         const parts = fold.createSnapshot(this.#createId(), maxSnapshotItemsPerPart, maxSnapshotBytesPerPart);
         for (const part of parts) {
             if (!await this.#appendPart(this.#createRecord(claimsSnapshotKind, part))) {
-                // The next round writes a whole new snapshot; readers ignore one with parts missing.
+                // The next interval writes a complete new snapshot; readers ignore an incomplete one.
                 return;
             }
         }
--- a/src/claims/collectorPool.ts
+++ b/src/claims/collectorPool.ts
@@ -1,5 +1,5 @@
 /**
- * The collectors that run on this node: those of its own partitions, and those that it had to stand in for.
+ * The collectors that run on this node: those of its own partitions, and those that it runs as a fallback.
  */
 import type { Clock } from "../common/index.js";
 import type { ClaimDecision, ClaimOperation } from "./claimOperation.js";
@@ -12,20 +12,20 @@
 export interface CollectorPoolOptions {
     readonly partitions: number;
     readonly clock: Clock;
-    /** Tells whether this node is the collector of a partition. */
+    /** Returns whether this node is the collector of a partition. */
     readonly isDesignated: (partition: number) => boolean;
     readonly createCollector: (partition: number) => Collector;
 }
 
-/** How an operation ended at this node. */
+/** The decision on an operation by this node. */
 export interface PoolDecision {
     readonly id: string;
     readonly decision?: ClaimDecision;
-    /** When there is no decision: whether the operation may stand in the log. */
+    /** Without a decision: whether the operation may be in the log. */
     readonly mayHaveTakenEffect: boolean;
 }
 
-/** Starts collectors when they are needed and stops those that are not needed any more. */
+/** Starts collectors when they are needed, and stops those that are no longer needed. */
 export class CollectorPool {
     readonly #options: CollectorPoolOptions;
     readonly #collectors = new Map<number, Collector>();
@@ -36,7 +36,7 @@
         this.#options = options;
     }
 
-    /** Begins to run this node's collectors, and to follow changes of who collects what. */
+    /** Starts the collectors of this node, and follows changes of the assignment. */
     start(): void {
         this.#isStopped = false;
         this.#reassign();
@@ -44,7 +44,7 @@
         this.#timer.unref();
     }
 
-    /** Stops all collectors. Operations that come later are not decided here any more. */
+    /** Stops all collectors. Later operations are not decided by this node. */
     async stop(): Promise<void> {
         this.#isStopped = true;
         clearInterval(this.#timer);
@@ -53,7 +53,7 @@
     }
 
     /**
-     * Returns the collector of a partition, started if need be.
+     * Returns the collector of a partition, and starts it if necessary.
      * @param partition - The partition.
      */
     get(partition: number): Collector {
@@ -67,13 +67,13 @@
     }
 
     /**
-     * Decides operations of one partition. Answers a peer's call too.
+     * Decides operations of one partition, for this node or for a peer.
      * @param partition - The partition.
      * @param operations - The operations.
      */
     async decide(partition: number, operations: readonly ClaimOperation[]): Promise<readonly PoolDecision[]> {
-        // A peer's call comes from another process: a partition that does not exist must not start a collector. Nor must a release
-        // that is still repeated while the node stops: nobody would stop that collector, and the process would never end.
+        // A call from a peer must not start a collector for a partition that does not exist. Neither must a release
+        // that is retried while the node stops: nothing would stop that collector, and the process would never exit.
         if (this.#isStopped || !Number.isInteger(partition) || partition < 0 || partition >= this.#options.partitions) {
             return operations.map(({ id }) => ({ id, mayHaveTakenEffect: false }));
         }
--- a/src/claims/index.ts
+++ b/src/claims/index.ts
@@ -1,4 +1,4 @@
-/** Claims on keys: at most one run for an idempotency key, and one version for a session. */
+/** Claims on keys: at most one run per idempotency key, and one version per session. */
 export * from "./claimClient.js";
 export * from "./claimFailure.js";
 export * from "./claimFold.js";
--- a/src/claims/partitionReader.ts
+++ b/src/claims/partitionReader.ts
@@ -1,9 +1,9 @@
 /**
- * Keeps the fold of one partition up to date from the log, over retention gaps.
+ * Maintains the fold of one partition from the log, across retention gaps.
  *
- * A reader that starts after the first records have expired knows only a part of the claims, and would grant a key
- * that an expired record already gave away. It therefore counts as complete only once it has taken in a snapshot that
- * reaches up to the records that it can read, or once every claim that it could have missed has outlived its key.
+ * A reader that starts after the first records have expired knows only some of the claims, and would grant a key that
+ * an expired record already granted. Its fold therefore counts as complete only after a snapshot that reaches up to the
+ * readable records, or once every claim that it may have missed has expired.
  */
 import type { Clock } from "../common/index.js";
 import { events, type Journal } from "../events/index.js";
@@ -24,11 +24,11 @@
     readonly clock: Clock;
     readonly journal: Journal;
     readonly lifetimes: ClaimLifetimes;
-    /** Takes how the operations of an entry ended. Called only while the fold is complete. */
+    /** Receives the decisions on the operations of an entry. Called only while the fold is complete. */
     readonly onDecisions: (decisions: readonly ClaimDecision[], recordId: string) => void;
 }
 
-/** Gives the stream of a partition. */
+/** Returns the stream of a partition. */
 export function getClaimsStream(partition: number): StreamName {
     return `claims-${partition}`;
 }
@@ -38,9 +38,9 @@
     readonly #options: PartitionReaderOptions;
     #reader: StreamReader;
     #fold: ClaimFold;
-    /** Undefined while the fold is complete; else the first offset that could be read. */
+    /** Undefined while the fold is complete; otherwise the first offset that could be read after the gap. */
     #gapEnd: number | undefined;
-    /** Log time of the first entry after the gap: whatever is missing is older. */
+    /** Log time of the first entry after the gap. All missing entries are older. */
     #missingBefore: number | undefined;
     #snapshotParts = new Map<string, ClaimsSnapshotPart[]>();
     #lastSnapshotAt: number;
@@ -55,28 +55,28 @@
         this.#reader = this.#createReader(0);
     }
 
-    /** Begins to read. */
+    /** Starts reading. */
     start(): void {
         this.#reader.start();
     }
 
-    /** Ends reading. */
+    /** Stops reading. */
     async stop(): Promise<void> {
         this.#isStopped = true;
         await this.#reader.stop();
     }
 
-    /** Returns the fold, or undefined while it is not complete. */
+    /** Returns the fold, or undefined while it is incomplete. */
     getFold(): ClaimFold | undefined {
         return this.#gapEnd === undefined ? this.#fold : undefined;
     }
 
-    /** Returns the milliseconds since a whole snapshot of the partition was last read, or since the start. */
+    /** Returns the milliseconds since a complete snapshot of the partition was last read, or since the start. */
     getSnapshotAge(): number {
         return this.#options.clock.monotonic() - this.#lastSnapshotAt;
     }
 
-    /** Returns the milliseconds since an entry was last read. */
+    /** Returns the milliseconds since an entry was last read, or since the start. */
     getEntryAge(): number {
         return this.#options.clock.monotonic() - this.#lastEntryAt;
     }
@@ -141,8 +141,9 @@
     #handleSnapshot(parts: readonly ClaimsSnapshotPart[]): void {
         this.#lastSnapshotAt = this.#options.clock.monotonic();
         const covers = parts[0].covers;
-        // A complete fold is never replaced: a snapshot by a slow writer is older than it and would move it back. One
-        // that leaves out records between what it covers and what can be read would only lead to the same gap again.
+        // A complete fold is never replaced: a snapshot by a slow writer is older and would move it back. A snapshot
+        // that omits records between the offset that it covers and the first readable one would lead to the same gap
+        // again.
         if (this.#gapEnd === undefined || covers < this.#gapEnd - 1 || this.#isStopped) {
             return;
         }
--- a/src/claims/peerClaims.ts
+++ b/src/claims/peerClaims.ts
@@ -1,5 +1,5 @@
 /**
- * Carries claims between entries.
+ * Transfers claims between entries.
  */
 import type {
     Claim,
@@ -15,20 +15,20 @@
 const defaultCallTimeoutMilliseconds = 1_000;
 const unavailable = "unavailable";
 
-/** Options of asking peers. */
+/** Options for requesting decisions from peers. */
 export interface PeerClaimsOptions {
     /** This node's identifier. */
     readonly self: string;
     readonly membership: Pick<Membership, "getCollector">;
     readonly client: Pick<PeerClient, "decideClaims">;
-    /** Gives this node's Lamport counter. */
+    /** Returns this node's Lamport counter. */
     readonly getCounter: () => number;
-    /** How long a peer may take before this node collects itself. */
+    /** Timeout of a call to a peer, after which this node collects the claim itself. */
     readonly callTimeoutMilliseconds?: number;
 }
 
 /**
- * Gives the name that a partition is distributed over the members by.
+ * Returns the name by which a partition is assigned to a member.
  * @param partition - The partition.
  */
 export function getPartitionName(partition: number): string {
@@ -36,8 +36,8 @@
 }
 
 /**
- * Creates the function that asks a partition's collector on another node.
- * @param options - How to reach it.
+ * Creates the function that requests decisions from a partition's collector on another node.
+ * @param options - The options.
  */
 export function createRemoteDecider(options: PeerClaimsOptions): RemoteDecider {
     return async (partition, operation) => {
@@ -53,7 +53,7 @@
         };
         const timeoutMilliseconds = options.callTimeoutMilliseconds ?? defaultCallTimeoutMilliseconds;
         const reply = await options.client.decideClaims(collector, request, timeoutMilliseconds);
-        // A call that got no answer may have been carried out: the collector may still write the operation.
+        // A call without an answer may have been executed: the collector may still write the operation.
         const unknownDecision: PoolDecision = { id: operation.id, mayHaveTakenEffect: true };
         return reply.match(({ decisions }) => {
             const decision = decisions.find(found => found.id === operation.id);
@@ -63,10 +63,10 @@
 }
 
 /**
- * Answers a peer's claims.
- * @param pool - This node's collectors.
- * @param request - The peer's call.
- * @param getCounter - Gives this node's Lamport counter.
+ * Handles claims that a peer sent.
+ * @param pool - The collectors of this node.
+ * @param request - The request of the peer.
+ * @param getCounter - Returns this node's Lamport counter.
  */
 export async function handleDecideClaims(
     pool: Pick<CollectorPool, "decide">,
--- a/src/claims/sessionPins.ts
+++ b/src/claims/sessionPins.ts
@@ -1,21 +1,21 @@
 /**
- * Pins sessions to versions: the first pin of a session in the log's order holds for all entries.
+ * Pins sessions to versions: the first pin of a session in the order of the log is valid for all entries.
  */
 import type { Result } from "neverthrow";
 import type { Failure } from "../common/index.js";
 import type { ClaimClient } from "./claimClient.js";
 import { createPinKey } from "./claimOperation.js";
 
-/** What to pin. */
+/** A request to pin a session. */
 export interface PinRequest {
     readonly workspace: string;
     readonly session: string;
-    /** The version to pin when the session has none yet. */
+    /** The version to pin if the session has none yet. */
     readonly proposal: string;
     readonly requestId: string;
 }
 
-/** Decides the versions of sessions. */
+/** Determines the versions of sessions. */
 export class SessionPins {
     readonly #claims: Pick<ClaimClient, "claim">;
 
@@ -24,11 +24,11 @@
     }
 
     /**
-     * Returns the version of a session, pinned to the proposal if it has none yet.
+     * Returns the version of a session, and pins it to the proposal if it has none yet.
      *
-     * Two first requests at two entries propose different versions. Both read the same first record in the log, so
-     * they agree, and one of them answers from the other's version.
-     * @param request - What to pin.
+     * Two first requests at two entries may propose different versions. Both entries read the same first record in the
+     * log, so they agree, and one of them answers from the version that the other proposed.
+     * @param request - The request.
      */
     async pin(request: PinRequest): Promise<Result<string, Failure>> {
         const claimed = await this.#claims.claim({
--- a/src/claims/sessionToken.ts
+++ b/src/claims/sessionToken.ts
@@ -1,18 +1,18 @@
 /**
- * Signed tokens that carry a session's version, so that its further requests need no look into the log.
+ * Signed tokens with a session's version, so that its later requests do not have to read the log.
  *
- * A token only repeats what a pin decided. It must end well before the pin does: a session that lives on tokens
- * alone would otherwise outlive its pin, and its next visit to the log would pin another version.
+ * A token repeats the decision of a pin and must expire well before the pin. Otherwise a session that only uses tokens
+ * would outlive its pin, and its next claim in the log would pin another version.
  */
 import { createHmac, timingSafeEqual } from "node:crypto";
 import { z } from "zod";
 
-/** What a token says. */
+/** Content of a token. */
 export interface SessionToken {
     readonly workspace: string;
     readonly session: string;
     readonly version: string;
-    /** Wall-clock milliseconds at which the token ends. */
+    /** Wall-clock milliseconds at which the token expires. */
     readonly expiresAt: number;
 }
 
@@ -25,8 +25,8 @@
 
 /**
  * Creates a signed token.
- * @param token - What it says.
- * @param secret - The site's secret.
+ * @param token - The content.
+ * @param secret - The site's signing secret.
  */
 export function createSessionToken(token: SessionToken, secret: string): string {
     const { workspace, session, version, expiresAt } = token;
@@ -35,11 +35,11 @@
 }
 
 /**
- * Reads a token.
- * @param text - The token as the caller sent it.
- * @param secrets - The site's secret, and older ones that still count while it is being changed.
+ * Verifies and reads a token.
+ * @param text - The token in the form that the caller sent.
+ * @param secrets - The site's secret, and older ones that remain valid during a change.
  * @param now - Wall-clock milliseconds.
- * @returns What it says, or undefined when its signature is wrong or it has ended.
+ * @returns The content, or undefined when the signature is wrong or the token has expired.
  */
 export function readSessionToken(text: string, secrets: readonly string[], now: number): SessionToken | undefined {
     const [payload, signature, ...rest] = text.split(".");
--- a/test/claims/claimClient.test.ts
+++ b/test/claims/claimClient.test.ts
@@ -39,7 +39,7 @@
     });
 
     describe("claim", () => {
-        it("grants a free key and tells the next caller who holds it", async () => {
+        it("grants a free key, and returns its holder to the next caller", async () => {
             const log = new MemoryLog();
             const node = createNode({ log });
             expect((await claim(node, "r1"))?.kind).toEqual("granted");
@@ -47,8 +47,9 @@
             expect(second).toEqual({ kind: "held", value: "r1", outcome: undefined });
         });
 
-        // A caller retries with the same request identifier at another entry while its first attempt is under way. Were
-        // the identifier enough to be taken for the holder, the label would be printed twice.
+        // Guards against a second run: a caller retries with the same request identifier at another entry while its
+        // first attempt is in progress. If the request identifier identified the holder, the label would be printed
+        // twice.
         it("does not grant a key twice to the same request identifier", async () => {
             const log = new MemoryLog();
             const first = createNode({ log, name: "first" });
@@ -57,27 +58,28 @@
             expect(verdicts.map(verdict => verdict?.kind).sort()).toEqual(["granted", "held"]);
         });
 
-        // The connection to the log drops after the claim was written. Taken for a failure, the key would stay held by
-        // nobody; written again under another identifier, the claimant would lose to itself.
-        it("reads its claim back when the acknowledgement was lost", async () => {
+        // Guards against a key that is heldEntries without a claimant: the connection to the log drops after the claim was
+        // written. If that counted as a failure, no claimant would use the key; if the claim were written again under
+        // another identifier, the claimant would lose to itself.
+        it("reads its claim back after a lost acknowledgement", async () => {
             const log = new MemoryLog();
             log.decideOutcome = () => "lost";
             expect((await claim(createNode({ log }), "r1"))?.kind).toEqual("granted");
         });
 
-        // The request that carried the claim was lost, not its answer. The claimant must ask again, or its caller is
-        // refused although the log is there.
-        it("appends its claim again when the first append was lost on the way", async () => {
+        // Guards against needless refusals: the request with the claim was lost, not its response. Without another
+        // append, the caller would be refused although the log is available.
+        it("appends its claim again when the first append was lost", async () => {
             const log = new MemoryLog();
-            const fates = ["dropped", "overloaded"] as const;
+            const outcomes = ["dropped", "overloaded"] as const;
             let appends = 0;
-            log.decideOutcome = () => fates[appends++] ?? "taken";
+            log.decideOutcome = () => outcomes[appends++] ?? "taken";
             expect((await claim(createNode({ log }), "r1"))?.kind).toEqual("granted");
         });
 
-        // The collector decides, but its answer does not arrive. The claimant asks again through its own collector; the
-        // caller notices nothing but the time.
-        it("gets its grant through its own collector when the other's answer was lost", async () => {
+        // Guards against needless refusals: the collector decides, but its answer is lost. The claimant then uses its
+        // own collector, and the caller only notices the delay.
+        it("obtains its grant through its own collector when the answer of the other one was lost", async () => {
             const log = new MemoryLog();
             const collector = createNode({ log, name: "collector" });
             const node = createNode({ log, name: "claimant", collector, isAnswerLost: () => true });
@@ -85,18 +87,18 @@
             expect((await claim(collector, "r2"))?.kind).toEqual("held");
         });
 
-        // The log is away. The caller is refused, and the failure must not say that nothing was written when something
-        // may have been.
-        it("tells truthfully whether the claim may stand in the log", async () => {
+        // Guards against a wrong "not run": the log is unavailable, the caller is refused, and the failure must not
+        // state that nothing was written when a record may have been.
+        it("reports whether the claim may be in the log", async () => {
             const cases = [["overloaded", false], ["dropped", true]] as const;
-            for (const [fate, mayHaveTakenEffect] of cases) {
+            for (const [outcome, mayHaveTakenEffect] of cases) {
                 const log = new MemoryLog();
                 let appends = 0;
                 log.decideOutcome = () => {
                     appends += 1;
-                    return fate;
+                    return outcome;
                 };
-                // The claim ends while no append is under way: what is in flight would have to count as written.
+                // The claim fails while no append is in flight; an append in flight would count as written.
                 log.retryAfterMilliseconds = 60_000;
                 const node = createNode({ log });
                 const claiming = node.client.claim({ key, value: "r1", requestId: "r1" });
@@ -107,9 +109,10 @@
             }
         });
 
-        // The claim was written, but the claimant was cut off from reading and gave up without dispatching. Until its
-        // release arrives, others read "in progress"; afterwards the key must be free again.
-        it("releases a claim that it gave up", async () => {
+        // Guards against a key that stays heldEntries: the claim was written, but the claimant could not read the log and gave
+        // up without dispatching. Until its release arrives, others read "in progress"; afterwards the key must be free
+        // again.
+        it("releases a claim that it abandoned", async () => {
             const log = new MemoryLog();
             const node = createNode({ log, name: "cut", decideMilliseconds: 1_000 });
             const other = createNode({ log, name: "other" });
@@ -122,15 +125,16 @@
             await waitUntil(async () => (await claim(other, "r3"))?.kind === "granted", "the key is free");
         });
 
-        // An entry dies before it has written its claim: the next attempt must run. It dies after: nobody can know
-        // whether it dispatched, so the next attempt must neither run nor be told that the first did not.
-        it("frees the key of an entry that died before the write, and not after it", async () => {
-            for (const [fate, expected] of [["overloaded", "granted"], ["taken", "held"]] as const) {
+        // Guards against lost and repeated runs. If an entry dies before it has written its claim, the next attempt
+        // must run. If it dies afterwards, it is unknown whether it dispatched, so the next attempt must neither run
+        // nor report that the first one did not.
+        it("frees the key of an entry that died before the write, but not after it", async () => {
+            for (const [outcome, expected] of [["overloaded", "granted"], ["taken", "held"]] as const) {
                 const log = new MemoryLog();
-                log.decideOutcome = record => record.writer === "dying" ? fate : "taken";
+                log.decideOutcome = record => record.writer === "dying" ? outcome : "taken";
                 const dying = createNode({ log, name: "dying", decideMilliseconds: 100 });
                 const attempt = claim(dying, "r1");
-                await waitUntil(() => fate === "overloaded" || hasAnyRecord(log), "the claim was sent");
+                await waitUntil(() => outcome === "overloaded" || hasAnyRecord(log), "the claim was sent");
                 await dying.stop();
                 await attempt;
                 const next = await claim(createNode({ log, name: "next" }), "r1");
@@ -138,9 +142,9 @@
             }
         });
 
-        // The collector is paused with a batch in hand, longer than its callers wait, and wakes. Their callers were told
-        // long ago that this entry did not run them; the batch must not go out any more.
-        it("does not append operations whose time is over", async () => {
+        // Guards against a late write: the collector is paused with a batch for longer than its callers wait. They have
+        // received "not run" since, so the batch must not be appended after the pause.
+        it("does not append operations that have timed out", async () => {
             const log = new MemoryLog();
             const node = createNode({ log });
             log.decideOutcome = () => {
@@ -156,9 +160,9 @@
     });
 
     describe("confirm", () => {
-        // A claimant is paused right after it was granted the key. When it wakes it must not trust the grant: its key
-        // may have expired, and another entry may have printed the label.
-        it("asks the log again after the grant has lapsed", async () => {
+        // Guards against a second run: a claimant is paused right after its grant. After the pause it must not rely on
+        // the grant, since the key may have expired and another entry may have printed the label.
+        it("reads the log again when the grant is no longer valid", async () => {
             const log = new MemoryLog();
             const node = createNode({ log, name: "paused" });
             const grant = await claimOrThrow(node, "r1");
@@ -169,30 +173,30 @@
             expect(confirmed.kind).toEqual("granted");
         });
 
-        it("finds that the key expired and ran elsewhere", async () => {
+        it("detects that the key has expired and run elsewhere", async () => {
             const log = new MemoryLog();
             const node = createNode({ log, name: "paused" });
             const other = createNode({ log, name: "other" });
             const grant = await claimOrThrow(node, "r1");
             log.time = defaultLifetimes.runMilliseconds + 1;
-            // The log's time moves on with the records of others.
+            // Records of others advance the log's time.
             await claim(other, "tick-0", createRunKey("dalisay", "tick-0"));
             await claim(other, "tick-1", createRunKey("dalisay", "tick-1"));
             await claim(other, "tick-2", createRunKey("dalisay", "tick-2"));
             await claim(other, "tick-3", createRunKey("dalisay", "tick-3"));
-            const taken = await claimOrThrow(other, "r2");
-            await other.client.complete({ ...taken, outcome: "printed" });
+            const otherGrant = await claimOrThrow(other, "r2");
+            await other.client.complete({ ...otherGrant, outcome: "printed" });
             const confirmed = (await node.client.confirm(grant))._unsafeUnwrap();
             expect(confirmed).toEqual({ kind: "completed", value: "r2", outcome: "printed" });
         });
     });
 
     describe("confirm after a pause of the whole process", () => {
-        // The claimant and its reader stood still together for longer than the key is kept, and the key ran elsewhere.
-        // Its own state still shows its claim; believing that, it would run the key a second time.
-        it("does not believe its own old state", async () => {
+        // Guards against a second run: the claimant and its reader were paused together for longer than the lifetime of
+        // the key, and the key ran elsewhere. The fold of the claimant still shows its claim.
+        it("does not rely on its own outdated state", async () => {
             const log = new MemoryLog();
-            const held: (() => void)[] = [];
+            const heldEntries: (() => void)[] = [];
             let isPaused = false;
             const paused = createNode({
                 name: "paused",
@@ -200,7 +204,7 @@
                     append: log.append,
                     follow: options => {
                         const onEntry = (entry: LogEntry) =>
-                            isPaused ? void held.push(() => options.onEntry(entry)) : options.onEntry(entry);
+                            isPaused ? void heldEntries.push(() => options.onEntry(entry)) : options.onEntry(entry);
                         return log.follow({ ...options, onEntry });
                     },
                 },
@@ -209,7 +213,7 @@
             isPaused = true;
             log.time = defaultLifetimes.runMilliseconds + 1;
             const other = createNode({ log, name: "other" });
-            // The other entry reads the key as held until a record moves the log's time on.
+            // The other entry reads the key as heldEntries until a record advances the log's time.
             for (const stream of ["claims-0", "claims-1"]) {
                 log.put(stream, { id: `tick-${stream}`, kind: "tick", format: 1, writer: "test", body: {} });
             }
@@ -221,7 +225,7 @@
             const confirming = paused.client.confirm(grant);
             await new Promise(resolve => setImmediate(resolve));
             isPaused = false;
-            for (const release of held.splice(0)) {
+            for (const release of heldEntries.splice(0)) {
                 release();
             }
             expect((await confirming)._unsafeUnwrap()).toEqual({ kind: "completed", value: "r2", outcome: "p" });
@@ -229,7 +233,7 @@
     });
 
     describe("release", () => {
-        it("lets the next claim have the key", async () => {
+        it("frees the key for the next claim", async () => {
             const log = new MemoryLog();
             const node = createNode({ log });
             const grant = await claimOrThrow(node, "r1");
@@ -239,38 +243,39 @@
     });
 
     describe("complete", () => {
-        it("hands the outcome to later callers at any entry, without its text when it is too long", async () => {
-            for (const [outcome, kept] of [["printed", "printed"], ["x".repeat(20_000), ""]]) {
+        it("returns the outcome to later callers at any entry, without its text when it is too long", async () => {
+            for (const [outcome, expectedOutcome] of [["printed", "printed"], ["x".repeat(20_000), ""]]) {
                 const log = new MemoryLog();
                 const first = createNode({ log, name: "first" });
                 const grant = await claimOrThrow(first, "r1");
                 await first.client.complete({ ...grant, outcome });
                 const second = await claim(createNode({ log, name: "second" }), "r2");
-                expect(second).toEqual({ kind: "completed", value: "r1", outcome: kept });
+                expect(second).toEqual({ kind: "completed", value: "r1", outcome: expectedOutcome });
             }
         });
     });
 
     describe("under random faults", () => {
-        // Four entries race for the same keys while appends are refused, dropped, or taken without an answer, and every
-        // entry collects for itself. Whoever is granted dispatches to a plain service, whose count is the judge.
+        // Guards against a second run: four entries race for the same keys, appends are rejected, dropped, or accepted
+        // without a response, and every entry collects for itself. The test counts the grants of each key, as a plain
+        // service would count its runs.
         it("never runs a key twice", async () => {
             let keysRun = 0;
             for (let seed = 1; seed <= 12; seed += 1) {
                 const random = new RandomSource(seed);
                 const log = new MemoryLog();
-                const fates = ["taken", "taken", "lost", "dropped", "overloaded"] as const;
-                log.decideOutcome = () => fates[random.nextInteger(fates.length)];
+                const outcomes = ["taken", "taken", "lost", "dropped", "overloaded"] as const;
+                log.decideOutcome = () => outcomes[random.nextInteger(outcomes.length)];
                 const entries = ["a", "b", "c", "d"].map(name => createNode({ log, name, decideMilliseconds: 1_500 }));
                 const runs = new Map<string, number>();
                 const attempts = [];
                 for (let index = 0; index < 40; index += 1) {
-                    const wanted = createRunKey("dalisay", `label-${index % 5}`);
+                    const runKey = createRunKey("dalisay", `label-${index % 5}`);
                     const entry = entries[random.nextInteger(entries.length)];
                     attempts.push(
-                        claim(entry, `r${index}`, wanted).then(verdict => {
+                        claim(entry, `r${index}`, runKey).then(verdict => {
                             if (verdict?.kind === "granted") {
-                                runs.set(wanted, (runs.get(wanted) ?? 0) + 1);
+                                runs.set(runKey, (runs.get(runKey) ?? 0) + 1);
                             }
                         }),
                     );
@@ -287,9 +292,9 @@
 
 describe("SessionPins", () => {
     describe("pin", () => {
-        // Two first requests of a bench conversation arrive at two entries that propose different versions. Unless both
-        // answer from the same one, the conversation changes its voice halfway.
-        it("gives both entries the same version", async () => {
+        // Guards against a session that changes its version: two first requests of a conversation arrive at two entries
+        // that propose different versions, and both must be answered from the same one.
+        it("returns the same version at both entries", async () => {
             const log = new MemoryLog();
             const pins = ["a", "b"].map(name => new SessionPins(createNode({ log, name }).client));
             const request = { workspace: "agenzia", session: "bench-1", requestId: "r" };
@@ -301,9 +306,10 @@
             await Promise.all(nodes.splice(0).map(node => node.stop()));
         });
 
-        // The log is away while a session goes on, and its pin is so old that its next use would renew it. The session
-        // must go on with its version, but not with a pin that may have expired unseen.
-        it("goes on with a known pin while the log is away, as long as the pin cannot have expired", async () => {
+        // Guards against lost and changed sessions: the log is unavailable, and the pin is so old that its next use
+        // would renew it. The session must continue with its version, but not with a pin that may have expired without
+        // notice.
+        it("continues with a known pin while the log is unavailable, as long as the pin cannot have expired", async () => {
             const hour = 3_600_000;
             for (const [age, isKnown] of [[10 * hour, true], [40 * hour, true], [60 * hour, false]] as const) {
                 const log = new MemoryLog();
--- a/test/claims/claimFold.test.ts
+++ b/test/claims/claimFold.test.ts
@@ -42,7 +42,7 @@
             expect(decisions[1].value).toEqual("a");
         });
 
-        it("gives the outcome to whoever asks after the completion", () => {
+        it("returns the outcome to claims after the completion", () => {
             const result = fold([[0, claim("a")], [1, complete("a", "done")]]);
             expect(result.decide(claim("b"))).toEqual({
                 kind: "claim",
@@ -53,27 +53,28 @@
             });
         });
 
-        it("lets only the holder release or complete", () => {
+        it("releases or completes only by the holder", () => {
             const result = fold([[0, claim("a")], [1, release("b")], [2, complete("c", "forged")]]);
             expect(result.get(runKey)).toEqual({ id: "a", value: "a", time: 0 });
         });
 
-        it("keeps a completed run when its holder releases it late", () => {
+        it("retains a completed run when its holder releases it late", () => {
             const result = fold([[0, claim("a")], [1, complete("a", "done")], [2, release("a")], [3, claim("b")]]);
             expect(result.get(runKey)?.id).toEqual("a");
         });
 
-        // Two collectors wrote the same claim, and its claimant gave it up in between. The second record must not take
-        // the key again: callers would be told "in progress" for a day although nobody works on it.
-        it("does not grant a claim whose release came first", () => {
+        // Guards against a key that stays held for a day: two collectors wrote the same claim, and its claimant
+        // released it in between. If the second record claimed the key again, callers would receive "in progress"
+        // although no entry runs it.
+        it("does not grant a claim after its release", () => {
             const result = fold([[0, claim("a")], [1, release("a")], [2, claim("a")]]);
             expect(result.get(runKey)).toEqual(undefined);
             expect(fold([[0, release("a")], [1, claim("a")]]).get(runKey)).toEqual(undefined);
         });
 
-        // An entry gave up on a pin whose claim it could not read back, but another entry had read it and answered from
-        // that version. Giving the pin back would move the session to another version.
-        it("never gives a pin back", () => {
+        // Guards against a session that changes its version: an entry released a pin whose claim it could not read
+        // back, but another entry had read it and answered from that version.
+        it("never releases a pin", () => {
             const result = fold([[0, claim("a", pinKey, "m@1")], [1, release("a", pinKey)], [
                 2,
                 claim("b", pinKey, "m@2"),
@@ -81,15 +82,16 @@
             expect(result.get(pinKey)?.value).toEqual("m@1");
         });
 
-        it("expires keys by the log's time only, which never goes back", () => {
+        it("expires keys by the log's time only, which never moves back", () => {
             const result = fold([[0, claim("a")], [900, claim("b")], [100, claim("c")]]);
             expect(result.get(runKey)?.id).toEqual("a");
             result.apply(createEntry(3, 1_001, [claim("d")]));
             expect(result.get(runKey)?.id).toEqual("d");
         });
 
-        // The log service's clock is set back. A key that is claimed then must still be kept for its whole lifetime.
-        it("keeps a key for its lifetime when the log's clock went back", () => {
+        // Guards against a second run when the clock of the log service is set back: a key that is claimed then must be
+        // retained for its whole lifetime.
+        it("retains a key for its lifetime when the log's clock was set back", () => {
             const result = new ClaimFold(lifetimes);
             result.apply(createEntry(0, 900, []));
             result.apply(createEntry(1, 100, [claim("a")]));
@@ -106,7 +108,7 @@
             expect(result.get(pinKey)?.value).toEqual("m@1");
         });
 
-        it("passes over a repeated record and unknown kinds", () => {
+        it("ignores a repeated record", () => {
             const result = new ClaimFold(lifetimes);
             result.apply(createEntry(0, 0, [claim("a")], "same"));
             result.apply(createEntry(1, 1, [release("a")]));
@@ -133,7 +135,7 @@
             });
         });
 
-        it("never has two claims granted at once, nor a second one after an outcome", () => {
+        it("never grants two claims at once, nor another one after an outcome", () => {
             fc.assert(fc.property(entries, all => {
                 const result = new ClaimFold(lifetimes);
                 const completed = new Map<string, number>();
@@ -157,7 +159,7 @@
             }));
         });
 
-        it("gives every reader the same state, from the start or from a snapshot at any place", () => {
+        it("gives every reader the same state, from the start or from a snapshot at any offset", () => {
             fc.assert(fc.property(entries, fc.nat(25), fc.integer({ min: 1, max: 3 }), (all, place, items) => {
                 const whole = new ClaimFold(lifetimes);
                 const first = new ClaimFold(lifetimes);
@@ -176,7 +178,7 @@
             }));
         });
 
-        it("is not moved by a prefix that it has folded already", () => {
+        it("does not change when a folded prefix is applied again", () => {
             fc.assert(fc.property(entries, fc.nat(25), (all, length) => {
                 const result = new ClaimFold(lifetimes);
                 for (const entry of all) {
--- a/test/claims/claimsOverHttp.test.ts
+++ b/test/claims/claimsOverHttp.test.ts
@@ -11,7 +11,7 @@
 const keys = 30;
 const attempts = 150;
 
-/** Creates an entry's claims over HTTP to a log service. */
+/** Creates a claim client of an entry that uses a log service over HTTP. */
 function createNode(name: string, url: string, collector?: ClaimNode): ClaimNode {
     const clock = systemClock;
     const { journal } = createJournal(name);
@@ -32,14 +32,15 @@
     const stopLater = (nodes: readonly ClaimNode[]): void => {
         running.push(...nodes);
     };
-    // Also after a test that failed: a node that goes on reading the log keeps the file from ever ending and its cause from being seen.
+    // Also runs after a failed test: a node that keeps reading the log would prevent the test process from exiting, so
+    // the failure would not be printed.
     afterEach(async () => {
         await Promise.all(running.splice(0).map(node => node.stop()));
     });
 
-    // Three entries race for the same keys against a real log service that loses acknowledgements and whole requests,
-    // is out for a moment and is frozen for a moment. A plain service's count would show a key that ran twice.
-    it("never grants a key twice while the log loses answers, is out and is frozen", async () => {
+    // Guards against a second run: three entries race for the same keys against a real log service that loses
+    // acknowledgements and requests, has an outage, and is frozen for a short time.
+    it("never grants a key twice while the log loses responses, has an outage and is frozen", async () => {
         await withProcesses(async group => {
             const log = await group.startStandin("log", addresses.next(), { lostAcknowledgementProbability: 0.2 });
             const url = `http://${log.getAddress()}`;
@@ -77,9 +78,9 @@
         });
     });
 
-    // The log is away, and comes back. Meanwhile callers are refused, and afterwards the keys of those who gave up are
-    // free again, since their claims are released.
-    it("frees keys that were given up during an outage", async () => {
+    // Guards against keys that stay held after an outage of the log: callers are refused during the outage, and the
+    // keys of their abandoned claims must be released afterwards.
+    it("frees keys of claims that were abandoned during an outage", async () => {
         await withProcesses(async group => {
             const log = await group.startStandin("log", addresses.next());
             const node = createNode("a", `http://${log.getAddress()}`);
--- a/test/claims/collector.test.ts
+++ b/test/claims/collector.test.ts
@@ -9,7 +9,7 @@
 const partitions = 2;
 const key = createRunKey("dalisay", "label-1");
 const stream = `claims-${getPartition(key, partitions)}`;
-/** How long a claim may take that is expected to fail. */
+/** Timeout of claims that are expected to fail. */
 const decideMilliseconds = 200;
 const nodes: ClaimNode[] = [];
 
@@ -36,7 +36,7 @@
     });
 
     describe("decide", () => {
-        it("puts claims that arrive together into one record", async () => {
+        it("appends claims that arrive together in one record", async () => {
             const log = new MemoryLog();
             const node = createNode(log, { name: "a" });
             const attempts = [];
@@ -48,9 +48,10 @@
             expect(records).toEqual(partitions);
         });
 
-        // Outcomes in other scripts take three bytes a character. Counted in characters, a record grows past what the log
-        // takes, is refused for ever, and no claim of the partition is decided any more.
-        it("keeps records below the log's bound, in bytes", async () => {
+        // Guards against a blocked partition: characters of some scripts take three bytes. If records were limited by
+        // characters, they could exceed the limit of the log, would be rejected for ever, and no claim of the partition
+        // would be decided.
+        it("keeps records below the log's limit in bytes", async () => {
             const log = new MemoryLog();
             const node = createNode(log, { name: "a" });
             const attempts = [];
@@ -65,7 +66,7 @@
             }
         });
 
-        it("writes nothing for a key that is held", async () => {
+        it("appends no record for a key that is held", async () => {
             const log = new MemoryLog();
             const node = createNode(log, { name: "a" });
             await claim(node, "r1");
@@ -76,8 +77,8 @@
     });
 
     describe("after a gap", () => {
-        // The record of a claim has expired from the log before a fresh VM could read it. Granting the key again would
-        // run the request twice, so the VM must refuse until it has the whole state.
+        // Guards against a second run: the record of a claim has expired from the log before a new VM could read it.
+        // The VM must refuse claims until its state is complete.
         it("decides nothing while claims may be missing", async () => {
             const log = new MemoryLog();
             await claim(createNode(log, { name: "old" }), "r1");
@@ -87,8 +88,8 @@
             expect(claimed.isErr()).toEqual(true);
         });
 
-        // A VM that knows only a part of the claims must not write a snapshot: other VMs would take the part for the
-        // whole, and grant again what is missing from it.
+        // Guards against a second run: if a VM with an incomplete state wrote a snapshot, other VMs would use it as the
+        // complete state and grant the missing keys again.
         it("writes no snapshot while claims may be missing", async () => {
             const log = new MemoryLog();
             await claim(createNode(log, { name: "old" }), "r1");
@@ -100,7 +101,7 @@
             expect(countRecords(log, "claims-snapshot")).toEqual(0);
         });
 
-        it("goes on from a snapshot that was written before the expiry", async () => {
+        it("continues from a snapshot that was written before the expiry", async () => {
             const log = new MemoryLog();
             const old = createNode(log, { name: "old", snapshotMilliseconds: 20 });
             await claim(old, "r1");
@@ -113,9 +114,10 @@
             expect(claimed._unsafeUnwrap().kind).toEqual("held");
         });
 
-        // A snapshot writer was paused and its snapshot arrives late: records between what it covers and what can still
-        // be read are gone. Taken in, it would lead to the same gap again, and the VM would read the stream in a circle.
-        it("does not take a snapshot that leaves records out", async () => {
+        // Guards against an endless loop: a snapshot writer was paused, its snapshot arrives late, and records between
+        // the offset that it covers and the first readable one have expired. Applying it would lead to the same gap
+        // again, and the VM would keep rereading the stream.
+        it("does not apply a snapshot that omits records", async () => {
             const log = new MemoryLog();
             log.put(stream, { id: "x", kind: "other", format: 1, writer: "test", body: {} });
             const writer = createNode(log, { name: "old", snapshotMilliseconds: 20 });
--- a/test/claims/collectorPool.test.ts
+++ b/test/claims/collectorPool.test.ts
@@ -5,9 +5,9 @@
 import { MemoryLog } from "../fixtures/memoryLog.js";
 
 describe("CollectorPool", () => {
-    // A node stops while it still repeats the release of a key that the log did not confirm. The release started a collector anew,
-    // which read the log for good, and the process never ended.
-    it("decides nothing after its stop, and reads the log no more", async () => {
+    // Guards against a process that never exits: a node stops while it retries the release of a key that the log did
+    // not confirm. The retry started a new collector, which kept reading the log.
+    it("decides nothing and does not read the log after it was stopped", async () => {
         const log = new MemoryLog();
         let followers = 0;
         const node = createClaimNode({
--- a/test/claims/sessionToken.test.ts
+++ b/test/claims/sessionToken.test.ts
@@ -5,12 +5,12 @@
 const token = { workspace: "agenzia", session: "bench-1", version: "plan@1", expiresAt: 1_000 };
 
 describe("readSessionToken", () => {
-    it("reads what was signed, also under an older secret", () => {
+    it("reads a signed token, also under an older secret", () => {
         const text = createSessionToken(token, "old");
         expect(readSessionToken(text, ["new", "old"], 999)).toEqual(token);
     });
 
-    it("refuses what was forged, cut short, signed by others or has ended", () => {
+    it("rejects tokens that are forged, truncated, signed with another secret, or expired", () => {
         const text = createSessionToken(token, "secret");
         const [payload, signature] = text.split(".");
         const forged = createSessionToken({ ...token, version: "plan@2" }, "other");
