--- a/src/bills/bill.ts
+++ b/src/bills/bill.ts
@@ -1,5 +1,5 @@
 /**
- * Bills: one for each answered request, whatever it took to answer it.
+ * Bills: one for each answered request, regardless of the number of attempts.
  */
 import { z } from "zod";
 
@@ -24,14 +24,14 @@
 /** @internal */
 export const billsBodySchema = z.object({ bills: z.array(billSchema) });
 
-/** What one version contributed to an answer. */
+/** The contribution of one version to an answer. */
 export interface BillLine {
     readonly version: string;
     readonly inputTokens: number;
-    /** Input tokens that the engine took from its prefix cache. */
+    /** Input tokens that were served from the engine's prefix cache. */
     readonly cachedTokens: number;
     readonly outputTokens: number;
-    /** In the site's currency. */
+    /** Cost in the site's currency. */
     readonly cost: number;
 }
 
@@ -43,23 +43,23 @@
     readonly requestClass: string;
     readonly session?: string;
     readonly lines: readonly BillLine[];
-    /** In the site's currency. */
+    /** Total cost in the site's currency. */
     readonly total: number;
-    /** Wall-clock milliseconds of the entry. */
+    /** Time of the answer in wall-clock milliseconds of the entry. */
     readonly answeredAt: number;
-    /** The entry that answered. */
+    /** The entry that answered the request. */
     readonly entry: string;
 }
 
-/** The stream that bills stand in. */
+/** The stream of bills. */
 export const billsStream = "bills";
-/** The kind of the records that carry bills. */
+/** Kind of records with bills. */
 export const billsKind = "bills";
-/** The format in which this version writes them. */
+/** Format in which this program writes bills. */
 export const billsFormat = 1;
 
 /**
- * Reads a bill that a peer sent.
+ * Parses a bill that a peer sent. Returns undefined if it is invalid.
  * @param text - The bill as JSON.
  */
 export function parseBill(text: string): Bill | undefined {
--- a/src/bills/billAppender.ts
+++ b/src/bills/billAppender.ts
@@ -1,5 +1,5 @@
 /**
- * Appends bills to the log in batches, and goes on until they stand there.
+ * Appends bills to the log in batches, and retries until the log confirms them.
  */
 import { randomUUID } from "node:crypto";
 import { type AppendRecord } from "../log/logAccess.js";
@@ -13,7 +13,7 @@
     readonly #append: AppendRecord;
     readonly #writer: string;
     readonly #createId: () => string;
-    /** The record that was sent last and not confirmed; it is sent again unchanged. */
+    /** The last record that was sent but not confirmed. It is sent again without changes. */
     #unconfirmed: { readonly record: LogRecord; readonly bills: readonly Bill[]; } | undefined;
 
     constructor(
@@ -25,9 +25,9 @@
     }
 
     /**
-     * Appends as many bills as fit into one record.
-     * @param bills - The bills that wait, oldest first.
-     * @returns The bills that now stand in the log; none if the log did not confirm.
+     * Appends as many bills as one record can hold.
+     * @param bills - The waiting bills, oldest first.
+     * @returns The bills that are now in the log; empty if the log did not confirm the record.
      */
     async appendBatch(bills: Iterable<Bill>): Promise<readonly Bill[]> {
         this.#unconfirmed ??= this.#createBatch(bills);
@@ -38,8 +38,9 @@
         }
         const appended = await this.#append(billsStream, batch.record);
         if (appended.isErr()) {
-            // A record that may stand in the log already is kept as it is. Bills cut into other batches would be just
-            // as safe, for the ledger removes repeats, but each retry of a long outage would add to the stream.
+            // The record may already be in the log, so it is retried without changes. Bills in different batches would
+            // be just as safe, since the ledger removes repeats, but each retry of a long outage would add a record to
+            // the stream.
             return [];
         }
         this.#unconfirmed = undefined;
--- a/src/bills/billReplicaStore.ts
+++ b/src/bills/billReplicaStore.ts
@@ -1,9 +1,9 @@
 /**
- * Keeps copies of other entries' bills, and appends them when their origin can't.
+ * Stores replicas of other entries' bills, and appends them when their origin cannot.
  *
- * A copy is dropped only after its origin, or this keeper's own append, has put the bill into the log. Dropping it when
- * the origin merely seems alive would lose the bill if the origin died a moment later. Appending one too often is
- * harmless: the ledger counts one bill for each request.
+ * A replica is removed only after its origin, or this store itself, has appended the bill to the log. If it were
+ * removed because the origin appears alive, the bill would be lost if the origin died a moment later. An unnecessary
+ * append is harmless, because the ledger counts one bill for each request.
  */
 import type { Clock } from "../common/index.js";
 import { events, type Journal } from "../events/index.js";
@@ -19,24 +19,25 @@
 const flushPauseMilliseconds = 100;
 const sourceReuseMilliseconds = 1_000;
 
-/** Options of a keeper. */
+/** Options of a replica store. */
 export interface BillReplicaStoreOptions {
     readonly append: AppendRecord;
     readonly clock: Clock;
     readonly journal: Journal;
     /** Name of this entry. */
     readonly writer: string;
-    /** Tells whether an origin is gone, so that its bills are now this keeper's to append. */
+    /** Returns whether an origin has departed, so that this store must append its bills. */
     readonly hasDeparted: (origin: string) => boolean;
     /**
-     * Gives the run of an origin. A process that is killed and started again on its VM within seconds is never seen as
-     * gone, and its new run knows nothing of the bills of the old one; they would wait for the time of confirmation.
+     * Returns the incarnation of an origin. A process that is killed and restarted on its VM within seconds never
+     * counts as departed, and its new run does not know the bills of the old one. Without the incarnation, these bills
+     * would wait for the confirmation timeout.
      */
     readonly getIncarnation?: (origin: string) => string | undefined;
-    /** How long an origin that is alive may leave a bill unconfirmed. Longer than its time between appends. */
+    /** How long an origin that is alive may leave a bill unconfirmed. Must exceed the interval between its appends. */
     readonly confirmTimeoutMilliseconds?: number;
     readonly maxBills?: number;
-    /** The peers to hand copies to when this entry leaves while the log is away. */
+    /** Returns the peers that receive the replicas when this entry leaves while the log is unavailable. */
     readonly getCopyTargets?: () => readonly BillCopyTarget[];
 }
 
@@ -46,20 +47,23 @@
     readonly source: BillSource;
 }
 
-/** Where the bills of one origin's second came from. They share it: a call carries one or two bills only. */
+/**
+ * Source of the bills that one origin sent within a second. Replicas share it, since a call carries only one or two
+ * bills.
+ */
 interface BillSource {
     readonly origin: string;
     readonly incarnation: string | undefined;
     readonly retainedAt: number;
 }
 
-/** What is known of the entry that a copy came from. */
+/** State of the entry that a replica came from. */
 interface OriginState {
     readonly hasDeparted: boolean;
     readonly incarnation: string | undefined;
 }
 
-/** Keeps copies of bills. */
+/** Stores replicas of bills. */
 export class BillReplicaStore {
     readonly #options: BillReplicaStoreOptions;
     readonly #appender: BillAppender;
@@ -73,29 +77,29 @@
         this.#appender = new BillAppender({ append: options.append, writer: options.writer });
     }
 
-    /** Begins to look for bills whose origin is gone. */
+    /** Starts checking for bills whose origin has departed. */
     start(): void {
         this.#timer ??= setInterval(() => void this.appendDue(), checkIntervalMilliseconds);
         this.#timer.unref();
     }
 
-    /** Ends looking. */
+    /** Stops checking. */
     stop(): void {
         clearInterval(this.#timer);
         this.#timer = undefined;
     }
 
-    /** Returns how many copies are kept. */
+    /** Returns the number of replicas. */
     getSize(): number {
         return this.#replicas.size;
     }
 
     /**
-     * Keeps copies, and drops those that the origin has appended. Answers a peer's call.
-     * @param origin - The entry that sends them.
+     * Stores replicas, and removes those that the origin has appended. Handles a peer's call.
+     * @param origin - The entry that answered the requests.
      * @param bills - Bills as JSON.
-     * @param appended - Request identifiers that stand in the log.
-     * @returns The request identifiers that are kept from now on. A bill that cannot be read, or finds no room, is not.
+     * @param appended - Request identifiers of bills that are in the log.
+     * @returns The request identifiers of the stored bills, without those that cannot be parsed or exceed the capacity.
      */
     retain(origin: string, bills: readonly string[], appended: readonly string[]): readonly string[] {
         for (const requestId of appended) {
@@ -105,8 +109,8 @@
         const retained: string[] = [];
         for (const text of bills) {
             const bill = parseBill(text);
-            const hasRoom = this.#replicas.size < (this.#options.maxBills ?? defaultMaxBills);
-            if (bill === undefined || !hasRoom) {
+            const hasCapacity = this.#replicas.size < (this.#options.maxBills ?? defaultMaxBills);
+            if (bill === undefined || !hasCapacity) {
                 continue;
             }
             const { requestId } = bill;
@@ -116,20 +120,21 @@
         return retained;
     }
 
-    /** Appends the bills whose origin is gone or has not confirmed them in time, as many as one record holds. */
+    /** Appends bills whose origin has departed or has not confirmed them in time, up to one record. */
     async appendDue(): Promise<void> {
-        // Each origin is looked up once: tens of thousands of copies, each compared with all members, held up the loop.
+        // Each origin is looked up once: looking up the members for each of tens of thousands of replicas blocked the
+        // event loop.
         const origins = new Map<string, OriginState>();
-        // Origins come and go for as long as this process runs.
+        // Cleared, since the set of origins changes for as long as this process runs.
         this.#lastSources.clear();
         await this.#appendWhere(replica => this.#isDue(replica, origins));
     }
 
     /**
-     * Appends every copy, for a shutdown of this entry. What the log does not take in time is handed to a peer: its
-     * origin may be dead already, and this copy the last.
-     * @param milliseconds - How long to try.
-     * @returns How many copies no one took.
+     * Appends all replicas, for a shutdown of this entry. Replicas that the log does not confirm in time are
+     * transferred to a peer, since their origin may be dead and this replica may be the last one.
+     * @param milliseconds - How long to retry.
+     * @returns The number of replicas that neither the log nor a peer accepted.
      */
     async flush(milliseconds: number): Promise<number> {
         const deadline = this.#options.clock.monotonic() + milliseconds;
@@ -162,7 +167,7 @@
     async #transferReplicas(): Promise<void> {
         for (const target of this.#options.getCopyTargets?.() ?? []) {
             for (const [origin, bills] of this.#getByOrigin()) {
-                // The origin itself keeps its own bills while it lives.
+                // A live origin still holds its own bills.
                 const retained = target.id === origin ? [] : await target.copy(bills, [], origin) ?? [];
                 for (const requestId of retained) {
                     this.#replicas.delete(requestId);
@@ -194,7 +199,7 @@
         return { hasDeparted: this.#options.hasDeparted(origin), incarnation: this.#options.getIncarnation?.(origin) };
     }
 
-    async #appendWhere(predicate: (kept: BillReplica) => boolean): Promise<void> {
+    async #appendWhere(predicate: (replica: BillReplica) => boolean): Promise<void> {
         if (this.#isAppending) {
             return;
         }
@@ -218,7 +223,7 @@
     return unpackBill(requestId, packed);
 }
 
-/** Unpacks as many as one record holds, and no more. */
+/** Unpacks bills lazily, so that only those of one record are unpacked. */
 function* unpackEach(replicas: Iterable<BillReplica>): Iterable<Bill> {
     for (const bill of replicas) {
         yield unpack(bill);
--- a/src/bills/billWriter.ts
+++ b/src/bills/billWriter.ts
@@ -1,9 +1,10 @@
 /**
- * Keeps this entry's bills until the log holds them.
+ * Holds this entry's bills until the log confirms them.
  *
- * A bill in one process's memory dies with it, and the log is too slow and too rare to be asked once a request. So the
- * last byte of an answer waits only until a second VM, in another failure domain, holds a copy; the append follows in
- * a batch. If this entry dies first, the copy's keeper appends it.
+ * A bill that only exists in the memory of one process is lost with it, and an append for each request would be too
+ * slow and would exceed the log's rate limit. The last byte of an answer therefore waits only until a second VM, in
+ * another failure domain, stores a replica. The append follows in a batch. If this entry dies first, the replica holder
+ * appends the bill.
  */
 import { err, ok, type Result } from "neverthrow";
 import { type Clock, Failure } from "../common/index.js";
@@ -15,22 +16,22 @@
 
 const defaultIntervalMilliseconds = 1_000;
 const defaultMaxBills = 20_000;
-/** The share of the buffer at which new work is refused; the rest is for what is being answered already. */
+/** Fraction of the buffer from which new work is refused. The rest is reserved for requests in flight. */
 const fullThreshold = 0.8;
 const copyBatchDelayMilliseconds = 2;
 const maxBillsPerCopyCall = 500;
 const defaultCopyTimeoutMilliseconds = 10_000;
 const flushPauseMilliseconds = 100;
-/** How many peers keep a bill that an entry leaves behind while the log is away. */
+/** Number of peers that hold a bill when this entry stops while the log is unavailable. */
 const replicasOnShutdown = 2;
 
-/** A peer that can keep copies. */
+/** A peer that can store replicas. */
 export interface BillCopyTarget {
     readonly id: string;
     /**
-     * Asks the peer to keep bills, and tells it which were appended. `origin` is the entry that answered the requests;
-     * by default this one.
-     * @returns The request identifiers that it keeps, or undefined when it did not answer.
+     * Sends bills that the peer should store, and identifiers of bills that were appended. `origin` is the entry that
+     * answered the requests; the default is this entry.
+     * @returns The request identifiers of the bills that the peer stores, or undefined when it did not answer.
      */
     readonly copy: (
         bills: readonly Bill[],
@@ -39,19 +40,25 @@
     ) => Promise<readonly string[] | undefined>;
 }
 
-/** Options of a writer of bills. */
+/** Options of a bill writer. */
 export interface BillWriterOptions {
     readonly append: AppendRecord;
-    /** The peers to ask for a copy, best first: alive, and in another failure domain than this entry. */
+    /**
+     * Returns the peers that may store replicas, in order of preference: alive, and in another failure domain than this
+     * entry.
+     */
     readonly getCopyTargets: () => readonly BillCopyTarget[];
     readonly clock: Clock;
     readonly journal: Journal;
     /** Name of this entry. */
     readonly writer: string;
-    /** Time between two appends. It grows with the number of entries, so that all together stay below the log's rate. */
+    /**
+     * Returns the time between two appends. It grows with the number of entries, so that their total rate stays below
+     * the log's rate limit.
+     */
     readonly getIntervalMilliseconds?: () => number;
     readonly maxBills?: number;
-    /** How long a bill may wait for its copy or its append before `add` fails. */
+    /** How long a bill may wait for its replica or its append before `add` fails. */
     readonly copyTimeoutMilliseconds?: number;
 }
 
@@ -60,13 +67,13 @@
 interface WaitingBill {
     readonly requestId: string;
     readonly packed: PackedBill;
-    /** The peers that keep a copy. Bills of a batch share the list. */
+    /** The peers that hold a replica. Bills of a batch share the array. */
     replicaHolders: readonly BillCopyTarget[];
-    /** Tells those who wait for the bill; nobody does once it has its copy. */
+    /** Resolve callbacks of the calls of `add` that wait for this bill; empty once it has a replica. */
     resolveCallbacks: readonly ResolveCallback[];
 }
 
-/** One list for all bills that have none: an outage keeps tens of thousands. */
+/** Shared by all bills without a replica holder, since an outage leaves tens of thousands of them. */
 const noReplicaHolders: readonly BillCopyTarget[] = [];
 const noResolveCallbacks: readonly ResolveCallback[] = [];
 
@@ -86,36 +93,36 @@
         this.#appender = new BillAppender({ append: options.append, writer: options.writer });
     }
 
-    /** Begins to append. */
+    /** Starts periodic appends. */
     start(): void {
         this.#isStarted = true;
         this.#scheduleAppend();
     }
 
-    /** Ends appending. Bills that the log does not hold yet are lost unless `flush` succeeded or a peer keeps them. */
+    /** Stops appending. Bills that are not in the log are lost unless `flush` succeeded or a peer holds a replica. */
     stop(): void {
         this.#isStarted = false;
         clearTimeout(this.#appendTimer);
         clearTimeout(this.#copyTimer);
     }
 
-    /** Returns how many bills the log does not hold yet. */
+    /** Returns the number of bills that are not in the log. */
     getSize(): number {
         return this.#waiting.size;
     }
 
-    /** Tells whether new billable work must be refused, because its bill might find no room. */
+    /** Returns whether new billable work must be refused, because its bill might exceed the capacity. */
     isFull(): boolean {
         return this.#waiting.size >= (this.#options.maxBills ?? defaultMaxBills) * fullThreshold;
     }
 
     /**
-     * Takes a bill in.
+     * Adds a bill.
      *
-     * Fails when neither a second VM nor the log has the bill in time. The bill is kept and appended all the same; the
-     * failure tells the caller of this method that it is not yet safe from this VM's death. Beyond the bound a bill is
-     * still taken in: its work is done, and `isFull` has refused new work long before.
-     * @param bill - The bill. A second one for the same request is the same bill.
+     * Fails when neither a second VM nor the log has the bill in time. The bill is still held and appended; the failure
+     * means that it would be lost if this VM died. A bill beyond the capacity is still accepted: its work is done, and
+     * `isFull` has refused new work long before.
+     * @param bill - The bill. Another one for the same request counts as the same bill.
      */
     add(bill: Bill): Promise<Result<void, Failure>> {
         return new Promise(resolve => {
@@ -150,12 +157,12 @@
     }
 
     /**
-     * Appends everything that waits, for a shutdown.
+     * Appends all waiting bills, for a shutdown.
      *
-     * When the log does not answer in time, the bills are left to two peers, which append them once this entry is
-     * gone. One would not do: for as long as the log stays away, that peer's death would lose them.
-     * @param milliseconds - How long to try.
-     * @returns A failure if a bill is neither in the log nor with a peer.
+     * When the log does not answer in time, the bills are replicated to two peers, which append them once this entry
+     * has departed. One peer is not sufficient: its death would lose the bills while the log is unavailable.
+     * @param milliseconds - How long to retry.
+     * @returns A failure if a bill is neither in the log nor held by a peer.
      */
     async flush(milliseconds: number): Promise<Result<void, Failure>> {
         const deadline = this.#options.clock.monotonic() + milliseconds;
@@ -195,7 +202,7 @@
                 return;
             }
         }
-        // No second VM took them: they are safe only once the log has them, so the append does not wait for its turn.
+        // No second VM stored these bills. They are safe only once the log has them, so they are appended at once.
         this.#options.journal.write(events.billsNotCopied, { bills: remaining.length });
         void this.#appendOnce();
     }
@@ -220,7 +227,8 @@
             ? replicaHolders
             : [...waiting.replicaHolders, ...replicaHolders];
         resolveAll(waiting);
-        // The append may have overtaken the copy; its keeper would then never be told and append once more.
+        // The append may have finished before the replication. Without this notification, the holder would append the
+        // bill again.
         if (this.#waiting.get(waiting.requestId) !== waiting) {
             for (const holder of replicaHolders) {
                 await holder.copy([], [waiting.requestId]);
@@ -259,7 +267,7 @@
             }
         }
         for (const [holder, requestIds] of appendedByHolder) {
-            // Unheard, the keeper appends them once more, which the ledger removes.
+            // If this notification is lost, the holder appends the bills again, and the ledger removes the repeats.
             void holder.copy([], requestIds);
         }
     }
@@ -277,7 +285,7 @@
     return unpackBill(requestId, packed);
 }
 
-/** Unpacks as many as are asked for: one record holds a small part of what waits in an outage. */
+/** Unpacks bills lazily: one record holds a small part of the bills that wait in an outage. */
 function* unpackEach(waiting: Iterable<WaitingBill>): Iterable<Bill> {
     for (const bill of waiting) {
         yield unpack(bill);
@@ -288,6 +296,6 @@
     return new Failure({
         kind: "unavailable",
         message: "A bill is neither in the log nor copied to another VM yet.",
-        remedy: "Keep this entry running until the log answers; it goes on trying.",
+        remedy: "Keep this entry running until the log answers; it keeps retrying.",
     });
 }
--- a/src/bills/index.ts
+++ b/src/bills/index.ts
@@ -1,4 +1,4 @@
-/** Bills: copied to a second VM, appended in batches, counted once by the ledger. */
+/** Bills: replicated to a second VM, appended in batches, and counted once by the ledger. */
 export * from "./bill.js";
 export * from "./billReplicaStore.js";
 export * from "./billWriter.js";
--- a/src/bills/ledger.ts
+++ b/src/bills/ledger.ts
@@ -1,13 +1,13 @@
 /**
- * The ledger: one bill for each request, from a stream that may hold a bill several times.
+ * The ledger: one bill for each request, from a stream that may contain a bill several times.
  *
- * The first bill of a request in the log's order counts, so every ledger and every restart agrees.
+ * The first bill of a request in the order of the log counts, so every ledger and every restart has the same result.
  */
 import { events, type Journal } from "../events/index.js";
 import type { LogEntry } from "../log/record.js";
 import { type Bill, billsBodySchema, billsKind } from "./bill.js";
 
-/** What a workspace owes. */
+/** Totals of a workspace. */
 export interface WorkspaceTotal {
     readonly workspace: string;
     readonly requests: number;
@@ -16,10 +16,10 @@
     readonly total: number;
 }
 
-/** A bill with its place in the stream. */
+/** A bill with its offset in the stream. */
 export interface LedgerLine {
     readonly offset: number;
-    /** Log time of the record that it came in. */
+    /** Log time of the record that contains the bill. */
     readonly time: number;
     readonly bill: Bill;
 }
@@ -27,22 +27,22 @@
 /** Options of a ledger. */
 export interface LedgerOptions {
     readonly journal: Journal;
-    /** How long, by the log's time, the ledger remembers the requests that it has billed. By default for ever. */
+    /** How long the ledger remembers billed requests, by the log's time. The default is for ever. */
     readonly windowMilliseconds?: number;
-    /** Finds the totals of requests that were billed longer ago than that. Needed with a window. */
+    /** Returns the totals of requests that were billed before the window. Required with a window. */
     readonly findOlder?: (requestIds: ReadonlySet<string>) => ReadonlyMap<string, number>;
 }
 
 interface BilledRequest {
     readonly total: number;
-    /** Log time of its bill. */
+    /** Log time of the record that contains the bill. */
     readonly time: number;
 }
 
 /** Folds the stream of bills. */
 export class Ledger {
     readonly #options: LedgerOptions;
-    /** In the order of log time, so that forgetting only looks at the front. */
+    /** Ordered by log time, so that expiry only checks the front. */
     readonly #billed = new Map<string, BilledRequest>();
     readonly #workspaces = new Map<string, WorkspaceTotal>();
     #offset = -1;
@@ -56,32 +56,36 @@
         this.#options = options;
     }
 
-    /** Returns the offset to read next. */
+    /** Returns the next offset to read. */
     getNextOffset(): number {
         return this.#offset + 1;
     }
 
-    /** Returns how many requests are billed. */
+    /** Returns the number of billed requests. */
     getSize(): number {
         return this.#requests;
     }
 
-    /** Returns how many repeats were removed, how many of them differed, and how often bills expired unread. */
+    /**
+     * Returns the number of removed repeats, the number of repeats with another total, and the number of gaps in which
+     * bills expired unread.
+     */
     getCounts(): { readonly repeats: number; readonly conflicts: number; readonly gaps: number; } {
         return { repeats: this.#repeats, conflicts: this.#conflicts, gaps: this.#gaps };
     }
 
-    /** Returns the totals of all workspaces, by name. */
+    /** Returns the totals of all workspaces, sorted by name. */
     getTotals(): readonly WorkspaceTotal[] {
         return [...this.#workspaces.values()].sort((left, right) => left.workspace < right.workspace ? -1 : 1);
     }
 
     /**
-     * Takes in a line that an earlier run of the ledger wrote.
+     * Restores a line that an earlier run of the ledger wrote.
      * @param line - The line.
      */
     restore({ offset, time, bill }: LedgerLine): void {
-        // The run may have ended within a record, so that record is read again and its written bills are repeats.
+        // The earlier run may have ended within a record, so that record is read again. Its written bills count as
+        // repeats.
         this.#offset = Math.max(this.#offset, offset - 1);
         this.#logTime = Math.max(this.#logTime, time);
         this.#forgetExpired();
@@ -89,9 +93,9 @@
     }
 
     /**
-     * Folds an entry in.
+     * Folds an entry.
      * @param entry - The next entry of the stream.
-     * @returns The bills in it that are the first of their request.
+     * @returns The bills of the entry that are the first of their request.
      */
     apply(entry: LogEntry): readonly Bill[] {
         if (entry.offset <= this.#offset) {
@@ -120,7 +124,7 @@
     }
 
     /**
-     * Notes that entries expired before they were read: their bills are missing, and the ledger must say so.
+     * Records that entries expired before they were read. Their bills are missing, and the report shows the gap.
      * @param earliest - The first offset that can still be read.
      */
     handleGap(earliest: number): void {
@@ -142,9 +146,9 @@
     }
 
     /**
-     * Looks up bills so old that their requests may have been forgotten. An entry that was paused for days appends its
-     * bills when it wakes, long after their keepers did. Half the window is left for clocks of entries that differ
-     * from the log's.
+     * Finds totals of bills that are so old that their requests may have expired from memory. An entry that was paused
+     * for days appends its bills after the pause, long after the replica holders did. Half of the window is a margin
+     * for entries whose clocks differ from the log's.
      */
     #findOlder(bills: readonly Bill[]): ReadonlyMap<string, number> {
         const { windowMilliseconds, findOlder } = this.#options;
--- a/src/bills/ledgerFile.ts
+++ b/src/bills/ledgerFile.ts
@@ -1,8 +1,8 @@
 /**
- * The ledger's output file: one JSON line for each billed request.
+ * The ledger's output file, with one JSON line for each billed request.
  *
- * The file is all that a ledger remembers. A run that was killed leaves at worst a last line without its end; it is cut
- * off, and the record that it came from is read again.
+ * The file is the only persistent state of a ledger. A killed run leaves at most one incomplete last line. That line is
+ * truncated, and its record is read again.
  */
 import { closeSync, fstatSync, ftruncateSync, openSync, readSync, writeSync } from "node:fs";
 import type { LedgerLine } from "./ledger.js";
@@ -10,18 +10,18 @@
 const chunkBytes = 64 * 1024;
 const newline = 0x0a;
 
-/** Appends lines to the file, and reads what an earlier run wrote. */
+/** Appends lines to the file, and reads the lines of earlier runs. */
 export class LedgerFile {
     readonly #descriptor: number;
 
-    /** @param path - The file; it is created if need be. */
+    /** @param path - The file. It is created if it does not exist. */
     constructor(path: string) {
         this.#descriptor = openSync(path, "a+");
     }
 
     /**
-     * Reads the lines of earlier runs, and cuts off a last line that has no end.
-     * @param onLine - Takes each line in order.
+     * Reads the lines of earlier runs, and truncates an incomplete last line.
+     * @param onLine - Receives each line in order.
      */
     restore(onLine: (line: LedgerLine) => void): void {
         const incompleteBytes = this.#readLines(onLine);
@@ -31,7 +31,7 @@
     }
 
     /**
-     * Finds the totals of requests by reading the whole file. Meant for the few bills that come days late.
+     * Finds the totals of requests by reading the whole file, for the few bills that arrive days late.
      * @param requestIds - The requests.
      */
     find(requestIds: ReadonlySet<string>): ReadonlyMap<string, number> {
@@ -54,7 +54,7 @@
         }
     }
 
-    /** Reads all lines, and returns how many bytes at the end belong to a line without an end. */
+    /** Reads all complete lines, and returns the number of bytes in an incomplete last line. */
     #readLines(onLine: (line: LedgerLine) => void): number {
         const size = fstatSync(this.#descriptor).size;
         let position = 0;
--- a/src/bills/ledgerMain.ts
+++ b/src/bills/ledgerMain.ts
@@ -22,7 +22,7 @@
     });
     const listen = parseListen(values.listen);
     if (values.log === undefined || (values.out === undefined && values.listen === undefined)) {
-        console.error(`${usage}\nGive the log's URL and at least one of --out and --listen.`);
+        console.error(`${usage}\nSpecify the log's URL and at least one of --out and --listen.`);
         process.exit(exitCodes.badInput);
     }
     if (values.listen !== undefined && listen === undefined) {
@@ -43,7 +43,7 @@
     console.log(`ready ledger ${values.listen ?? values.out}`);
     let stopping: Promise<void> | undefined;
     for (const signal of ["SIGTERM", "SIGINT"] as const) {
-        // Without a listener a second signal would end the process at once, in the middle of writing its file.
+        // Without this listener, a second signal would end the process at once while it writes its file.
         process.on(signal, () => void (stopping ??= stop(ledger, journal, values.json)));
     }
 }
@@ -67,7 +67,7 @@
         `${total.workspace}: ${total.requests} requests, ${total.inputTokens} input and ${total.outputTokens} output `
         + `tokens, ${total.total.toFixed(6)} in all`
     );
-    const warning = report.gaps > 0 ? ["NOT WHOLE: bills expired from the log before they were read"] : [];
+    const warning = report.gaps > 0 ? ["INCOMPLETE: bills expired from the log before they were read"] : [];
     return [...lines, ...warning, `${report.requests} requests, ${report.repeats} repeats removed`].join("\n");
 }
 
--- a/src/bills/ledgerProgram.ts
+++ b/src/bills/ledgerProgram.ts
@@ -1,5 +1,5 @@
 /**
- * Runs a ledger: follows the stream of bills, keeps the ledger, writes it to a file and answers HTTP.
+ * Runs a ledger: follows the stream of bills, folds it, writes it to a file and serves it over HTTP.
  */
 import Koa from "koa";
 import type { Server } from "node:http";
@@ -10,41 +10,44 @@
 import { Ledger, type LedgerLine, type WorkspaceTotal } from "./ledger.js";
 import { LedgerFile } from "./ledgerFile.js";
 
-/** After this long a stop closes connections that are still at work. */
+/** Timeout after which `stop` closes connections with requests in flight. */
 const closeTimeoutMilliseconds = 1_000;
-/** Request identifiers stay in memory for so long, by the log's time; older ones are looked up in the file. */
+/** Request identifiers stay in memory for this time, by the log's time. Older ones are looked up in the file. */
 const defaultWindowMilliseconds = 24 * 3_600_000;
 
-/** Options of a ledger's program. */
+/** Options of a ledger program. */
 export interface LedgerProgramOptions {
     readonly follow: FollowStream;
     readonly journal: Journal;
-    /** File to write bills to, and to go on from after a restart. */
+    /** File for the bills, from which the ledger continues after a restart. */
     readonly out?: string;
-    /** How long, by the log's time, billed requests are remembered outside the file. */
+    /** How long billed requests are retained in memory, by the log's time. */
     readonly windowMilliseconds?: number;
-    /** Where to answer `GET /bills` and `GET /totals`. */
+    /** Address that serves `GET /bills` and `GET /totals`. */
     readonly listen?: { readonly host: string; readonly port: number; };
 }
 
-/** What `GET /totals` answers. */
+/** Response of `GET /totals`. */
 export interface LedgerReport {
-    /** The offset of the stream up to which the ledger goes. */
+    /** The next offset of the stream that the ledger reads. */
     readonly next: number;
     readonly requests: number;
     readonly repeats: number;
     readonly conflicts: number;
-    /** How often bills expired from the log before the ledger read them. Above 0 the ledger is not whole. */
+    /**
+     * Number of gaps in which bills expired from the log before the ledger read them. Above 0, the ledger is
+     * incomplete.
+     */
     readonly gaps: number;
     readonly workspaces: readonly WorkspaceTotal[];
 }
 
-/** A ledger that runs. */
+/** A ledger that follows the log. */
 export class LedgerProgram {
     readonly #options: LedgerProgramOptions;
     readonly #ledger: Ledger;
     readonly #file: LedgerFile | undefined;
-    /** Kept only to be shown by `GET /bills`. */
+    /** Retained only for `GET /bills`. */
     readonly #bills: Bill[] = [];
     readonly #reader: StreamReader;
     #server: Server | undefined;
@@ -76,7 +79,7 @@
         });
     }
 
-    /** Begins to read, and to answer HTTP if wanted. */
+    /** Starts reading, and serves HTTP if an address is configured. */
     async start(): Promise<void> {
         this.#reader.start();
         const { listen } = this.#options;
@@ -88,14 +91,14 @@
         }
     }
 
-    /** Ends reading, and closes the file and the server. */
+    /** Stops reading, and closes the file and the server. */
     async stop(): Promise<void> {
         await this.#reader.stop();
         this.#file?.close();
         await this.#closeServer();
     }
 
-    /** Lets answers under way end within a bound, so that whoever asks at that moment gets a whole list of bills. */
+    /** Lets requests in flight finish within a timeout, so that their clients receive a complete list of bills. */
     async #closeServer(): Promise<void> {
         const server = this.#server;
         if (server === undefined) {
--- a/src/bills/packedBill.ts
+++ b/src/bills/packedBill.ts
@@ -1,17 +1,17 @@
 /**
- * A bill as it waits in memory: one text without the names of its fields.
+ * The form of a bill in memory: one string without field names.
  *
- * In an outage of an hour an entry keeps tens of thousands of bills and copies of as many. As objects they take several times the
- * room, and the process would run out of memory before it reaches the bound at which it refuses work.
+ * In an outage of an hour, an entry holds tens of thousands of bills and as many replicas. As objects, they would take
+ * several times the memory, and the process would run out of it before it reaches the limit at which it refuses work.
  */
 import type { Bill, BillLine } from "./bill.js";
 
 type PackedLine = readonly [string, number, number, number, number];
-/** JSON has no `undefined`, so the session is a list of one or none. */
+/** JSON has no `undefined`, so the session is an array of one element or none. */
 type PackedSession = readonly [string] | readonly [];
 type PackedFields = readonly [string, string, string, PackedSession, number, number, string, ...PackedLine[]];
 
-/** The text of a bill; the request identifier, under which it is kept, is not in it. */
+/** The packed form of a bill, without the request identifier, which is its key in memory. */
 export type PackedBill = string & { readonly packed: unique symbol; };
 
 /**
@@ -34,9 +34,9 @@
 }
 
 /**
- * Reads a bill back.
- * @param requestId - The request that it is for.
- * @param packed - What `packBill` returned.
+ * Unpacks a bill.
+ * @param requestId - The request of the bill.
+ * @param packed - The result of `packBill`.
  */
 export function unpackBill(requestId: string, packed: PackedBill): Bill {
     const [workspace, application, requestClass, session, total, answeredAt, entry, ...lines] = JSON.parse(
--- a/src/bills/peerBills.ts
+++ b/src/bills/peerBills.ts
@@ -1,5 +1,5 @@
 /**
- * Carries copies of bills between entries.
+ * Transfers replicas of bills between entries.
  */
 import type { CopyBillsReply, CopyBillsRequest } from "../generated/peer.js";
 import type { Member, Membership, NodeIdentity, PeerClient } from "../membership/index.js";
@@ -7,23 +7,23 @@
 import type { BillCopyTarget } from "./billWriter.js";
 
 const callTimeoutMilliseconds = 500;
-/** After so many peers that do not answer, waiting for the log is the quicker way. */
+/** After this number of peers that do not answer, waiting for the log is faster. */
 const maxTargets = 3;
 
-/** Options of asking peers to keep copies. */
+/** Options for replicating bills to peers. */
 export interface PeerBillsOptions {
     readonly self: NodeIdentity;
     readonly membership: Pick<Membership, "getAlive">;
     readonly client: Pick<PeerClient, "copyBills">;
-    /** Gives this node's Lamport counter. */
+    /** Returns this node's Lamport counter. */
     readonly getCounter: () => number;
 }
 
 /**
- * Returns the peers to ask for a copy: alive, in another failure domain, those of the same region first.
+ * Returns the peers that should store replicas: alive and in another failure domain, those of the same region first.
  *
- * A copy in the same failure domain would be lost with the original when its power or switch fails.
- * @param options - How to reach them.
+ * A replica in the same failure domain would be lost together with the original when its power or switch fails.
+ * @param options - The options.
  */
 export function getBillCopyTargets(options: PeerBillsOptions): readonly BillCopyTarget[] {
     const { self, membership } = options;
@@ -36,10 +36,10 @@
 }
 
 /**
- * Answers a peer's call.
- * @param store - This node's keeper.
- * @param request - The call.
- * @param getCounter - Gives this node's Lamport counter.
+ * Handles a peer's call.
+ * @param store - The replica store of this node.
+ * @param request - The request of the peer.
+ * @param getCounter - Returns this node's Lamport counter.
  */
 export function handleCopyBills(
     store: BillReplicaStore,
@@ -70,7 +70,7 @@
     return member.region === self.region ? 0 : 1;
 }
 
-/** Orders identifiers in a ring that begins after this node's, so that not all nodes ask the same peer. */
+/** Orders identifiers in a ring that starts after this node's, so that not all nodes call the same peer. */
 function compareInRing(start: string, left: string, right: string): number {
     if ((left > start) !== (right > start)) {
         return left > start ? -1 : 1;
--- a/test/bills/billReplicaStore.test.ts
+++ b/test/bills/billReplicaStore.test.ts
@@ -9,54 +9,55 @@
 interface Setup {
     readonly log: MemoryLog;
     readonly clock: ManualClock;
-    readonly gone: Set<string>;
-    readonly keeper: BillReplicaStore;
+    readonly departed: Set<string>;
+    readonly replicaStore: BillReplicaStore;
 }
 
 function createSetup(transferTarget?: BillReplicaStore): Setup {
     const log = new MemoryLog();
     const clock = new ManualClock();
-    const gone = new Set<string>();
-    const keeper = new BillReplicaStore({
+    const departed = new Set<string>();
+    const replicaStore = new BillReplicaStore({
         append: log.append,
         clock,
         journal: createJournal("keeper").journal,
         writer: "keeper",
-        hasDeparted: origin => gone.has(origin),
+        hasDeparted: origin => departed.has(origin),
         confirmTimeoutMilliseconds: 1_000,
         getCopyTargets: () => transferTarget === undefined ? [] : [createCopyTarget("next", transferTarget, "keeper")],
     });
-    return { log, clock, gone, keeper };
+    return { log, clock, departed, replicaStore };
 }
 
 function retainBills(store: BillReplicaStore, ...requestIds: string[]): readonly string[] {
     return store.retain("entry-a", requestIds.map(id => JSON.stringify(createBill(id))), []);
 }
 
-describe("BillKeeper", () => {
-    describe("keep", () => {
-        it("names what it keeps and leaves out what it cannot read", () => {
-            const { keeper } = createSetup();
-            expect(keeper.retain("entry-a", [JSON.stringify(createBill("r1")), "{", "{}"], [])).toEqual(["r1"]);
+describe("BillReplicaStore", () => {
+    describe("retain", () => {
+        it("returns the bills that it stores, without those that cannot be parsed", () => {
+            const { replicaStore } = createSetup();
+            expect(replicaStore.retain("entry-a", [JSON.stringify(createBill("r1")), "{", "{}"], [])).toEqual(["r1"]);
         });
 
-        it("drops copies only when told that they are appended", async () => {
-            const { keeper, log } = createSetup();
-            retainBills(keeper, "r1", "r2");
-            await keeper.appendDue();
-            expect(keeper.getSize()).toEqual(2);
-            keeper.retain("entry-a", [], ["r1"]);
-            expect(keeper.getSize()).toEqual(1);
+        it("removes replicas only after they were reported as appended", async () => {
+            const { replicaStore, log } = createSetup();
+            retainBills(replicaStore, "r1", "r2");
+            await replicaStore.appendDue();
+            expect(replicaStore.getSize()).toEqual(2);
+            replicaStore.retain("entry-a", [], ["r1"]);
+            expect(replicaStore.getSize()).toEqual(1);
             expect(log.getEntries("bills").length).toEqual(0);
         });
     });
 
     describe("appendDue", () => {
-        // The log has been away for half an hour and an entry keeps tens of thousands of copies. If each of them looked
-        // its origin up among all members every second, the entry's loop would stand still, and so would every answer.
-        it("looks an origin up once, however many of its bills are kept", async () => {
+        // Guards against a blocked event loop: the log has been unavailable for half an hour, and an entry holds tens
+        // of thousands of replicas. If each of them looked up its origin among all members every second, the entry
+        // would stop answering requests.
+        it("looks up an origin once for all of its bills", async () => {
             const lookUps: string[] = [];
-            const keeper = new BillReplicaStore({
+            const replicaStore = new BillReplicaStore({
                 append: new MemoryLog().append,
                 clock: new ManualClock(),
                 journal: createJournal("keeper").journal,
@@ -66,75 +67,76 @@
                     return false;
                 },
             });
-            retainBills(keeper, ...Array.from({ length: 500 }, (_, index) => `r${index}`));
-            await keeper.appendDue();
+            retainBills(replicaStore, ...Array.from({ length: 500 }, (_, index) => `r${index}`));
+            await replicaStore.appendDue();
             expect(lookUps).toEqual(["entry-a"]);
         });
 
-        // The entry is killed between the last byte of an answer and its append. The caller has the plan and has paid
-        // nothing; the copy's keeper must write the bill.
-        it("appends the bills of an entry that died before it could", async () => {
-            const { keeper, log, gone } = createSetup();
+        // Guards against a lost bill: an entry is killed between the last byte of an answer and its append. The caller
+        // has its answer, and the replica holder must write the bill.
+        it("appends the bills of an entry that died before its append", async () => {
+            const { replicaStore, log, departed } = createSetup();
             const killed = new BillWriter({
                 append: log.append,
-                getCopyTargets: () => [createCopyTarget("keeper", keeper)],
+                getCopyTargets: () => [createCopyTarget("keeper", replicaStore)],
                 clock: systemClock,
                 journal: createJournal("entry-a").journal,
                 writer: "entry-a",
             });
             await killed.add(createBill("r1"));
             killed.stop();
-            gone.add("entry-a");
-            await keeper.appendDue();
+            departed.add("entry-a");
+            await replicaStore.appendDue();
             const ledger = new Ledger({ journal: createJournal().journal });
             for (const entry of log.getEntries("bills")) {
                 ledger.apply(entry);
             }
             expect(ledger.getSize()).toEqual(1);
-            expect(keeper.getSize()).toEqual(0);
+            expect(replicaStore.getSize()).toEqual(0);
         });
 
-        // The origin lives but its word that the bill is appended was lost, or it never managed to append.
-        it("appends what its origin did not confirm in time", async () => {
-            const { keeper, log, clock } = createSetup();
-            retainBills(keeper, "r1");
+        // Guards against a lost bill: the origin is alive, but its report of the append was lost, or it never appended
+        // the bill.
+        it("appends bills that their origin did not confirm in time", async () => {
+            const { replicaStore, log, clock } = createSetup();
+            retainBills(replicaStore, "r1");
             clock.advance(1_001);
-            await keeper.appendDue();
+            await replicaStore.appendDue();
             expect(log.getEntries("bills").length).toEqual(1);
         });
 
-        // The log is away when the origin has died. The copy may be the last one.
-        it("keeps copies until the log confirms them", async () => {
-            for (const fate of ["dropped", "lost", "overloaded"] as const) {
-                const { keeper, log, gone } = createSetup();
-                retainBills(keeper, "r1");
-                gone.add("entry-a");
-                log.decideOutcome = () => fate;
-                await keeper.appendDue();
-                expect(keeper.getSize()).toEqual(1);
+        // Guards against a lost bill: the log is unavailable, the origin has died, and the replica may be the last one.
+        it("retains replicas until the log confirms them", async () => {
+            for (const outcome of ["dropped", "lost", "overloaded"] as const) {
+                const { replicaStore, log, departed } = createSetup();
+                retainBills(replicaStore, "r1");
+                departed.add("entry-a");
+                log.decideOutcome = () => outcome;
+                await replicaStore.appendDue();
+                expect(replicaStore.getSize()).toEqual(1);
             }
         });
     });
 
     describe("flush", () => {
-        // The keeper is replaced while the log is away and the origin is dead: without handing the copy on, the bill
-        // would be gone.
-        it("hands copies to another keeper, under their own origin", async () => {
+        // Guards against a lost bill: the replica holder is replaced while the log is unavailable and the origin is
+        // dead, so its replica must be transferred.
+        it("transfers replicas to another store under their own origin", async () => {
             const next = createSetup();
-            const { keeper, log } = createSetup(next.keeper);
-            retainBills(keeper, "r1");
+            const { replicaStore, log } = createSetup(next.replicaStore);
+            retainBills(replicaStore, "r1");
             log.decideOutcome = () => "dropped";
-            expect(await keeper.flush(0)).toEqual(0);
-            next.gone.add("entry-a");
-            await next.keeper.appendDue();
+            expect(await replicaStore.flush(0)).toEqual(0);
+            next.departed.add("entry-a");
+            await next.replicaStore.appendDue();
             expect(next.log.getEntries("bills").length).toEqual(1);
         });
 
-        it("tells how many copies no one took", async () => {
-            const { keeper, log } = createSetup();
-            retainBills(keeper, "r1", "r2");
+        it("returns the number of replicas that neither the log nor a peer accepted", async () => {
+            const { replicaStore, log } = createSetup();
+            retainBills(replicaStore, "r1", "r2");
             log.decideOutcome = () => "dropped";
-            expect(await keeper.flush(0)).toEqual(2);
+            expect(await replicaStore.flush(0)).toEqual(2);
         });
     });
 });
--- a/test/bills/billWriter.test.ts
+++ b/test/bills/billWriter.test.ts
@@ -50,16 +50,16 @@
     });
 
     describe("add", () => {
-        it("resolves once a peer keeps a copy, before the log has the bill", async () => {
+        it("resolves once a peer holds a replica, before the log has the bill", async () => {
             const log = new MemoryLog();
-            const keeper = createReplicaStore(log);
-            const writer = createWriter(log, [createCopyTarget("b", keeper)]);
+            const replicaStore = createReplicaStore(log);
+            const writer = createWriter(log, [createCopyTarget("b", replicaStore)]);
             expect((await writer.add(createBill("r1"))).isOk()).toEqual(true);
-            expect(keeper.getSize()).toEqual(1);
+            expect(replicaStore.getSize()).toEqual(1);
             expect(log.getEntries("bills").length).toEqual(0);
         });
 
-        it("asks the next peer when the first does not answer or has no room", async () => {
+        it("calls the next peer when the first one does not answer or has no capacity", async () => {
             const log = new MemoryLog();
             const { journal } = createJournal();
             const options = {
@@ -70,27 +70,27 @@
                 hasDeparted: () => false,
             };
             const full = new BillReplicaStore({ ...options, maxBills: 0 });
-            const keeper = createReplicaStore(log);
+            const replicaStore = createReplicaStore(log);
             const writer = createWriter(log, [
                 createCopyTarget("cut", undefined),
                 createCopyTarget("full", full),
-                createCopyTarget("b", keeper),
+                createCopyTarget("b", replicaStore),
             ]);
             expect((await writer.add(createBill("r1"))).isOk()).toEqual(true);
-            expect(keeper.getSize()).toEqual(1);
+            expect(replicaStore.getSize()).toEqual(1);
         });
 
-        // No other VM can be reached. The bill is not safe before the log has it, so the answer's last byte waits for
-        // the append.
-        it("waits for the log when no peer takes a copy", async () => {
+        // Guards against a lost bill: no other VM is reachable, so the last byte of the answer must wait for the
+        // append.
+        it("waits for the log when no peer stores a replica", async () => {
             const log = new MemoryLog();
             const writer = createWriter(log, []);
             expect((await writer.add(createBill("r1"))).isOk()).toEqual(true);
             expect(log.getEntries("bills").length).toEqual(1);
         });
 
-        // Neither peers nor the log answer. The caller must not be told that its bill is safe.
-        it("fails in time when neither a peer nor the log takes the bill, and keeps it", async () => {
+        // Guards against a wrong success: neither peers nor the log answer, so the bill must not be reported as safe.
+        it("fails at its timeout when neither a peer nor the log accepts the bill, and retains it", async () => {
             const log = new MemoryLog();
             log.decideOutcome = () => "dropped";
             const writer = createWriter(log, [], { copyTimeoutMilliseconds: 30 });
@@ -100,32 +100,33 @@
             expect(readLedger(log).getSize()).toEqual(1);
         });
 
-        it("takes a second bill of the same request for the same", async () => {
+        it("treats another bill of the same request as the same bill", async () => {
             const log = new MemoryLog();
-            const keeper = createReplicaStore(log);
-            const writer = createWriter(log, [createCopyTarget("b", keeper)]);
+            const replicaStore = createReplicaStore(log);
+            const writer = createWriter(log, [createCopyTarget("b", replicaStore)]);
             const added = await Promise.all([writer.add(createBill("r1")), writer.add(createBill("r1"))]);
             expect(added.map(result => result.isOk())).toEqual([true, true]);
             expect(writer.getSize()).toEqual(1);
-            expect(keeper.getSize()).toEqual(1);
+            expect(replicaStore.getSize()).toEqual(1);
         });
     });
 
     describe("start", () => {
-        it("appends many bills in a record and tells the keeper", async () => {
+        it("appends many bills in one record and notifies the replica holder", async () => {
             const log = new MemoryLog();
-            const keeper = createReplicaStore(log);
-            const writer = createWriter(log, [createCopyTarget("b", keeper)]);
+            const replicaStore = createReplicaStore(log);
+            const writer = createWriter(log, [createCopyTarget("b", replicaStore)]);
             await Promise.all(Array.from({ length: 300 }, (...[, index]) => writer.add(createBill(`r${index}`))));
             writer.start();
             await waitUntil(() => writer.getSize() === 0, "all bills are appended");
             expect(log.getEntries("bills").length).toEqual(1);
-            expect(keeper.getSize()).toEqual(0);
+            expect(replicaStore.getSize()).toEqual(0);
             expect(readLedger(log).getSize()).toEqual(300);
         });
 
-        // Names in other scripts take three bytes a character; a record past the log's bound would be refused for ever.
-        it("keeps records below the log's bound, in bytes", async () => {
+        // Guards against bills that are rejected for ever: characters of some scripts take three bytes, so records
+        // limited by characters could exceed the limit of the log.
+        it("keeps records below the log's limit in bytes", async () => {
             const log = new MemoryLog();
             const writer = createWriter(log, [createCopyTarget("b", createReplicaStore(log))]);
             const application = "\u6d88".repeat(3_000);
@@ -139,13 +140,14 @@
             expect(readLedger(log).getSize()).toEqual(60);
         });
 
-        // The log is away for a while, loses answers and refuses. Bills wait, and each must be there once at the end.
-        it("keeps bills over outages and lost acknowledgements", async () => {
+        // Guards against lost and repeated bills: the log is unavailable for a while, loses acknowledgements and
+        // rejects appends. Each bill must be counted once in the end.
+        it("retains bills over outages and lost acknowledgements", async () => {
             for (let seed = 1; seed <= 10; seed += 1) {
                 const random = new RandomSource(seed);
                 const log = new MemoryLog();
-                const fates = ["taken", "lost", "dropped", "dropped", "overloaded"] as const;
-                log.decideOutcome = () => fates[random.nextInteger(fates.length)];
+                const outcomes = ["taken", "lost", "dropped", "dropped", "overloaded"] as const;
+                log.decideOutcome = () => outcomes[random.nextInteger(outcomes.length)];
                 const writer = createWriter(log, [createCopyTarget("b", createReplicaStore(log))]);
                 writer.start();
                 for (let index = 0; index < 50; index += 1) {
@@ -159,7 +161,7 @@
     });
 
     describe("isFull", () => {
-        it("refuses new work before the buffer ends, and still takes in what is answered", async () => {
+        it("refuses new work before the buffer is full, and still accepts bills of answered requests", async () => {
             const log = new MemoryLog();
             log.decideOutcome = () => "dropped";
             const writer = createWriter(log, [createCopyTarget("b", createReplicaStore(log))], { maxBills: 10 });
@@ -176,19 +178,22 @@
     });
 
     describe("flush", () => {
-        // An entry is told to stop while the log is away, and the only peer that keeps its bills dies later. A second
-        // keeper must have them, or the depot is never billed.
-        it("leaves bills to two peers when the log does not answer", async () => {
+        // Guards against a lost bill: an entry stops while the log is unavailable, and a peer that holds its bills dies
+        // later. A second peer must hold them too.
+        it("replicates bills to two peers when the log does not answer", async () => {
             const log = new MemoryLog();
             log.decideOutcome = () => "dropped";
-            const keepers = [createReplicaStore(log), createReplicaStore(log)];
-            const writer = createWriter(log, keepers.map((keeper, index) => createCopyTarget(`k${index}`, keeper)));
+            const replicaStores = [createReplicaStore(log), createReplicaStore(log)];
+            const writer = createWriter(
+                log,
+                replicaStores.map((replicaStore, index) => createCopyTarget(`k${index}`, replicaStore)),
+            );
             await writer.add(createBill("r1"));
             expect((await writer.flush(10)).isOk()).toEqual(true);
-            expect(keepers.map(keeper => keeper.getSize())).toEqual([1, 1]);
+            expect(replicaStores.map(replicaStore => replicaStore.getSize())).toEqual([1, 1]);
         });
 
-        it("fails when a bill is nowhere else", async () => {
+        it("fails when a bill is neither in the log nor held by a peer", async () => {
             const log = new MemoryLog();
             log.decideOutcome = () => "dropped";
             const writer = createWriter(log, [], { copyTimeoutMilliseconds: 10 });
--- a/test/bills/ledger.test.ts
+++ b/test/bills/ledger.test.ts
@@ -32,7 +32,7 @@
     return new LedgerProgram({ follow: log.follow, journal: createJournal().journal, out });
 }
 
-/** Runs a ledger over all that the log holds, and ends it. */
+/** Runs a ledger over all records of the log, and stops it. */
 async function run(log: MemoryLog, out: string): Promise<LedgerReport> {
     const program = createProgram(log, out);
     await program.start();
@@ -43,7 +43,7 @@
 
 describe("Ledger", () => {
     describe("apply", () => {
-        it("counts the first bill of a request and reports those that differ", () => {
+        it("counts the first bill of a request and reports repeats that differ", () => {
             const { journal, lines } = createJournal();
             const ledger = new Ledger({ journal });
             ledger.apply(createEntry(0, [createBill("r1"), createBill("r2", { workspace: "dalisay", total: 2 })]));
@@ -56,7 +56,7 @@
             expect(lines.map(line => line.name)).toEqual(["bill-conflict"]);
         });
 
-        it("gives one bill for each request under any repeats and cuts into records", () => {
+        it("returns one bill for each request with any repeats and any batches", () => {
             const records = fc.array(fc.array(fc.nat(20), { maxLength: 6 }), { maxLength: 20 });
             fc.assert(fc.property(records, all => {
                 const ledger = new Ledger({ journal: createJournal().journal });
@@ -66,19 +66,21 @@
                     written.push(...ledger.apply(entry).map(bill => bill.requestId));
                     written.push(...ledger.apply(entry).map(bill => bill.requestId));
                 }
-                const wanted = new Set(all.flat().map(id => `r${id}`));
-                expect(written.length).toEqual(wanted.size);
-                expect(ledger.getCounts().repeats).toEqual(all.flat().length - wanted.size);
-                expect(new Set(written)).toEqual(wanted);
-                expect(ledger.getTotals().map(total => total.requests)).toEqual(wanted.size === 0 ? [] : [wanted.size]);
+                const expectedIds = new Set(all.flat().map(id => `r${id}`));
+                expect(written.length).toEqual(expectedIds.size);
+                expect(ledger.getCounts().repeats).toEqual(all.flat().length - expectedIds.size);
+                expect(new Set(written)).toEqual(expectedIds);
+                expect(ledger.getTotals().map(total => total.requests)).toEqual(
+                    expectedIds.size === 0 ? [] : [expectedIds.size],
+                );
             }));
         });
     });
 
     describe("handleGap", () => {
-        // The ledger was down for longer than the log keeps records. Its totals are too low, and whoever reads them must
-        // learn that.
-        it("says that bills are missing", async () => {
+        // Guards against totals that are too low without notice: the ledger was down for longer than the retention of
+        // the log, and its report must show the gap.
+        it("reports missing bills", async () => {
             const log = new MemoryLog();
             log.put("bills", createRecord("a", [createBill("r1")]));
             log.put("bills", createRecord("b", [createBill("r2")]));
@@ -98,28 +100,28 @@
     });
 
     describe("start", () => {
-        // The ledger is killed at any byte of its output, between two bills of one record or within a line, and started
-        // again. A bill left out is never asked for; a bill written twice is asked for twice.
-        it("writes the same file when it was killed anywhere and started again", async () => {
+        // Guards against lost and repeated bills: the ledger is killed at any byte of its output, between two bills of
+        // one record or within a line, and restarted.
+        it("writes the same file after it was killed at any byte and restarted", async () => {
             const log = new MemoryLog();
             for (let index = 0; index < 6; index += 1) {
                 const ids = [index, index + 1, index + 2];
                 log.put("bills", createRecord(`record-${index}`, ids.map(id => createBill(`r${id}`))));
             }
-            const whole = createPath();
-            const report = await run(log, whole);
-            const expected = readFileSync(whole);
+            const referencePath = createPath();
+            const report = await run(log, referencePath);
+            const expected = readFileSync(referencePath);
             for (let length = 0; length <= expected.length; length += 97) {
                 const path = createPath();
                 writeFileSync(path, expected);
                 truncateSync(path, length);
-                const again = await run(log, path);
+                const restarted = await run(log, path);
                 expect(readFileSync(path).toString()).toEqual(expected.toString());
-                expect(again.workspaces).toEqual(report.workspaces);
+                expect(restarted.workspaces).toEqual(report.workspaces);
             }
         });
 
-        it("goes on from its file when the records before are gone", async () => {
+        it("continues from its file when the earlier records have expired", async () => {
             const log = new MemoryLog();
             const path = createPath();
             log.put("bills", createRecord("a", [createBill("r1")]));
@@ -131,9 +133,9 @@
             expect(readFileSync(path).toString().trim().split("\n").length).toEqual(2);
         });
 
-        // An entry is paused for two days and then appends the bills that its keeper appended long ago. The ledger has
-        // forgotten those requests, and must not bill them again.
-        it("does not bill a request again that it has forgotten", async () => {
+        // Guards against a repeated bill: an entry is paused for two days and then appends bills that the replica
+        // holder appended long ago. Their requests have expired from the memory of the ledger.
+        it("does not bill a request again that has expired from memory", async () => {
             const day = 86_400_000;
             const log = new MemoryLog();
             const path = createPath();
@@ -146,7 +148,7 @@
             expect((await run(log, path)).requests).toEqual(3);
         });
 
-        it("answers with the bills over HTTP", async () => {
+        it("serves the bills over HTTP", async () => {
             const log = new MemoryLog();
             log.put("bills", createRecord("a", [createBill("r1"), createBill("r1")]));
             const port = 18_400;
--- a/test/bills/ledgerMain.test.ts
+++ b/test/bills/ledgerMain.test.ts
@@ -35,8 +35,8 @@
 describe("rattanlock-ledger", () => {
     after(() => rmSync(folder, { recursive: true }));
 
-    // Bills arrive while the log loses acknowledgements, so that they stand there several times, and the ledger is
-    // killed and started again in the middle. Each request must be billed once at the end, none left out.
+    // Guards against lost and repeated bills: the log loses acknowledgements, so bills are appended several times, and
+    // the ledger is killed and restarted in between. Each request must be billed once.
     it("bills each request once although it is killed and the log loses acknowledgements", async () => {
         await withProcesses(async group => {
             const log = await group.startStandin("log", addresses.next(), { lostAcknowledgementProbability: 0.4 });
@@ -45,11 +45,11 @@
             const client = new LogClient({ url, clock: systemClock, timeoutMilliseconds: 500 });
             const { journal } = createJournal("entry-a");
             const base = { append: client.append.bind(client), clock: systemClock, journal };
-            const keeper = new BillReplicaStore({ ...base, writer: "keeper", hasDeparted: () => true });
+            const replicaStore = new BillReplicaStore({ ...base, writer: "keeper", hasDeparted: () => true });
             const writer = new BillWriter({
                 ...base,
                 writer: "entry-a",
-                getCopyTargets: () => [createCopyTarget("keeper", keeper)],
+                getCopyTargets: () => [createCopyTarget("keeper", replicaStore)],
                 getIntervalMilliseconds: () => 5,
             });
             writer.start();
@@ -58,8 +58,8 @@
                 for (let index = 0; index < 40; index += 1) {
                     expect((await writer.add(createBill(`r${round}-${index}`))).isOk()).toEqual(true);
                 }
-                // The keeper takes its origin for dead and appends the same bills.
-                await keeper.appendDue();
+                // The replica holder assumes that its origin is dead and appends the same bills.
+                await replicaStore.appendDue();
                 await ledger.kill();
                 ledger = await startLedger(group, url, out);
             }
@@ -75,7 +75,7 @@
         });
     });
 
-    it("names its usage when an argument is missing", async () => {
+    it("prints its usage when an argument is missing", async () => {
         await withProcesses(async group => {
             await expect(group.start({ program, args: ["--log", "http://127.50.7.250:1"] })).toBeRejectedWith("--out");
         });
--- a/test/bills/packedBill.test.ts
+++ b/test/bills/packedBill.test.ts
@@ -6,9 +6,9 @@
 describe("packBill", () => {
     const line = { version: "plan@1", inputTokens: 7, cachedTokens: 3, outputTokens: 5, cost: 0.25 };
 
-    // A bill waits through an outage and is then written down. A field that changed places with another on the way
-    // would charge a workspace what another one used.
-    it("keeps every field", () => {
+    // Guards against wrong charges: a bill waits packed through an outage, and a field that changes places with another
+    // would charge a workspace for the usage of another one.
+    it("preserves every field", () => {
         for (
             const changes of [
                 {},
