--- a/src/claims/claimClient.ts
+++ b/src/claims/claimClient.ts
@@ -4,18 +4,18 @@
  * Failures, and why a key still runs at most once:
  *
  * - The same key arrives at two entries. Both claims reach the log; the first one in its order wins, and the other
- * entry reads the winner. Each call of `claim` has its own identifier, so a repeated request identifier does not make
- * two entries the same claimant.
+ *   entry reads the winner. Each call of `claim` has its own identifier, so a repeated request identifier does not make
+ *   two entries the same claimant.
  * - The entry dies. If it dies before the write, the log holds no claim, and the next attempt of the caller is granted.
- * If it dies after the write or the dispatch, the claim has no outcome, and it is unknown whether the request ran.
- * Others read `held` until the key expires, which callers receive as "unknown", never as "not run".
+ *   If it dies after the write or the dispatch, the claim has no outcome, and it is unknown whether the request ran.
+ *   Others read `held` until the key expires, which callers receive as "unknown", never as "not run".
  * - The claimant is paused after the grant. No other claim takes over a held key, so the claimant may continue after
- * the pause, unless the key has expired in the meantime and ran elsewhere. `isStillValid` becomes false long before
- * that: it measures the time since before the claim was written, on the monotonic clock. `confirm` then reads the state
- * from the log.
+ *   the pause, unless the key has expired in the meantime and ran elsewhere. `isStillValid` becomes false long before
+ *   that: it measures the time since before the claim was written, on the monotonic clock. `confirm` then reads the
+ *   state from the log.
  * - The response to the write is lost, or the collector is cut off. The same operation is written again through another
- * collector; folds ignore the second record of an identifier. Without a decision in time, the claimant does not
- * dispatch and writes a release. The release is effective even if the claim reaches the log after it.
+ *   collector; folds ignore the second record of an identifier. Without a decision in time, the claimant does not
+ *   dispatch and writes a release. The release is effective even if the claim reaches the log after it.
  */
 import { err, ok, type Result } from "neverthrow";
 import { createHash, randomUUID } from "node:crypto";
--- a/src/membership/chooseAddresses.ts
+++ b/src/membership/chooseAddresses.ts
@@ -9,7 +9,7 @@
 /**
  * Chooses the members for one caller: members of its own failure domain first, then the others. The order within each
  * group is random for every caller, so that the callers of a large site spread over all members.
- * @param alive - Members that take requests.
+ * @param alive - Members that accept requests.
  * @param failureDomain - Failure domain of the caller, if it sent one.
  * @param random - Returns a number from 0 to 1.
  */
--- a/src/membership/membership.ts
+++ b/src/membership/membership.ts
@@ -79,7 +79,8 @@
     readonly #listedAt = new Map<string, number>();
     readonly #states = new Map<string, MemberState>();
     /**
-     * Parsed values that members published. With hundreds of members, parsing them on each read took most of its time.
+     * Parsed values that members published. With hundreds of members, parsing them for each list of members took most
+     * of its time.
      */
     readonly #parsedNodes = new Map<string, ParsedNode>();
     #vms: readonly Vm[] = [];
--- a/src/membership/peerClient.ts
+++ b/src/membership/peerClient.ts
@@ -247,7 +247,7 @@
     return new Failure({
         kind: "unavailable",
         message: `A peer did not answer: ${cause.details}.`,
-        remedy: "Ask another peer, or try again.",
+        remedy: "Query another peer, or try again.",
         cause,
     });
 }
--- a/src/membership/stateQueryStream.ts
+++ b/src/membership/stateQueryStream.ts
@@ -92,6 +92,6 @@
     return new Failure({
         kind: "unavailable",
         message: `A peer did not answer: ${reason}.`,
-        remedy: "Ask another peer, or read the log.",
+        remedy: "Query another peer, or read the log.",
     });
 }
--- a/test/bills/billReplicaStore.test.ts
+++ b/test/bills/billReplicaStore.test.ts
@@ -20,11 +20,11 @@
     const replicaStore = new BillReplicaStore({
         append: log.append,
         clock,
-        journal: createJournal("keeper").journal,
-        writer: "keeper",
+        journal: createJournal("holder").journal,
+        writer: "holder",
         hasDeparted: origin => departed.has(origin),
         confirmTimeoutMilliseconds: 1_000,
-        getCopyTargets: () => transferTarget === undefined ? [] : [createCopyTarget("next", transferTarget, "keeper")],
+        getCopyTargets: () => transferTarget === undefined ? [] : [createCopyTarget("next", transferTarget, "holder")],
     });
     return { log, clock, departed, replicaStore };
 }
@@ -60,8 +60,8 @@
             const replicaStore = new BillReplicaStore({
                 append: new MemoryLog().append,
                 clock: new ManualClock(),
-                journal: createJournal("keeper").journal,
-                writer: "keeper",
+                journal: createJournal("holder").journal,
+                writer: "holder",
                 hasDeparted: origin => {
                     lookUps.push(origin);
                     return false;
@@ -78,7 +78,7 @@
             const { replicaStore, log, departed } = createSetup();
             const killed = new BillWriter({
                 append: log.append,
-                getCopyTargets: () => [createCopyTarget("keeper", replicaStore)],
+                getCopyTargets: () => [createCopyTarget("holder", replicaStore)],
                 clock: systemClock,
                 journal: createJournal("entry-a").journal,
                 writer: "entry-a",
--- a/test/bills/billWriter.test.ts
+++ b/test/bills/billWriter.test.ts
@@ -30,8 +30,8 @@
 }
 
 function createReplicaStore(log: MemoryLog, hasDeparted = () => false): BillReplicaStore {
-    const { journal } = createJournal("keeper");
-    return new BillReplicaStore({ append: log.append, clock: systemClock, journal, writer: "keeper", hasDeparted });
+    const { journal } = createJournal("holder");
+    return new BillReplicaStore({ append: log.append, clock: systemClock, journal, writer: "holder", hasDeparted });
 }
 
 function readLedger(log: MemoryLog): Ledger {
--- a/test/bills/ledgerMain.test.ts
+++ b/test/bills/ledgerMain.test.ts
@@ -45,11 +45,11 @@
             const client = new LogClient({ url, clock: systemClock, timeoutMilliseconds: 500 });
             const { journal } = createJournal("entry-a");
             const base = { append: client.append.bind(client), clock: systemClock, journal };
-            const replicaStore = new BillReplicaStore({ ...base, writer: "keeper", hasDeparted: () => true });
+            const replicaStore = new BillReplicaStore({ ...base, writer: "holder", hasDeparted: () => true });
             const writer = new BillWriter({
                 ...base,
                 writer: "entry-a",
-                getCopyTargets: () => [createCopyTarget("keeper", replicaStore)],
+                getCopyTargets: () => [createCopyTarget("holder", replicaStore)],
                 getIntervalMilliseconds: () => 5,
             });
             writer.start();
--- a/test/claims/claimFold.test.ts
+++ b/test/claims/claimFold.test.ts
@@ -53,7 +53,7 @@
             });
         });
 
-        it("releases or completes only by the holder", () => {
+        it("ignores a release or completion by a claim that is not the holder", () => {
             const result = fold([[0, claim("a")], [1, release("b")], [2, complete("c", "forged")]]);
             expect(result.get(runKey)).toEqual({ id: "a", value: "a", time: 0 });
         });
--- a/test/log/memoryLog.ts
+++ b/test/log/memoryLog.ts
@@ -88,7 +88,7 @@
     const deadline = Date.now() + 10_000;
     while (!condition()) {
         if (Date.now() > deadline) {
-            throw new Error(`Timed out waiting for:${description}`);
+            throw new Error(`Timed out waiting for: ${description}`);
         }
         await new Promise(resolve => setTimeout(resolve, 2));
     }
--- a/test/membership/gossip.test.ts
+++ b/test/membership/gossip.test.ts
@@ -116,9 +116,9 @@
             for (let index = 0; index < 40; index += 1) {
                 site.nodes[0].gossip.set(`key-${index}`, Buffer.alloc(50, index));
             }
-            const stranger = { digest: [], origins: [], heartbeats: [], versions: [], items: [], counter: 0 };
+            const emptyMessage = { digest: [], origins: [], heartbeats: [], versions: [], items: [], counter: 0 };
             const reply = site.nodes[0].gossip.handleExchange({
-                ...stranger,
+                ...emptyMessage,
                 sender: "entry-1",
                 oldestProtocol: 1,
                 newestProtocol: 1,
--- a/test/membership/peerCalls.test.ts
+++ b/test/membership/peerCalls.test.ts
@@ -251,7 +251,7 @@
         const log = new MemoryLog();
         const { journal } = createJournal();
         const base = { append: log.append, clock: systemClock, journal };
-        const replicaStore = new BillReplicaStore({ ...base, writer: "keeper", hasDeparted: () => false });
+        const replicaStore = new BillReplicaStore({ ...base, writer: "holder", hasDeparted: () => false });
         const handlers = createHandlers({ copyBills: request => handleCopyBills(replicaStore, request, () => 0) });
         const { identity } = await startServer(31, handlers);
         const self = createIdentity("entry-a", 32, 1);
