--- a/src/entry/addressDocument.ts
+++ b/src/entry/addressDocument.ts
@@ -1,24 +1,24 @@
 /**
- * Which addresses callers should use.
+ * Creates the list of addresses that callers should use.
  */
 import type { Member } from "../membership/index.js";
 
-/** What the address document is made from. */
+/** Options of the address document. */
 export interface AddressDocumentOptions {
-    /** How long a caller may keep the answer, in seconds. */
+    /** How long a caller may cache the document, in seconds. */
     readonly keepSeconds: number;
     readonly getMembers: () => readonly Member[];
-    /** Port on which entries serve callers, by entry. */
+    /** Returns the port on which an entry serves callers. */
     readonly getCallerPort: (member: Member) => number;
 }
 
-/** One address for callers. */
+/** Represents one address for callers. */
 export interface CallerAddress {
     readonly url: string;
     readonly failureDomain: string;
 }
 
-/** The answer to "which addresses". */
+/** Represents the response to `GET /v1/addresses`. */
 export interface AddressDocument {
     /** Addresses in the order in which a caller should try them. */
     readonly addresses: readonly CallerAddress[];
@@ -26,10 +26,10 @@
 }
 
 /**
- * Creates the document for one caller. The order is drawn anew for each, so that callers spread over the entries;
- * neighbours in the order stand in different failure domains, so that a caller whose first address is lost with its
- * failure domain does not try another one there next.
- * @param options - What it is made from.
+ * Creates the document for one caller. The order is random for each caller, so that callers spread over the entries.
+ * Neighbours in the order are in different failure domains, so that a caller whose first address is lost with its
+ * failure domain does not try another address of that domain next.
+ * @param options - Options of the document.
  */
 export function createAddressDocument(options: AddressDocumentOptions): AddressDocument {
     const aliveMembers = options.getMembers().filter(member => member.state === "alive");
--- a/src/entry/answerHeaders.ts
+++ b/src/entry/answerHeaders.ts
@@ -1,17 +1,17 @@
 /**
- * The headers with which an answer begins.
+ * Creates the headers of an answer.
  */
 import type { AttemptOptions } from "./attemptRunner.js";
 import type { ChatCall } from "./chatCall.js";
 import { createResumeToken } from "./resumeToken.js";
 
-/** What headers are made with. */
+/** Options for creating headers. */
 export interface AnswerHeadersOptions {
     readonly createSessionToken: (call: ChatCall, version: string) => string | undefined;
     readonly signingKey: string;
 }
 
-/** Where an attempt runs. */
+/** Identifies where an attempt runs. */
 export interface AttemptTarget {
     readonly runner: string;
     readonly streamId: string;
@@ -19,9 +19,9 @@
 
 /**
  * Creates the headers of an attempt's answer.
- * @param attempt - The answer to be had.
- * @param target - Where it runs.
- * @param options - What the headers are made with.
+ * @param attempt - The requested answer.
+ * @param target - Where the attempt runs.
+ * @param options - Options for creating headers.
  */
 export function createAnswerHeaders(
     attempt: AttemptOptions,
--- a/src/entry/answerRelay.ts
+++ b/src/entry/answerRelay.ts
@@ -1,5 +1,5 @@
 /**
- * Relays one engine's answer to a sink, resuming it when the connection to the engine breaks.
+ * Relays one engine's answer to a sink, and resumes it when the connection to the engine breaks.
  */
 import { err, ok, type Result } from "neverthrow";
 import { Failure } from "../common/index.js";
@@ -15,33 +15,33 @@
 } from "../upstream/index.js";
 import type { Vm } from "../world/index.js";
 
-/** How often in a row a broken stream is resumed in vain before the answer is given up. */
+/** Maximum number of consecutive resumptions without progress before the answer is abandoned. */
 const maxResumptions = 3;
 
-/** What a relay needs. */
+/** Options of a relay. */
 export interface RelayOptions {
     readonly engines: EngineClient;
     readonly runner: Vm;
     readonly streamId: string;
     readonly answer: EngineAnswer;
-    /** Number of the last event that the caller has already. */
+    /** Number of the last event that the caller has received. */
     readonly lastId: number;
-    /** Ends the relay. */
+    /** Aborts the relay. */
     readonly signal: AbortSignal;
-    /** Takes each event in order. */
+    /** Called with each event, in order. */
     readonly write: (event: EngineEvent) => Promise<void>;
-    /** Is called at the first event. */
+    /** Called at the first event. */
     readonly onFirstEvent: () => void;
     /**
-     * Is called with the tokens used, before the event that tells them goes on: the bill must be safe on a second
-     * VM before the end of the answer leaves, or an entry that dies right after it loses the bill.
+     * Called with the tokens used, before the event that reports them is passed on. The bill must be stored on a second
+     * VM before the end of the answer is sent; otherwise an entry that crashes right after it loses the bill.
      */
     readonly beforeEnd: (usage: TokenUsage) => Promise<Result<void, Failure>>;
 }
 
 /**
  * Relays an answer to its end.
- * @param options - The answer and where it goes.
+ * @param options - The answer and its destination.
  */
 export async function relayAnswer(options: RelayOptions): Promise<Result<TokenUsage, UpstreamFailure>> {
     const relay = new Relay(options);
@@ -53,7 +53,8 @@
             return ok(relay.getUsage());
         }
         if (relay.getLastId() > lastId) {
-            // A link that breaks often still carries a long answer to its end; only a standstill is given up.
+            // An unstable link can still carry a long answer to its end, so only resumptions without progress are
+            // limited.
             resumption = 0;
         }
         const mayResume = resumption < maxResumptions && !options.signal.aborted && !relay.hasBillingFailed();
--- a/src/entry/answerSink.ts
+++ b/src/entry/answerSink.ts
@@ -1,28 +1,28 @@
 /**
- * Where an answer goes: to a caller as server-sent events or as one document.
+ * Sinks that send an answer to a caller, as server-sent events or as one document.
  */
 import type { ServerResponse } from "node:http";
 import { endOfStream, type EngineEvent, readUsage, type TokenUsage } from "../upstream/index.js";
 import { AnswerText } from "./answerText.js";
 import { createProblem, getProblemHeaders, type Refusal } from "./problem.js";
 
-/** Takes an answer for a caller. */
+/** Receives an answer for a caller. */
 export interface AnswerSink {
-    /** Whether a byte of the answer has gone out. */
+    /** Whether any byte of the answer has been sent. */
     readonly started: boolean;
     /**
-     * Writes the head of the response.
+     * Starts the response.
      * @param headers - Headers besides the content type.
      */
     start(headers: Readonly<Record<string, string>>): void;
     /**
-     * Takes an event. Waits while the caller reads more slowly than the engine writes.
+     * Writes an event. Waits while the caller reads more slowly than the engine writes.
      * @param event - The event.
      */
     write(event: EngineEvent): Promise<void>;
     /**
      * Ends a response that cannot be completed.
-     * @param refusal - Why.
+     * @param refusal - Why it cannot be completed.
      */
     fail(refusal: Refusal): void;
 }
@@ -68,7 +68,7 @@
             sendProblem(this.#response, refusal, this.#requestId);
             return;
         }
-        // The status has gone out already. The public client raises an error for a chunk that holds `error`.
+        // The status has already been sent. The public client raises an error for a chunk that contains `error`.
         this.#response.end(`data: ${JSON.stringify(problem)}\n\n`);
     }
 }
@@ -86,7 +86,7 @@
         this.#requestId = requestId;
     }
 
-    /** Nothing goes out before the whole answer is there, so it is never begun and can always be run again. */
+    /** Always false: nothing is sent before the answer is complete, so the answer can always be run again. */
     get started(): boolean {
         return false;
     }
@@ -134,7 +134,7 @@
 
 /**
  * Sends a refusal as the whole response.
- * @param response - The response, of which nothing has gone out.
+ * @param response - The response, of which nothing has been sent.
  * @param refusal - The refusal.
  * @param requestId - Identifies the request.
  */
--- a/src/entry/answerText.ts
+++ b/src/entry/answerText.ts
@@ -1,5 +1,5 @@
 /**
- * Puts the pieces of a streamed answer together.
+ * Assembles the chunks of a streamed answer.
  */
 
 interface ChatChunk {
@@ -30,12 +30,12 @@
         }
     }
 
-    /** Returns the text so far. */
+    /** Returns the text received so far. */
     getText(): string {
         return this.#chunks.join("");
     }
 
-    /** Returns why the answer ended, as the engine said. */
+    /** Returns the finish reason that the engine reported, or `stop` if it reported none. */
     getFinishReason(): string {
         return this.#finishReason;
     }
--- a/src/entry/attemptRunner.ts
+++ b/src/entry/attemptRunner.ts
@@ -1,5 +1,5 @@
 /**
- * Runs one version's answer on a runner, and on another one when the first fails before the caller saw anything.
+ * Runs one version's answer on a runner, and on another runner if the first fails before the caller received anything.
  */
 import { err, ok, type Result } from "neverthrow";
 import type { BillLine } from "../bills/index.js";
@@ -19,10 +19,10 @@
 import { getPrefixHashes } from "./promptBlocks.js";
 import { cancelIdleStream } from "./streamCancellation.js";
 
-/** Runners that are tried for one answer, at most. */
+/** Maximum number of runners tried for one answer. */
 const maxAttempts = 3;
 
-/** What an attempt runner works with. */
+/** Options of an attempt runner. */
 export interface AttemptRunnerOptions {
     readonly clock: Clock;
     readonly journal: Journal;
@@ -35,34 +35,34 @@
     readonly isHalted: (version: string) => boolean;
     readonly createSessionToken: (call: ChatCall, version: string) => string | undefined;
     readonly signingKey: string;
-    /** How long a stream without its caller is kept for a resumption, in milliseconds. */
+    /** How long a stream is continued for a resumption after its caller disconnected, in milliseconds. */
     readonly resumeGraceMilliseconds: number;
 }
 
-/** One version's answer to be had. */
+/** Represents a requested answer of one version. */
 export interface AttemptOptions {
     readonly call: ChatCall;
     readonly version: ModelVersion;
-    /** Place of the version in the plan. */
+    /** Index of the step in the plan. */
     readonly stepIndex: number;
     readonly earlierLines: readonly BillLine[];
-    /** Monotonic milliseconds from which the time to the first token counts. */
+    /** Monotonic time from which the time to first token is measured, in milliseconds. */
     readonly stepStartedAt: number;
-    /** Whether events go to the caller as they come. */
+    /** Whether events are sent to the caller as they arrive. */
     readonly direct: boolean;
-    /** Is called before the answer starts again on another runner. */
+    /** Called before the answer starts again on another runner. */
     readonly onRestart: () => void;
     readonly write: (event: EngineEvent) => Promise<void>;
     readonly writeEnd: (event: EngineEvent) => Promise<void>;
     readonly beforeEnd: (usage: TokenUsage) => Promise<Result<void, Failure>>;
 }
 
-/** An answer that was had. */
+/** Represents a completed answer. */
 export interface AttemptResult {
     readonly usage: TokenUsage;
-    /** From `since` on, until the engine gave its first token. */
+    /** Time from `stepStartedAt` to the engine's first token, in milliseconds. */
     readonly firstTokenMilliseconds: number;
-    /** From the dispatch to the end. */
+    /** Time from the dispatch to the end of the answer, in milliseconds. */
     readonly milliseconds: number;
     /** Headers for the caller. */
     readonly headers: Readonly<Record<string, string>>;
@@ -77,8 +77,8 @@
     }
 
     /**
-     * Gets one version's answer.
-     * @param options - The answer to be had.
+     * Runs one version until it has answered or may not be retried.
+     * @param options - The requested answer.
      */
     async run(options: AttemptOptions): Promise<Result<AttemptResult, Refusal>> {
         this.#options.retries.addRequest();
@@ -142,8 +142,8 @@
     }
 
     /**
-     * Checks once more, at the last moment, that the version may take this request: the configuration may have
-     * changed while the request waited, and a withdrawn version receives nothing new.
+     * Checks again, just before the dispatch, that the version may take this request. The configuration may have
+     * changed while the request waited, and a withdrawn version must receive no new work.
      */
     #checkAllowed(call: ChatCall, version: ModelVersion): Result<void, Failure> {
         const effective = this.#options.getConfiguration().getEffective({
@@ -159,7 +159,7 @@
         return err(
             new Failure({
                 kind: "unavailable",
-                message: `The version ${version.id} stopped taking work while the request waited.`,
+                message: `The version ${version.id} stopped accepting work while the request waited.`,
                 remedy: "Send the request again.",
                 retryAfterMilliseconds: 200,
             }),
@@ -187,16 +187,16 @@
                 body: call.request.body,
                 signal: attemptSignal.signal,
             });
-            // Signing takes as long as all that is done to a first token. Left until that has come, it would keep the
-            // caller waiting; here the engine is at work on the prompt meanwhile.
+            // Signing takes as long as all other work before a first token. Done after the first token arrived, it
+            // would delay the caller; here the engine processes the prompt in the meantime.
             const headers = createAnswerHeaders(options, { runner: runner.id, streamId }, this.#options);
             const answered = await pendingAnswer;
             if (answered.isErr()) {
                 const refused = answered.error.outcome === "not-run";
                 finishWork(work, refused ? "refused" : "failed", this.#options.clock.monotonic() - startedAt);
                 if (attemptSignal.signal.aborted) {
-                    // The engine may be at work on the prompt. Left alone it would finish an answer that nobody reads
-                    // and nobody is billed for; its load would show it and the bills would not.
+                    // The engine may be processing the prompt. Without a cancellation it would complete an answer that
+                    // has no reader and no bill: its load would include the work, and the bills would not.
                     await this.#abandon(options, runner, streamId);
                 }
                 return err({ ...this.#toDeadlineRefusal(call, answered.error), retriable: true });
@@ -258,8 +258,8 @@
     }
 
     /**
-     * Gives an answer up. While the caller is there, its final answer or its next try must not wait for an engine that
-     * may be frozen, so the cancellation goes on by itself.
+     * Abandons an answer. While the caller is connected, the cancellation runs in the background: the final answer or
+     * the next attempt must not wait for an engine that may be frozen.
      */
     async #abandon(options: AttemptOptions, runner: Vm, streamId: string): Promise<void> {
         const cancelled = this.#cancel(options, runner, streamId);
@@ -269,8 +269,8 @@
     }
 
     /**
-     * Stops an answer that nobody waits for, and bills what was made of it. When another entry reads the stream by
-     * now, it is left alone and billed there.
+     * Cancels an answer that has no reader, and bills the tokens generated so far. If another entry reads the stream by
+     * now, the stream is left alone and billed there.
      */
     async #cancel(options: AttemptOptions, runner: Vm, streamId: string): Promise<void> {
         const usage = await cancelIdleStream(this.#options.engines, runner, streamId);
@@ -292,8 +292,8 @@
             outcome: "ran",
             failure: new Failure({
                 kind: "upstream-failed",
-                message: `The engine ${runner.id} ran ${answer.version} in place of ${version.id}.`,
-                remedy: "Send the request again; the engine's answer was thrown away.",
+                message: `The engine ${runner.id} ran ${answer.version} instead of ${version.id}.`,
+                remedy: "Send the request again; the engine's answer was discarded.",
                 retryAfterMilliseconds: 1000,
             }),
         };
@@ -308,7 +308,7 @@
             failure: new Failure({
                 kind: "deadline",
                 message: `The answer was not complete within ${call.settings.deadlineMilliseconds} ms.`,
-                remedy: "Ask for a shorter answer or have the workspace's deadline_ms raised.",
+                remedy: "Request a shorter answer or have the workspace's deadline_ms raised.",
             }),
         };
     }
@@ -327,7 +327,7 @@
 }
 
 interface AttemptRefusal extends Refusal {
-    /** Whether another runner may do better. */
+    /** Whether an attempt on another runner may succeed. */
     readonly retriable: boolean;
 }
 
@@ -347,8 +347,8 @@
 const outcomeOrder: readonly Outcome[] = ["not-run", "unknown", "ran"];
 
 /**
- * Returns the outcome that promises less. A request of which one attempt may have run must not be called "not run"
- * because a later attempt was refused.
+ * Returns the outcome that guarantees less. If one attempt of a request may have run, the request must not be reported
+ * as "not run" because a later attempt was refused.
  */
 export function combineOutcomes(first: Outcome, second: Outcome): Outcome {
     return outcomeOrder.indexOf(first) >= outcomeOrder.indexOf(second) ? first : second;
--- a/src/entry/attemptSignal.ts
+++ b/src/entry/attemptSignal.ts
@@ -1,21 +1,21 @@
 /**
- * Decides when work for a caller ends early.
+ * Decides when the work for a caller is aborted.
  */
 
-/** A signal that must be disposed of when the work is over. */
+/** Represents a signal that must be disposed of when the work ends. */
 export interface AttemptSignal {
     readonly signal: AbortSignal;
     readonly dispose: () => void;
 }
 
 /**
- * Creates a signal that aborts at the deadline, or when the caller has been gone for a grace time.
+ * Creates a signal that aborts at the deadline, or after a grace period once the caller has disconnected.
  *
- * A caller whose connection broke may resume the stream through another entry. Cancelling at once would throw its
- * answer away; never cancelling would let engines work for callers that have left.
- * @param disconnectSignal - Aborts when the caller's connection is gone.
+ * A caller whose connection broke may resume the stream through another entry. Cancelling at once would discard its
+ * answer; never cancelling would let engines work for callers that have left.
+ * @param disconnectSignal - Aborts when the caller's connection is closed.
  * @param deadlineSignal - Aborts at the deadline.
- * @param graceMilliseconds - How long to go on without the caller.
+ * @param graceMilliseconds - How long the work continues without the caller.
  */
 export function createAttemptSignal(
     disconnectSignal: AbortSignal,
--- a/src/entry/callBill.ts
+++ b/src/entry/callBill.ts
@@ -1,5 +1,5 @@
 /**
- * The bill of a call, made from what its answers took.
+ * Creates bills from the tokens that the answers to a call used.
  */
 import type { Bill, BillLine } from "../bills/index.js";
 import type { TokenUsage } from "../upstream/index.js";
@@ -30,7 +30,7 @@
     };
 }
 
-/** Creates the line of one model's answer. */
+/** Creates the bill line of one version's answer. */
 export function createBillLine(version: ModelVersion, usage: TokenUsage): BillLine {
     return {
         version: version.id,
--- a/src/entry/callerIdentity.ts
+++ b/src/entry/callerIdentity.ts
@@ -1,5 +1,5 @@
 /**
- * Who a caller is: the workspace of its API key, and the application that it names.
+ * Identifies callers by the workspace of their API key and the application that they name.
  */
 import { err, ok, type Result } from "neverthrow";
 import { createHash } from "node:crypto";
@@ -7,11 +7,11 @@
 import { Failure } from "../common/index.js";
 import type { Configuration, EffectiveSettings } from "../configuration/index.js";
 
-/** Longest name that a caller may send in a header. */
+/** Maximum length of a name in a caller's header, in characters. */
 const maxNameLength = 200;
 const namePattern = /^[\x21-\x7e]+$/;
 
-/** A caller, with the settings that apply to it. */
+/** Represents a caller, with the settings that apply to it. */
 export interface CallerIdentity {
     readonly workspace: string;
     readonly application: string;
@@ -56,7 +56,7 @@
 }
 
 /**
- * Returns the hash under which the configuration holds an API key.
+ * Returns the hash under which the configuration stores an API key.
  * @param key - The key.
  */
 export function hashApiKey(key: string): string {
@@ -77,8 +77,8 @@
         return err(
             new Failure({
                 kind: "invalid-input",
-                message: `The header ${name} is not a name.`,
-                remedy: `Send 1 to ${maxNameLength} printable ASCII characters without blanks.`,
+                message: `The header ${name} is not a valid name.`,
+                remedy: `Send 1 to ${maxNameLength} printable ASCII characters without spaces.`,
             }),
         );
     }
--- a/src/entry/callerServer.ts
+++ b/src/entry/callerServer.ts
@@ -1,5 +1,5 @@
 /**
- * The HTTP face towards callers.
+ * HTTP server for callers.
  */
 import Router from "@koa/router";
 import Koa from "koa";
@@ -20,16 +20,16 @@
 import type { ResumePipeline } from "./resumePipeline.js";
 import type { ServicePipeline, ServiceReply } from "./servicePipeline.js";
 
-/** Largest headers that a caller may send, in bytes. */
+/** Maximum size of a caller's headers, in bytes. */
 const maxHeaderBytes = 16 * 1024;
 /** How long a caller may take to send its headers, in milliseconds. */
 const headersTimeoutMilliseconds = 10_000;
-/** Header in which the public client says how often it has asked before. */
+/** Header in which the public client reports the number of its earlier attempts. */
 const retryCountHeader = "x-stainless-retry-count";
-/** Headers of a caller that plain services get to see. */
+/** Headers of a caller that are forwarded to plain services. */
 const forwardedHeaders = ["content-type", "accept", "accept-language", "if-match", "if-none-match"];
 
-/** What the server works with. */
+/** Options of the server. */
 export interface CallerServerOptions {
     readonly clock: Clock;
     readonly journal: Journal;
@@ -42,7 +42,7 @@
     readonly maxBodyBytes: number;
     readonly bodyTimeoutMilliseconds: number;
     readonly maxConnections: number;
-    /** Whether the entry serves; until it has a configuration it refuses. */
+    /** Whether the entry is ready; until it has a configuration it refuses requests. */
     readonly isReady: () => boolean;
 }
 
@@ -70,9 +70,9 @@
     }
 
     /**
-     * Listens.
+     * Listens on a port.
      * @param port - The port.
-     * @param address - The IP number.
+     * @param address - The IP address.
      */
     listen(port: number, address: string): Promise<void> {
         return new Promise((resolve, reject) => {
@@ -81,24 +81,24 @@
         });
     }
 
-    /** Returns how many requests are being worked on. */
+    /** Returns the number of requests in progress. */
     getRunningCount(): number {
         return this.#running.size;
     }
 
-    /** Tells callers with each answer to open their next connection elsewhere. */
+    /** Closes each connection after its next response from now on, so that callers connect to another entry. */
     announceLeaving(): void {
         this.#leaving = true;
     }
 
-    /** Stops accepting, and resolves when every request that was accepted has its answer. */
+    /** Stops accepting connections, and resolves when every accepted request has been answered. */
     close(): Promise<void> {
         const closed = new Promise<void>(resolve => this.#server.close(() => resolve()));
         this.#server.closeIdleConnections();
         return closed;
     }
 
-    /** Ends every connection, also those with unfinished answers. */
+    /** Closes every connection, including those with incomplete answers. */
     abort(): void {
         this.#server.closeAllConnections();
     }
@@ -303,8 +303,8 @@
         });
         const failure = new Failure({
             kind: "unavailable",
-            message: "The entry failed on this request.",
-            remedy: "Ask for its outcome before sending it again, and report the request identifier.",
+            message: "The entry failed to process this request.",
+            remedy: "Check its outcome before sending it again, and report the request identifier.",
             cause: error,
         });
         this.#refuse(response, call.requestId, call.identity.workspace, { failure, outcome: "unknown" });
@@ -332,7 +332,7 @@
     return controller.signal;
 }
 
-/** Refuses a body and drops the connection, because the rest of the body is still on its way. */
+/** Refuses a body and closes the connection, because the rest of the body is still being received. */
 function refuseAndClose(response: ServerResponse, failure: Failure): Refusal {
     response.setHeader("connection", "close");
     response.once("finish", () => response.req.destroy());
@@ -367,8 +367,7 @@
     return err(
         new Failure({
             kind: "unavailable",
-            message:
-                "This entry has only just started: it has no configuration yet, or has not heard of the upstreams.",
+            message: "This entry has just started: it has no configuration yet, or has not polled the upstreams.",
             remedy: "Send the request to another address of GET /v1/addresses.",
             retryAfterMilliseconds: 2000,
         }),
--- a/src/entry/chatCall.ts
+++ b/src/entry/chatCall.ts
@@ -1,19 +1,19 @@
 /**
- * A chat completion on its way through an entry.
+ * Chat completions that an entry processes.
  */
 import type { EffectiveSettings } from "../configuration/index.js";
 import type { AnswerSink } from "./answerSink.js";
 import type { ChatRequest } from "./chatRequest.js";
 
-/** A chat completion that has been authenticated and checked. */
+/** Represents a chat completion that has been authenticated and validated. */
 export interface ChatCall {
     readonly requestId: string;
     readonly workspace: string;
     readonly application: string;
     readonly requestClass: string;
-    /** Priority at the engine: the workspace's until admission has decided. */
+    /** Priority at the engine: the workspace's priority until admission has set it. */
     readonly priority: number;
-    /** Whether the client says that it asks again. */
+    /** Whether the client reports that the request is a retry. */
     readonly isRetry: boolean;
     /** The caller's name for a conversation that stays on one version. */
     readonly session: string | undefined;
@@ -21,26 +21,26 @@
     readonly settings: EffectiveSettings;
     readonly request: ChatRequest;
     readonly sink: AnswerSink;
-    /** Monotonic milliseconds of the arrival. */
+    /** Monotonic time of arrival, in milliseconds. */
     readonly arrivedAt: number;
-    /** Aborts when the caller's connection is gone. */
+    /** Aborts when the caller's connection is closed. */
     readonly disconnectSignal: AbortSignal;
     /** Aborts when the request's deadline has passed. */
     readonly deadlineSignal: AbortSignal;
 }
 
 /**
- * Returns how many milliseconds a call has left.
+ * Returns the time that a call has left until its deadline, in milliseconds.
  * @param call - The call.
- * @param now - Monotonic milliseconds.
+ * @param now - Monotonic time, in milliseconds.
  */
 export function getTimeLeft(call: ChatCall, now: number): number {
     return call.settings.deadlineMilliseconds - (now - call.arrivedAt);
 }
 
 /**
- * Returns what decides whether a caller is exposed to a roll-out's candidate: the same session, or the same
- * application of a workspace, stays exposed or unexposed.
+ * Returns the key that decides whether a caller is exposed to a roll-out's candidate. All requests of a session stay
+ * exposed or unexposed; a request without a session has its own key.
  * @param call - The call.
  */
 export function getExposureKey(call: ChatCall): string {
--- a/src/entry/chatPipeline.ts
+++ b/src/entry/chatPipeline.ts
@@ -1,5 +1,5 @@
 /**
- * The way of a chat completion: freshness, admission, session, plan, and the plan's steps.
+ * Processes chat completions: freshness, admission, session, plan, and the plan's steps.
  */
 import { err, ok, type Result } from "neverthrow";
 import { type Clock, Failure } from "../common/index.js";
@@ -16,13 +16,13 @@
 import type { VersionPolicy } from "./versionPolicy.js";
 import { selectPinnedVersion, selectVersions } from "./versionSelection.js";
 
-/** What the pipeline works with. */
+/** Options of the pipeline. */
 export interface ChatPipelineOptions {
     readonly clock: Clock;
     readonly journal: Journal;
-    /** Milliseconds since the configuration was last confirmed as the newest. */
+    /** Returns the milliseconds since the configuration was last confirmed as the newest. */
     readonly getConfigurationAge: () => number;
-    /** Whether ratings come; without them a cascade would escalate every answer. */
+    /** Whether ratings are available; without them a cascade would escalate every answer. */
     readonly areRatingsAvailable: () => boolean;
     readonly admission: AdmissionController;
     readonly modelChooser: ModelChooser;
@@ -31,11 +31,11 @@
     readonly sessions: Sessions;
     readonly planRunner: PlanRunner;
     readonly explanations: Explanations;
-    /** Whether bills can still be kept; without that nothing billable may start. */
+    /** Whether bills can still be stored; otherwise nothing billable may start. */
     readonly canBill: () => boolean;
 }
 
-/** Takes chat completions from their arrival to their answer. */
+/** Processes chat completions from arrival to answer. */
 export class ChatPipeline {
     readonly #options: ChatPipelineOptions;
 
@@ -44,7 +44,7 @@
     }
 
     /**
-     * Answers a call or refuses it.
+     * Serves or refuses a call.
      * @param call - The call.
      */
     async run(call: ChatCall): Promise<Result<void, Refusal>> {
@@ -113,8 +113,9 @@
     }
 
     /**
-     * A session runs on one version from its first request on, so its plan is a single step. Two first requests at
-     * two entries may propose two versions; the log's order decides, and both take what it says.
+     * Plans a call of a session. A session runs on one version from its first request on, so its plan has a single
+     * step. If two first requests at two entries propose different versions, the log's order decides, and both use the
+     * pinned version.
      */
     async #planSession(call: ChatCall, session: string): Promise<Result<Plan, Failure>> {
         const { sessions } = this.#options;
@@ -158,17 +159,23 @@
     }
 
     /**
-     * Tells whether a cascade's first token comes within what the workspace lets callers wait. A streaming caller gets
-     * nothing of the first answer until it is whole and rated: with answers of seconds it would wait that long for its
-     * first token while every engine is idle. Who takes the answer as one document waits for its end in any case.
+     * Returns whether a cascade's first token arrives within the time that the workspace allows. A streaming caller
+     * receives nothing of the first answer until it is complete and rated. With answers that take seconds, it would
+     * wait that long for its first token while every engine is idle. A caller that receives one document waits for the
+     * end in any case.
      */
     #isCascadeInTime(call: ChatCall, first: string, second: string): boolean {
         if (!call.request.streamed) {
             return true;
         }
-        const hold = this.#options.answerTimes.getCascadeWaitMilliseconds(call.requestClass, first, second);
-        const waited = this.#options.clock.monotonic() - call.arrivedAt;
-        return hold !== undefined && waited + hold <= call.settings.firstTokenMilliseconds;
+        const cascadeWaitMilliseconds = this.#options.answerTimes.getCascadeWaitMilliseconds(
+            call.requestClass,
+            first,
+            second,
+        );
+        const elapsedMilliseconds = this.#options.clock.monotonic() - call.arrivedAt;
+        return cascadeWaitMilliseconds !== undefined
+            && elapsedMilliseconds + cascadeWaitMilliseconds <= call.settings.firstTokenMilliseconds;
     }
 
     #createSelection(call: ChatCall) {
@@ -180,7 +187,7 @@
     }
 }
 
-/** What a served request tells the admission controller. */
+/** Represents a served request, as the admission controller counts it. */
 export interface ServedRequest {
     readonly outcome: "ok";
     readonly firstTokenMilliseconds: number;
@@ -188,10 +195,10 @@
 }
 
 /**
- * Refuses work when the configuration is older than the workspace permits.
+ * Refuses work if the configuration is older than the workspace allows.
  *
- * An entry that is cut off from the log and from its peers cannot know of a withdrawal. Without this check it would
- * go on sending work to a version that was withdrawn everywhere else.
+ * An entry that is cut off from the log and from its peers cannot receive a withdrawal. Without this check it would
+ * continue to send work to a version that was withdrawn everywhere else.
  * @param settings - The workspace's settings.
  * @param ageMilliseconds - Time since the configuration was last confirmed.
  */
@@ -210,7 +217,7 @@
     );
 }
 
-/** Takes the last, hence best, step of a plan. */
+/** Reduces a plan to its last step, which has the best version. */
 function toSingleStepPlan(plan: Plan): Plan {
     const last = plan.steps[plan.steps.length - 1];
     return { ...plan, steps: [{ version: last.version, acceptScore: undefined }] };
@@ -219,8 +226,8 @@
 function createBillsFullFailure(): Failure {
     return new Failure({
         kind: "unavailable",
-        message: "Bills cannot be kept: the log has been away for so long that their buffer is full.",
-        remedy: "Come back later.",
+        message: "Bills cannot be stored: the log has been unavailable for so long that their buffer is full.",
+        remedy: "Retry later.",
         retryAfterMilliseconds: 15_000,
     });
 }
--- a/src/entry/chatRequest.ts
+++ b/src/entry/chatRequest.ts
@@ -1,5 +1,5 @@
 /**
- * Bodies of chat completions, checked before anything else looks at them.
+ * Parses and validates the bodies of chat completions.
  */
 import { err, ok, type Result } from "neverthrow";
 import { z } from "zod";
@@ -23,33 +23,33 @@
     stream: z.boolean().nullish(),
     max_tokens: z.number().int().positive().nullish(),
     max_completion_tokens: z.number().int().positive().nullish(),
-    n: z.literal(1, "must be 1: ask again for another answer").nullish(),
+    n: z.literal(1, "must be 1: send another request for another answer").nullish(),
 });
 
-/** Characters of prompt text that count as one token in estimates. */
+/** Characters of prompt text per token, for estimates. */
 const charactersPerToken = 4;
-/** Tokens of an answer that are expected when the caller set no maximum. */
+/** Estimated tokens of an answer, unless its limit is lower. */
 const defaultOutputTokens = 200;
 /** The `model` with which a caller leaves the choice to the router. */
 export const automaticModel = "auto";
 
-/** A checked chat completion. */
+/** Represents a validated chat completion. */
 export interface ChatRequest {
     /** The body as the caller sent it. */
     readonly body: Readonly<Record<string, unknown>>;
     /** `auto`, a model, or a version of a model. */
     readonly model: string;
     readonly streamed: boolean;
-    /** Messages as one text, from which prefix blocks are hashed. */
+    /** All messages as one text, whose prefix blocks are hashed. */
     readonly promptText: string;
     readonly estimatedInputTokens: number;
     readonly estimatedOutputTokens: number;
 }
 
 /**
- * Checks a body.
+ * Parses and validates a body.
  * @param text - JSON text.
- * @param maxTokens - Tokens of an answer that the workspace allows.
+ * @param maxTokens - Maximum number of answer tokens that the workspace allows.
  */
 export function parseChatRequest(text: string, maxTokens: number): Result<ChatRequest, Failure> {
     let body: unknown;
@@ -61,7 +61,7 @@
     }
     const parsed = chatSchema.safeParse(body);
     if (!parsed.success) {
-        return err(createMalformedFailure(`The body is no chat completion: ${z.prettifyError(parsed.error)}.`));
+        return err(createMalformedFailure(`The body is not a chat completion: ${z.prettifyError(parsed.error)}.`));
     }
     const requestedTokens = parsed.data.max_completion_tokens ?? parsed.data.max_tokens ?? undefined;
     const outputLimit = Math.min(requestedTokens ?? maxTokens, maxTokens);
--- a/src/entry/container.ts
+++ b/src/entry/container.ts
@@ -1,5 +1,5 @@
 /**
- * Puts an entry together.
+ * Creates the container of an entry.
  */
 import { asFunction, asValue, type AwilixContainer, createContainer, InjectionMode, Lifetime } from "awilix";
 import { RandomSource, systemClock } from "../common/index.js";
@@ -11,12 +11,12 @@
 import { peerParts } from "./parts/peerParts.js";
 import { platformParts } from "./parts/platformParts.js";
 
-/** Makes each part of an entry from other parts. */
+/** Creates each part of an entry from other parts. */
 export type PartFactories = { readonly [Name in keyof Cradle]?: (cradle: Cradle) => Cradle[Name]; };
 
 /**
- * Creates the container of an entry. Each part is made once, when it is first asked for.
- * @param settings - The entry's checked settings.
+ * Creates the container of an entry. Each part is created once, when it is first requested.
+ * @param settings - The entry's validated settings.
  */
 export async function createEntryContainer(settings: EntrySettings): Promise<AwilixContainer<Cradle>> {
     const container = createContainer<Cradle>({ injectionMode: InjectionMode.PROXY, strict: true });
--- a/src/entry/controlSnapshotWriter.ts
+++ b/src/entry/controlSnapshotWriter.ts
@@ -10,7 +10,7 @@
 const checkIntervalMilliseconds = 1000;
 const snapshotFormat = 1;
 
-/** What the writer works with. */
+/** Options of the writer. */
 export interface ControlSnapshotWriterOptions {
     readonly clock: Clock;
     readonly control: ControlReader;
@@ -22,7 +22,7 @@
     readonly intervalMilliseconds: number;
 }
 
-/** Has snapshots of both streams written while this entry holds the lease. */
+/** Writes snapshots of both streams while this entry holds the lease. */
 export class ControlSnapshotWriter {
     readonly #options: ControlSnapshotWriterOptions;
     readonly #task: RepeatedTask;
@@ -34,12 +34,12 @@
         this.#task = new RepeatedTask({ run: () => this.#writeIfDue(), pauseMilliseconds: checkIntervalMilliseconds });
     }
 
-    /** Starts to write. */
+    /** Starts writing snapshots. */
     start(): void {
         this.#task.start();
     }
 
-    /** Stops writing. */
+    /** Stops writing snapshots. */
     stop(): Promise<void> {
         return this.#task.stop();
     }
--- a/src/entry/cradle.ts
+++ b/src/entry/cradle.ts
@@ -1,5 +1,5 @@
 /**
- * What the parts of an entry can ask the container for.
+ * Parts of an entry that the container provides.
  */
 import type { Agent, Dispatcher } from "undici";
 import type { BillReplicaStore, BillWriter } from "../bills/index.js";
@@ -46,7 +46,7 @@
 import type { VersionPolicy } from "./versionPolicy.js";
 import type { VmWatcher } from "./vmWatcher.js";
 
-/** Everything that an entry is made of. */
+/** Represents all parts of an entry. */
 export interface Cradle {
     readonly settings: EntrySettings;
     readonly clock: Clock;
@@ -56,7 +56,7 @@
     readonly eventBuffer: EventBuffer;
     readonly journal: Journal;
     readonly metrics: Metrics;
-    /** Opens encrypted connections to upstreams; `undefined` when they are called in the clear. */
+    /** Opens encrypted connections to upstreams; `undefined` if they are called without TLS. */
     readonly upstreamConnector: UpstreamConnector | undefined;
     readonly upstreamAgent: Dispatcher;
     readonly platformAgent: Agent;
@@ -91,9 +91,9 @@
     readonly orderChannel: OrderChannel;
     readonly orderDriver: OrderDriver;
     readonly runners: RunnerChooser;
-    /** Lets chats in, by the engines' capacity. */
+    /** Admits chat completions, limited by the engines' capacity. */
     readonly admission: AdmissionController;
-    /** Lets calls to plain services in, by the services' capacity. */
+    /** Admits calls to plain services, limited by the services' capacity. */
     readonly serviceAdmission: AdmissionController;
     readonly retries: RetryBudget;
     readonly engines: EngineClient;
--- a/src/entry/credentialFiles.ts
+++ b/src/entry/credentialFiles.ts
@@ -1,5 +1,5 @@
 /**
- * Certificate files of an entry, read at the start and again when they change.
+ * Reads an entry's certificate files at startup and again when they change.
  */
 import { readFileSync } from "node:fs";
 import { createSecureContext } from "node:tls";
@@ -7,15 +7,15 @@
 import { events, type Journal } from "../events/index.js";
 import type { TlsSettings } from "../settings/index.js";
 
-/** Pause between two looks at the files, in milliseconds. */
+/** Pause between two checks of the files, in milliseconds. */
 const pollIntervalMilliseconds = 2000;
 
-/** What the watch works with. */
+/** Options of the watch. */
 export interface CredentialFilesOptions {
-    /** The section that names the files. */
+    /** The settings section that names the files. */
     readonly settings: TlsSettings;
     readonly journal: Journal;
-    /** Takes renewed credentials. */
+    /** Called with renewed credentials. */
     readonly onChange: (credentials: Credentials) => void;
 }
 
@@ -32,7 +32,7 @@
         this.#task = new RepeatedTask({ run: () => this.#poll(), pauseMilliseconds: pollIntervalMilliseconds });
     }
 
-    /** Starts to watch, if the settings name certificates. */
+    /** Starts to watch the files, if the settings name certificates. */
     start(): void {
         if (this.#current !== undefined) {
             this.#task.start();
@@ -44,7 +44,10 @@
         return this.#task.stop();
     }
 
-    /** Whoever renews the files may be in the middle of it: what cannot be read keeps the old credentials in use. */
+    /**
+     * Reads the files again. A renewal may be in progress: if the files cannot be read or do not match, the old
+     * credentials stay in use.
+     */
     #poll(): void {
         let loaded: Credentials | undefined;
         try {
@@ -74,7 +77,7 @@
 }
 
 /**
- * Reads the certificates that a section names, or returns `undefined` when it names none.
+ * Reads the certificates that a settings section names, or returns `undefined` if it names none.
  * @param settings - The section.
  */
 export function readCredentials(settings: TlsSettings): Credentials | undefined {
@@ -90,7 +93,7 @@
     };
 }
 
-/** Throws when a certificate and its key do not belong together, as halfway through a renewal. */
+/** Throws if a certificate and its key do not match, as in the middle of a renewal. */
 function assertKeyMatchesCertificate(credentials: Credentials | undefined): void {
     if (credentials !== undefined) {
         const { certificate: cert, key, authority: ca } = credentials;
--- a/src/entry/entry.ts
+++ b/src/entry/entry.ts
@@ -1,5 +1,5 @@
 /**
- * An entry: the process to which callers connect. The root from which its parts are reached.
+ * Root object of an entry, the process to which callers connect.
  */
 import type { AwilixContainer } from "awilix";
 import { setTimeout as sleep } from "node:timers/promises";
@@ -8,10 +8,10 @@
 import { createEntryContainer } from "./container.js";
 import type { Cradle } from "./cradle.js";
 
-/** How long a graceful shutdown waits for the log to take the last bills, in milliseconds. */
+/** How long a graceful shutdown waits for the log to accept the last bills, in milliseconds. */
 const flushTimeoutMilliseconds = 60_000;
 
-/** Runs an entry from its start to its graceful shutdown. */
+/** Runs an entry from startup to graceful shutdown. */
 export class Entry {
     readonly #container: AwilixContainer<Cradle>;
     #shutdown: Promise<void> | undefined;
@@ -22,7 +22,7 @@
 
     /**
      * Creates an entry without starting it.
-     * @param settings - Its checked settings.
+     * @param settings - Its validated settings.
      */
     static async create(settings: EntrySettings): Promise<Entry> {
         return new Entry(await createEntryContainer(settings));
@@ -33,15 +33,16 @@
         return this.#container.cradle;
     }
 
-    /** Starts to follow the platform, to talk to peers and to serve. */
+    /** Starts to follow the platform, to communicate with peers and to serve callers. */
     async start(): Promise<void> {
         const parts = this.getParts();
         const { settings } = parts;
         (await parts.peerServer.start()).match(() => undefined, failure => {
             throw failure;
         });
-        // Peers hand this entry's address to callers as soon as they hear of it, so it listens first. Until it has a
-        // configuration it refuses, which callers can act upon; a connection that is refused tells them nothing.
+        // Peers hand out this entry's address to callers as soon as they receive it, so the entry listens first. Until
+        // it has a configuration it refuses requests, which callers can act upon; a refused connection gives them no
+        // reason.
         await parts.callerServer.listen(settings.listen.callers.port, settings.listen.callers.host);
         parts.credentialFiles.start();
         parts.upstreamCredentialFiles.start();
@@ -70,8 +71,9 @@
     }
 
     /**
-     * Leaves the addresses first and goes on accepting for as long as callers may keep the old answer; then finishes
-     * what runs, gives bills to the log, and only then stops talking to peers and the platform.
+     * Announces first that the entry is leaving, and continues to accept requests for as long as callers may cache its
+     * address. Then finishes the requests in progress and appends the bills to the log. Only then stops communicating
+     * with peers and the platform.
      */
     async #stop(): Promise<void> {
         const parts = this.getParts();
--- a/src/entry/entryState.ts
+++ b/src/entry/entryState.ts
@@ -1,22 +1,22 @@
 /**
- * Facts about the entry as a whole that several parts need.
+ * State of the entry as a whole that several parts need.
  */
 import type { ConfigurationReader } from "../configuration/index.js";
 import type { Membership } from "../membership/index.js";
 import { getEffectiveAge, maxFreshAgeMilliseconds } from "./freshness.js";
 
-/** What the state is taken from. */
+/** Options of the entry state. */
 export interface EntryStateOptions {
     readonly configuration: ConfigurationReader;
     readonly membership: Membership;
     /** Name of this entry. */
     readonly self: string;
     readonly isPeerFresh: (origin: string) => boolean;
-    /** Whether the upstreams have been asked what they have loaded. */
+    /** Whether the upstreams have been queried for the versions that they have loaded. */
     readonly hasPolledUpstreams: () => boolean;
 }
 
-/** Knows whether the entry may serve, and how current its configuration is. */
+/** Determines whether the entry may serve, and how current its configuration is. */
 export class EntryState {
     readonly #options: EntryStateOptions;
 
@@ -24,17 +24,18 @@
         this.#options = options;
     }
 
-    /** Tells whether there is a configuration to serve by, and the upstreams are known. */
+    /** Returns whether the entry has a configuration and has polled the upstreams. */
     isReady(): boolean {
         return this.#options.configuration.getOffset() > 0 && this.#options.hasPolledUpstreams();
     }
 
-    /** Returns the age of the configuration that counts for refusing work, in milliseconds. */
+    /** Returns the age of the configuration by which work is refused, in milliseconds. */
     getConfigurationAge(): number {
         const { configuration, membership } = this.#options;
         const ownAgeMilliseconds = configuration.getAge();
         if (ownAgeMilliseconds <= maxFreshAgeMilliseconds) {
-            // The common case, asked for each request: no word of the others can change it, so they aren't counted.
+            // The common case, evaluated for each request. The peers' state cannot change the result, so it is not
+            // collected.
             return ownAgeMilliseconds;
         }
         return getEffectiveAge({
--- a/src/entry/explanations.ts
+++ b/src/entry/explanations.ts
@@ -1,18 +1,18 @@
 /**
- * Remembers why the latest requests went where they went, for `rattanlock explain`.
+ * Stores how the latest requests were routed and why, for `rattanlock explain`.
  */
 import type { Placement, Plan } from "../decisions/index.js";
 
-/** Requests that are remembered. */
+/** Maximum number of requests whose explanations are stored. */
 const capacity = 2000;
 
-/** Why one request went where it went. */
+/** Explains how one request was routed. */
 export interface Explanation {
     readonly request: string;
     readonly lines: readonly string[];
 }
 
-/** Keeps the explanations of the latest requests. */
+/** Stores the explanations of the latest requests. */
 export class Explanations {
     readonly #lines = new Map<string, string[]>();
 
@@ -29,7 +29,7 @@
     }
 
     /**
-     * Adds a choice of a runner.
+     * Adds the choice of a runner.
      * @param request - Identifies the request.
      * @param version - The version.
      * @param placement - The choice.
@@ -47,7 +47,7 @@
      * Adds the rating of a cascade's step.
      * @param request - Identifies the request.
      * @param version - The version that was rated.
-     * @param score - The rating, if one came in time.
+     * @param score - The rating; `undefined` if none arrived in time.
      * @param accepted - Whether the answer was final.
      */
     addRating(request: string, version: string, score: number | undefined, accepted: boolean): void {
@@ -55,7 +55,7 @@
     }
 
     /**
-     * Returns the explanation of a request, or `undefined` when it is not remembered.
+     * Returns the explanation of a request, or `undefined` if none is stored.
      * @param request - Identifies the request.
      */
     get(request: string): Explanation | undefined {
--- a/src/entry/freshness.ts
+++ b/src/entry/freshness.ts
@@ -1,33 +1,34 @@
 /**
- * How old an entry's configuration may be taken to be.
+ * Determines the effective age of an entry's configuration.
  *
- * An entry that is cut off from the log cannot see a withdrawal. While others can, it must learn from them or stop
- * taking new work; but an outage of the log for everybody must not stop a site, since nothing can be withdrawn then.
+ * An entry that is cut off from the log cannot see a withdrawal. While other entries can, it must receive the
+ * withdrawal from them or stop taking new work. An outage of the log for all entries must not stop a site, since
+ * nothing can be withdrawn during the outage.
  */
 
-/** What one entry knows about itself and the others. */
+/** Represents what one entry knows about itself and its peers. */
 export interface FreshnessView {
     /** Milliseconds since this entry last confirmed its configuration. */
     readonly ownAgeMilliseconds: number;
-    /** Whether at most half of the listed entries is known to live. */
+    /** Whether at most half of the listed entries are known to be alive. */
     readonly isMajorityUnreachable: boolean;
-    /** What each reachable other entry says: whether it has confirmed its configuration lately, and its offset. */
+    /** What each reachable peer reports: whether it confirmed its configuration recently, and its offset. */
     readonly peers: Iterable<{ readonly isFresh: boolean; readonly configurationOffset: number; }>;
     readonly ownOffset: number;
 }
 
-/** An entry calls its configuration fresh while it was confirmed this long ago, in milliseconds. */
+/** Maximum age at which an entry reports its configuration as fresh, in milliseconds. */
 export const maxFreshAgeMilliseconds = 5000;
 
 /**
- * An age above this was never counted from a confirmation: neither the log's end nor a peer that saw it. Peers pass
- * such ages on as a great number.
+ * An age above this was never measured from a confirmation, neither by the log's end nor by a peer that had read it.
+ * Peers send such ages as a very large number.
  */
 const maxConfirmedAgeMilliseconds = Number.MAX_SAFE_INTEGER / 2;
 
 /**
- * Returns the age that counts for refusing work, in milliseconds: 0 when nobody on the greater side of a cut has any
- * newer word from the log.
+ * Returns the age by which work is refused, in milliseconds. It is 0 if no entry on the majority side of a partition
+ * has newer data from the log.
  * @param view - What the entry knows.
  */
 export function getEffectiveAge(view: FreshnessView): number {
@@ -35,8 +36,8 @@
         return view.ownAgeMilliseconds;
     }
     if (view.ownAgeMilliseconds > maxConfirmedAgeMilliseconds) {
-        // Entries that all start while the log is slow are all without its newest word for a while. Taken for an outage,
-        // this would have them serve by the first page of the stream, and a version withdrawn since would answer.
+        // Entries that all start while the log is slow lack its newest records for a while. If this were treated as an
+        // outage, they would serve by the first page of the stream, and a version withdrawn since would answer.
         return view.ownAgeMilliseconds;
     }
     for (const peer of view.peers) {
--- a/src/entry/loadPoller.ts
+++ b/src/entry/loadPoller.ts
@@ -1,5 +1,5 @@
 /**
- * Asks the upstreams of this entry's subset for their load and their cache events.
+ * Polls the upstreams of this entry's subset for their load and their cache events.
  */
 import { type Clock, RepeatedTask } from "../common/index.js";
 import { PollSchedule, type RunnerChooser } from "../decisions/index.js";
@@ -12,11 +12,11 @@
     readonly engines: EngineClient;
     readonly runners: RunnerChooser;
     readonly intervalMilliseconds: number;
-    /** Bound on the upstreams that are asked in a second. */
+    /** Maximum number of upstreams polled in a second. */
     readonly pollsPerSecond: number;
-    /** Is called at the end of each round. */
+    /** Called at the end of each round. */
     readonly onRound: () => void;
-    /** Is called when an upstream says of itself that it is leaving. */
+    /** Called when an upstream reports that it is leaving. */
     readonly onLeaving: (upstream: Vm) => void;
 }
 
@@ -49,16 +49,16 @@
     }
 
     /**
-     * Tells whether every upstream has been asked once. Before that the entry does not know which versions they have
-     * loaded: it would refuse its first callers although there is room for them.
+     * Returns whether every upstream has been polled once. Before that the entry does not know which versions they have
+     * loaded, and would refuse its first callers although there is capacity for them.
      */
     hasPolledAll(): boolean {
         return this.#hasPolledAll;
     }
 
     /**
-     * Asks the upstreams whose turn it is without waiting for the answers: one that is frozen would hold up the others'
-     * news. An upstream that has not answered yet is passed over.
+     * Polls the upstreams that are due without waiting for the responses, because a frozen upstream would delay the
+     * updates of the others. An upstream that has not responded yet is skipped.
      */
     #poll(): void {
         const { runners, clock } = this.#options;
@@ -95,7 +95,7 @@
         if (load.isErr()) {
             return;
         }
-        // Upstreams name themselves freely; the VM list's identifier is the one that is known here.
+        // Upstreams choose their own names, so the report is stored under the VM list's identifier.
         this.#options.runners.addLoadReport({ ...load.value, upstream: upstream.id });
         if (load.value.leaving) {
             this.#options.onLeaving(upstream);
--- a/src/entry/main.ts
+++ b/src/entry/main.ts
@@ -1,6 +1,6 @@
 #!/usr/bin/env node
 /**
- * The program `rattanlock-entry`.
+ * Command-line program `rattanlock-entry`.
  */
 import { readFileSync } from "node:fs";
 import { parseArgs } from "node:util";
@@ -25,7 +25,7 @@
     await entry.start();
     console.log(`ready entry ${settings.listen.callers.host}:${settings.listen.callers.port}`);
     for (const signal of ["SIGTERM", "SIGINT"] as const) {
-        // A second signal finds the shutdown under way and waits for it like the first.
+        // A second signal waits for the shutdown in progress, like the first one.
         process.on(signal, () => void entry.stop().then(() => process.exit(0)));
     }
 }
--- a/src/entry/metrics.ts
+++ b/src/entry/metrics.ts
@@ -1,14 +1,14 @@
 /**
- * The entry's metrics: cost, latency, exposure, and each limit.
+ * Defines the entry's metrics, such as cost, latency, exposure and the load of the entry.
  */
 import { Counter, Gauge, Histogram, Registry } from "prom-client";
 
-/** Buckets in seconds that resolve the target of 0.9 s to the first token. */
+/** Histogram buckets in seconds, with a fine resolution around the target of 0.9 s for the time to first token. */
 const firstTokenBuckets = [0.05, 0.1, 0.2, 0.3, 0.45, 0.6, 0.75, 0.85, 0.9, 0.95, 1.05, 1.25, 1.6, 2.5, 5, 10];
-/** Buckets in seconds that resolve the target of 43 ms between tokens. */
+/** Histogram buckets in seconds, with a fine resolution around the target of 43 ms between tokens. */
 const tokenGapBuckets = [0.005, 0.01, 0.02, 0.03, 0.036, 0.04, 0.043, 0.046, 0.05, 0.06, 0.08, 0.12, 0.25, 1];
 
-/** Creates the entry's metrics in a registry of their own. */
+/** Creates the entry's metrics in their own registry. */
 export function createMetrics() {
     const registry = new Registry();
     const registers = [registry];
@@ -65,12 +65,12 @@
         }),
         running: new Gauge({
             name: "rattanlock_running_requests",
-            help: "Requests that this entry works on.",
+            help: "Requests in progress at this entry.",
             registers,
         }),
         configurationOffset: new Gauge({
             name: "rattanlock_configuration_offset",
-            help: "Offset up to which the configuration is in force here.",
+            help: "Log offset of the configuration that is in force at this entry.",
             registers,
         }),
         configurationAge: new Gauge({
@@ -86,7 +86,7 @@
         }),
         unappendedBills: new Gauge({
             name: "rattanlock_unappended_bills",
-            help: "Bills that wait for the log.",
+            help: "Bills that the log has not accepted yet.",
             registers,
         }),
     };
--- a/src/entry/operatorServer.ts
+++ b/src/entry/operatorServer.ts
@@ -1,5 +1,5 @@
 /**
- * The HTTP face towards operators: metrics, health, status, explanations and the time line's events.
+ * HTTP server for operators: metrics, status, explanations and the events of time lines.
  */
 import Router from "@koa/router";
 import Koa from "koa";
@@ -8,10 +8,10 @@
 import type { Explanations } from "./explanations.js";
 import type { Metrics } from "./metrics.js";
 
-/** What the server shows. */
+/** Options of the server. */
 export interface OperatorServerOptions {
     readonly metrics: Metrics;
-    /** Sets the gauges before they are read. */
+    /** Refreshes the gauges before they are read. */
     readonly refreshMetrics: () => void;
     readonly getStatus: () => object;
     readonly explanations: Explanations;
@@ -32,9 +32,9 @@
     }
 
     /**
-     * Listens.
+     * Listens on a port.
      * @param port - The port.
-     * @param address - The IP number.
+     * @param address - The IP address.
      */
     listen(port: number, address: string): Promise<void> {
         return new Promise((resolve, reject) => {
@@ -43,7 +43,7 @@
         });
     }
 
-    /** Stops at once; operators ask again. */
+    /** Stops at once and closes all connections; operators repeat their requests. */
     close(): Promise<void> {
         const closed = new Promise<void>(resolve => this.#server.close(() => resolve()));
         this.#server.closeAllConnections();
--- a/src/entry/orders/desiredVersions.ts
+++ b/src/entry/orders/desiredVersions.ts
@@ -1,5 +1,5 @@
 /**
- * Which versions a pool is to have loaded, from the configuration and the roll-outs.
+ * Determines which versions a pool should have loaded, from the configuration and the roll-outs.
  */
 import type { Configuration } from "../../configuration/index.js";
 import type { Rollout, RolloutFold } from "../../control/index.js";
@@ -8,27 +8,28 @@
 
 const modelWildcard = "*";
 
-/** What the wanted versions are worked out from. */
+/** Inputs from which the desired versions are determined. */
 export interface DesiredVersionsOptions {
     readonly configuration: Configuration;
     readonly rollouts: RolloutFold;
-    /** Models that are placed on the pool; `*` is every one. */
+    /** Models that are placed on the pool; `*` stands for all models. */
     readonly models: readonly string[];
-    /** Tells how much work a version gets in the whole site. */
+    /** Returns how much work a version gets in the whole site. */
     readonly getDemand: (version: string) => number;
 }
 
-/** The versions of a pool. */
+/** Represents the desired versions of a pool. */
 export interface DesiredVersions {
     readonly placed: readonly PlacedVersion[];
-    /** Versions that may stay where they are loaded until their room is needed. */
+    /** Versions that may stay loaded until their slots are needed. */
     readonly evictable: ReadonlySet<string>;
 }
 
 /**
- * Collects the versions that a pool is to have loaded: those that serve or drain, candidates under roll-out, and what
- * traffic falls back to when one of these is halted. Whatever is neither placed nor kept is to be unloaded.
- * @param options - What they are worked out from.
+ * Collects the versions that a pool should have loaded: those that serve or drain, candidates in a roll-out, and the
+ * fallbacks that receive the traffic when one of these is halted. A version that is neither placed nor evictable is to
+ * be unloaded.
+ * @param options - Inputs from which the versions are determined.
  */
 export function collectDesiredVersions(options: DesiredVersionsOptions): DesiredVersions {
     const placed = new Map<string, number>();
@@ -47,7 +48,7 @@
         }
     }
     for (const id of [...placed.keys()]) {
-        // A halt sends all traffic to the fallback at once, and loading takes minutes.
+        // A halt moves all traffic to the fallback at once, and loading takes minutes.
         const fallback = options.rollouts.getFallback(id, version => evictable.has(version) || placed.has(version));
         if (fallback !== undefined && evictable.delete(fallback)) {
             placed.set(fallback, 0);
@@ -56,7 +57,7 @@
     return { placed: Array.from(placed, ([id, demand]) => ({ id, demand })), evictable };
 }
 
-/** Returns the demand of a version that is to be loaded, or undefined for one that is not. */
+/** Returns the demand of a version that should be loaded, or `undefined` for one that should not. */
 function getPlacedDemand(version: ModelVersion, options: DesiredVersionsOptions): number | undefined {
     const { rollouts, getDemand } = options;
     if (rollouts.isHalted(version.id)) {
@@ -74,7 +75,10 @@
         : Math.max(demand, getNextStageShare(rollout) * getDemand(rollout.baseline));
 }
 
-/** Returns the share of callers at the next stage: loaded only once the stage begins, the candidate would be short. */
+/**
+ * Returns the share of callers at the next stage. A candidate that is loaded only when the stage starts would lack
+ * capacity.
+ */
 function getNextStageShare(rollout: Rollout): number {
     return rollout.state === "finished" ? 1 : rollout.stages[rollout.stage + 1] ?? 1;
 }
--- a/src/entry/orders/orderDriver.ts
+++ b/src/entry/orders/orderDriver.ts
@@ -1,8 +1,9 @@
 /**
- * Orders engines as the holder of the roll-out lease: which versions each runner is to have loaded.
+ * Sends loading orders to the engines while this entry holds the roll-out lease: which versions each runner should have
+ * loaded.
  *
- * Every round starts from what the engines report, so a holder that takes over needs nothing of the former one, and an
- * engine that obeyed a late order of a former holder is put right in the next round.
+ * Every round starts from the engines' reports. A new lease holder therefore needs no state of the former one, and an
+ * engine that obeyed a late order of a former holder is corrected in the next round.
  */
 import { type Clock, RepeatedTask } from "../../common/index.js";
 import type { ConfigurationReader } from "../../configuration/index.js";
@@ -14,12 +15,14 @@
 import { collectDesiredVersions } from "./desiredVersions.js";
 import { type OrderedPool, PoolOrders } from "./poolOrders.js";
 
-/** An entry whose configuration was not confirmed for this long does not order: it might bring back a withdrawn version. */
+/**
+ * Maximum age of the configuration at which an entry sends orders. With an older one it might load a withdrawn version.
+ */
 const maxConfigurationAgeMilliseconds = 10_000;
-/** Pause for each runner that is read, which bounds what reading costs a node before a large pool. */
+/** Pause for each runner that is read, which limits the cost of reading a large pool. */
 const pauseMillisecondsPerRunner = 15;
 
-/** What a driver works with. */
+/** Options of a driver. */
 export interface OrderDriverOptions {
     readonly clock: Clock;
     readonly journal: Journal;
@@ -32,11 +35,11 @@
     readonly channel: OrderChannel;
     readonly getVms: () => Iterable<Vm>;
     readonly intervalMilliseconds: number;
-    /** Runners of a pool that an entry talks to. */
+    /** Number of runners of a pool with which an entry communicates. */
     readonly subsetSize: number;
 }
 
-/** Drives the loading of versions. */
+/** Drives the loading of versions in all pools that are managed by orders. */
 export class OrderDriver {
     readonly #options: OrderDriverOptions;
     readonly #task: RepeatedTask;
@@ -51,19 +54,20 @@
         });
     }
 
-    /** Starts to order whenever the lease is held. */
+    /** Starts to send orders while the lease is held. */
     start(): void {
         this.#task.start();
     }
 
-    /** Stops ordering. */
+    /** Stops sending orders. */
     stop(): Promise<void> {
         return this.#task.stop();
     }
 
     /**
-     * Tells whether callers may be led to a version: it is loaded on more than one runner where it is placed by
-     * orders, or anywhere that this entry knows of where engines are managed by hand.
+     * Returns whether callers may be routed to a version. Where orders place the version, it must be loaded on more
+     * than one runner, if it is placed on more than one. Where engines are managed by hand, any runner known to this
+     * entry is enough.
      * @param version - Identifier of the version.
      */
     isReady(version: string): boolean {
@@ -78,7 +82,7 @@
         return !isOrdered && this.#options.runners.countRunners(version) > 0;
     }
 
-    /** Returns what the holder knows of the pools that it orders; nothing on another entry. */
+    /** Returns the state of the pools that this entry orders; empty unless it holds the lease. */
     getStatus(): readonly OrderedPool[] {
         return Array.from(this.#pools.values(), pool => pool.getStatus());
     }
--- a/src/entry/orders/poolOrders.ts
+++ b/src/entry/orders/poolOrders.ts
@@ -1,5 +1,5 @@
 /**
- * Brings the runners of one pool step by step to what the configuration wants, and remembers what was ordered.
+ * Brings the runners of one pool to the desired state step by step, and records the orders that were sent.
  */
 import { type Clock } from "../../common/index.js";
 import type { PoolSettings } from "../../configuration/index.js";
@@ -15,22 +15,22 @@
 const readTimeoutMilliseconds = 2_000;
 const maxConcurrentCalls = 32;
 const resendMilliseconds = 10_000;
-/** Load reports of this many runners at a time reach an entry; a version needs some among them. */
+/** Average number of copies of a version within the subset of runners from which an entry receives load reports. */
 const copiesPerSubset = 8;
 const role = "serve";
 
-/** What a pool's orders work with. */
+/** Options of a pool's orders. */
 export interface PoolOrdersOptions {
     readonly pool: string;
     readonly clock: Clock;
     readonly journal: Journal;
     readonly engines: EngineOrders;
     readonly channel: OrderChannel;
-    /** Runners of a pool that an entry talks to. */
+    /** Number of runners of a pool with which an entry communicates. */
     readonly subsetSize: number;
 }
 
-/** What is known of a runner that is ordered, for operators. */
+/** Represents the state of a runner that is managed by orders, for operators. */
 export interface OrderedRunner {
     readonly id: string;
     readonly versions: readonly string[];
@@ -40,19 +40,19 @@
     readonly isStalled: boolean;
 }
 
-/** What is known of a pool that is ordered, for operators. */
+/** Represents the state of a pool that is managed by orders, for operators. */
 export interface OrderedPool {
     readonly pool: string;
     readonly runners: readonly OrderedRunner[];
-    /** Loads that are still to come. */
+    /** Number of loads that are still outstanding. */
     readonly missing: number;
-    /** Versions that there is no room for. */
+    /** Versions for which the pool has no capacity. */
     readonly unplaced: readonly string[];
 }
 
 interface SentOrder {
     readonly versions: string;
-    /** What the engine reported then. */
+    /** Versions that the engine reported when the order was sent. */
     readonly reported: string;
     readonly at: number;
 }
@@ -62,15 +62,15 @@
     readonly since: number;
 }
 
-/** Orders the runners of a pool. */
+/** Manages the runners of a pool by orders. */
 export class PoolOrders {
     readonly #options: PoolOrdersOptions;
     readonly #pendingLoads = new Map<string, PendingLoad>();
-    /** Until when a runner that did not load in time is passed over. */
+    /** Until when a runner is skipped because it did not load a version in time. */
     readonly #stalledUntil = new Map<string, number>();
-    /** When a version was first seen loaded without being wanted. */
+    /** When a version was first seen loaded although it is not desired. */
     readonly #undesiredSince = new Map<string, number>();
-    /** The state in which a runner was last found as it was ordered. */
+    /** Versions that a runner reported when it last matched the decision. */
     readonly #reconciledVersions = new Map<string, string>();
     readonly #sentOrders = new Map<string, SentOrder>();
     readonly #issuedWarnings = new Set<string>();
@@ -82,11 +82,12 @@
     }
 
     /**
-     * Reads the runners and orders those that are not as they are wanted.
+     * Reads the runners and sends orders to those that are not in the desired state.
      * @param runners - The pool's runners.
      * @param settings - The pool's settings.
-     * @param desired - What the pool is to have loaded.
-     * @param maxRequestMilliseconds - Milliseconds after which a version that takes nothing new has no work any more.
+     * @param desired - The versions that the pool should have loaded.
+     * @param maxRequestMilliseconds - Time after which a version that takes no new work has no requests in flight, in
+     *   milliseconds.
      */
     async reconcile(
         runners: readonly Vm[],
@@ -118,7 +119,9 @@
         });
     }
 
-    /** Tells whether a version is ready as widely as its placement spreads; undefined when it is not placed here. */
+    /**
+     * Returns whether a version is loaded on enough runners for its placement; `undefined` if it is not placed here.
+     */
     isReady(version: string): boolean | undefined {
         const holders = this.#decision?.placement.get(version);
         if (holders === undefined || holders.size === 0) {
@@ -131,7 +134,7 @@
         return ready >= Math.min(minFailureDomains, holders.size);
     }
 
-    /** Returns what is known, for operators. */
+    /** Returns the state of the pool, for operators. */
     getStatus(): OrderedPool {
         const runners: OrderedRunner[] = [];
         for (const [id, { versions, checksFencing }] of this.#reports) {
@@ -156,21 +159,22 @@
         }
     }
 
-    /** Notes a load that is done, and an engine that strayed from what it had reached. */
+    /** Records a completed load, and reports an engine whose versions differ from the state that it had reached. */
     #processReport(id: string, versions: readonly string[]): void {
-        const load = this.#pendingLoads.get(id);
-        if (load !== undefined && versions.includes(load.version)) {
+        const pendingLoad = this.#pendingLoads.get(id);
+        if (pendingLoad !== undefined && versions.includes(pendingLoad.version)) {
             this.#pendingLoads.delete(id);
             this.#stalledUntil.delete(id);
         }
         const reportedKey = getVersionsKey(versions);
         if (this.#sentOrders.get(id)?.reported !== reportedKey) {
-            // Whatever was ordered before the change may be undone by it, so it is ordered again at once.
+            // The change may have undone the last order, so the order is sent again at once.
             this.#sentOrders.delete(id);
         }
         const reconciled = this.#reconciledVersions.get(id);
         if (reconciled !== undefined && reconciled !== reportedKey) {
-            // An engine that doesn't check fencing obeyed a late order, or it restarted. Its report is what counts.
+            // Either an engine that does not check fencing tokens obeyed a late order, or the engine restarted. Its
+            // report is authoritative.
             this.#options.journal.write(events.engineStrayed, { engine: id, versions: versions.join(", ") });
             this.#reconciledVersions.delete(id);
         }
@@ -184,15 +188,15 @@
             if (report === undefined) {
                 continue;
             }
-            const load = this.#pendingLoads.get(id);
-            const isOverdue = load !== undefined
-                && now - load.since > settings.loadTimeoutSeconds * millisecondsPerSecond;
+            const pendingLoad = this.#pendingLoads.get(id);
+            const isOverdue = pendingLoad !== undefined
+                && now - pendingLoad.since > settings.loadTimeoutSeconds * millisecondsPerSecond;
             if (isOverdue) {
                 this.#pendingLoads.delete(id);
                 this.#stalledUntil.set(id, now + settings.loadTimeoutSeconds * millisecondsPerSecond);
-                this.#options.journal.write(events.loadStalled, { engine: id, version: load.version });
+                this.#options.journal.write(events.loadStalled, { engine: id, version: pendingLoad.version });
             }
-            const loading = load === undefined || isOverdue ? [] : [load.version];
+            const loading = pendingLoad === undefined || isOverdue ? [] : [pendingLoad.version];
             const { versions, isIdle } = report;
             states.push({ id, failureDomain, versions, loading, isIdle, isStalled: this.#isStalled(id) });
         }
@@ -203,7 +207,7 @@
         return (this.#stalledUntil.get(id) ?? 0) > this.#options.clock.monotonic();
     }
 
-    /** Finds loaded versions that are not wanted, as long as work of theirs may be under way. */
+    /** Finds versions that are loaded but not desired, as long as they may have requests in flight. */
     #findRetiring(
         states: readonly LoadingRunner[],
         { placed, evictable }: DesiredVersions,
@@ -235,13 +239,16 @@
         return retiring;
     }
 
-    /** With more runners than an entry talks to, two copies would be out of reach for nearly all entries. */
+    /**
+     * Returns the minimum number of copies of a version. With more runners than an entry communicates with, two copies
+     * would be unreachable for nearly all entries.
+     */
     #getMinCopies(runners: number): number {
         const { subsetSize } = this.#options;
         return runners <= subsetSize ? minFailureDomains : Math.ceil(runners * copiesPerSubset / subsetSize);
     }
 
-    /** Remembers the state of runners that are as they are wanted, and forgets it for those that are ordered anew. */
+    /** Records the state of runners that match the decision, and removes that of runners that get a new order. */
     #recordReconciled(states: readonly LoadingRunner[], decision: LoadingDecision): void {
         const ordered = new Set(decision.orders.map(order => order.runner));
         this.#reconciledVersions.clear();
@@ -293,8 +300,9 @@
     }
 
     /**
-     * Tells whether an engine has taken this very order and has not changed since. It is repeated only now and then, for
-     * an engine that lost it, since loading takes minutes and rounds follow each other quickly.
+     * Returns whether an engine has received this order and has not changed since. The order is resent only after
+     * `resendMilliseconds`, for an engine that lost it, because loading takes minutes and rounds follow each other
+     * quickly.
      */
     #isAlreadySent(id: string, state: SentOrder): boolean {
         const sent = this.#sentOrders.get(id);
@@ -302,7 +310,7 @@
             && state.at - sent.at < resendMilliseconds;
     }
 
-    /** Tells operators once of each thing that they have to see to. */
+    /** Warns operators once about each condition that they have to fix. */
     #warn(decision: LoadingDecision, settings: PoolSettings): void {
         for (const version of decision.unplaced) {
             this.#warnOnce(`unplaced ${version}`, () => {
--- a/src/entry/orders/runWithConcurrency.ts
+++ b/src/entry/orders/runWithConcurrency.ts
@@ -1,11 +1,11 @@
 /**
- * Runs work on many items with a bound on how many are under way.
+ * Runs work on many items with limited concurrency.
  */
 
 /**
  * Runs work on each item.
  * @param items - The items.
- * @param maxConcurrency - The most that may be under way at a time.
+ * @param maxConcurrency - Maximum number of items in progress at a time.
  * @param work - The work; it must not throw.
  */
 export async function runWithConcurrency<Item>(
--- a/src/entry/parts/callerParts.ts
+++ b/src/entry/parts/callerParts.ts
@@ -1,5 +1,5 @@
 /**
- * The parts that face callers and operators.
+ * Factories of the parts that serve callers and operators.
  */
 import { AttemptRunner } from "../attemptRunner.js";
 import { CallerServer } from "../callerServer.js";
@@ -15,12 +15,12 @@
 import { createStatus, refreshGauges } from "../status.js";
 
 const millisecondsPerSecond = 1000;
-/** Finished answers that this entry has rated, at most, in a second. */
+/** Maximum number of finished answers that this entry sends to the rating service in a second. */
 const ratingsPerSecond = 20;
 /** How long a caller may take to send its body, in milliseconds. */
 const bodyTimeoutMilliseconds = 15_000;
 
-/** Makes the parts that face callers and operators. */
+/** Creates the parts that serve callers and operators. */
 export const callerParts: PartFactories = {
     explanations: () => new Explanations(),
     attemptRunner: cradle =>
--- a/src/entry/parts/decisionParts.ts
+++ b/src/entry/parts/decisionParts.ts
@@ -1,5 +1,5 @@
 /**
- * The parts that decide: models, versions, runners, limits.
+ * Factories of the parts that choose models, versions and runners, and enforce limits.
  */
 import { OrderChannel } from "../../control/index.js";
 import {
@@ -26,12 +26,15 @@
 
 const percent = 100;
 const millisecondsPerSecond = 1000;
-/** Requests that an entry may have at work beyond the upstreams' present capacity, so that a growing one is used. */
+/**
+ * Minimum number of requests that an entry may have in flight, even above the upstreams' current capacity, so that
+ * growing capacity is used.
+ */
 const minCapacity = 4;
-/** Runners that a version needs, as a part of its successor's, to take over most of the successor's callers. */
+/** Fraction of its successor's runners that a version needs to take over most of the successor's callers. */
 const minRunnerFraction = 0.5;
 
-/** Makes the parts that decide. */
+/** Creates the parts that make decisions. */
 export const decisionParts: PartFactories = {
     evidence: ({ clock }) => new Evidence({ clock }),
     answerTimes: ({ clock }) => new AnswerTimes(clock),
@@ -55,8 +58,8 @@
             fold: rollouts,
             exposures,
             hash: callerHash,
-            // Where the version before it has been unloaded from most runners, holding back would overload the rest, and
-            // callers would be refused for a mere suspicion.
+            // Where the baseline has been unloaded from most runners, holding the candidate back would overload the
+            // remaining runners, and callers would be refused because of a mere suspicion.
             isHeld: ({ candidate, baseline }) =>
                 rolloutEvaluator.isHeld(candidate)
                 && runners.countRunners(baseline) >= minRunnerFraction * runners.countRunners(candidate),
@@ -141,8 +144,9 @@
             intervalMilliseconds: cradle.settings.timing.loadIntervalMilliseconds,
             pollsPerSecond: cradle.settings.limits.loadPolls,
             onRound: () => {
-                // Under one limit the places of idle services let chats in that no engine has a place for: they wait
-                // there, past the time to the first token, and keep more urgent ones waiting.
+                // With a common limit, the slots of idle services would admit chats for which no engine has a slot.
+                // These would wait at the engines, beyond the target for the time to first token, and delay more urgent
+                // ones.
                 cradle.admission.setCapacity(getOwnCapacity(cradle, "runner"));
                 cradle.serviceAdmission.setCapacity(getOwnCapacity(cradle, "service"));
             },
--- a/src/entry/parts/peerParts.ts
+++ b/src/entry/parts/peerParts.ts
@@ -1,5 +1,5 @@
 /**
- * The parts that face the other entries: gossip, membership, claims and bills.
+ * Factories of the parts that communicate with the other entries: gossip, membership, claims and bills.
  */
 import { BillReplicaStore, BillWriter, getBillCopyTargets, handleCopyBills } from "../../bills/index.js";
 import {
@@ -21,14 +21,14 @@
 import { SharedState } from "../sharedState.js";
 import { StateFetcher } from "../stateFetcher.js";
 
-/** Partitions of the claims; the same on all nodes, for ever. */
+/** Number of claim partitions. It is the same on all nodes and must never change. */
 const claimPartitions = 8;
-/** Bytes of values in one exchange of gossip, at most. */
+/** Maximum size of the values in one gossip exchange, in bytes. */
 const maxGossipBytes = 64 * 1024;
-/** Pause between two appends of bills for each entry of the site, so that all together spare the log. */
+/** Pause between two appends of bills for each entry of the site, which limits the load of all entries on the log. */
 const billPauseMillisecondsPerEntry = 20;
 
-/** Makes the parts that face the other entries. */
+/** Creates the parts that communicate with the other entries. */
 export const peerParts: PartFactories = {
     peerClient: ({ settings }) => new PeerClient({ credentials: readCredentials(settings.tls) }),
     peerServer: cradle =>
@@ -154,7 +154,7 @@
         }),
 };
 
-/** Creates the function that names the peers which keep copies of this entry's bills. */
+/** Creates the function that returns the peers that store copies of this entry's bills. */
 function createCopyTargets(
     { self, membership, peerClient, journal }: Pick<Cradle, "self" | "membership" | "peerClient" | "journal">,
 ) {
@@ -164,7 +164,9 @@
 
 function createHandlers({ gossip, journal, billReplicas, collectors, stateFetcher }: Cradle) {
     const getCounter = () => journal.getCounter();
-    /** Takes over the caller's counter, so that what this entry notes of the call sorts after its cause. */
+    /**
+     * Observes the caller's counter, so that the events that this entry records for the call sort after their cause.
+     */
     const withObservedCounter =
         <Request extends { readonly counter: number; }, Reply>(handle: (request: Request, protocol: number) => Reply) =>
         (request: Request, protocol: number) => {
--- a/src/entry/parts/platformParts.ts
+++ b/src/entry/parts/platformParts.ts
@@ -1,5 +1,5 @@
 /**
- * The parts that face the platform: log, configuration, control stream, VM list.
+ * Factories of the parts that communicate with the platform: log, configuration, control stream and VM list.
  */
 import { Agent } from "undici";
 import { ConfigurationReader, SnapshotWriter } from "../../configuration/index.js";
@@ -13,12 +13,12 @@
 import { createMetrics } from "../metrics.js";
 import { VmWatcher } from "../vmWatcher.js";
 
-/** Events that an entry keeps for time lines. */
+/** Maximum number of events that an entry stores for time lines. */
 const eventBufferCapacity = 20_000;
-/** Name of the lease under which roll-outs move and snapshots are written. */
+/** Name of the lease whose holder moves roll-outs and writes snapshots. */
 export const controlLease = "control";
 
-/** Makes the parts that face the platform. */
+/** Creates the parts that communicate with the platform. */
 export const platformParts: PartFactories = {
     self: ({ settings }) => ({
         id: settings.process.name,
@@ -60,7 +60,7 @@
         new LogClient({
             url: cradle.settings.platform.logUrl,
             clock: cradle.clock,
-            // Asked at each append: membership itself needs no log, and comes up after it.
+            // Evaluated at each append: membership itself needs no log, and is created after it.
             getNewestFormat: () => cradle.membership.getCommonProtocol(),
             timeoutMilliseconds: cradle.settings.timing.logTimeoutMilliseconds,
         }),
--- a/src/entry/planRunner.ts
+++ b/src/entry/planRunner.ts
@@ -17,12 +17,12 @@
 import type { Metrics } from "./metrics.js";
 import type { Refusal } from "./problem.js";
 
-/** Part of the remaining time that a rating inside a cascade may take. */
+/** Fraction of the remaining time that a rating inside a cascade may take. */
 const ratingTimeShare = 0.25;
-/** Longest that a rating inside a cascade may take, in milliseconds. */
+/** Maximum duration of a rating inside a cascade, in milliseconds. */
 const maxRatingMilliseconds = 1000;
 
-/** What a plan runner works with. */
+/** Options of a plan runner. */
 export interface PlanRunnerOptions {
     readonly clock: Clock;
     readonly journal: Journal;
@@ -35,19 +35,19 @@
     readonly explanations: Explanations;
     /** Name of this entry. */
     readonly entry: string;
-    /** Tells whether a finished answer is sent to the rating service as a sample. */
+    /** Returns whether a finished answer is sent to the rating service as a sample. */
     readonly isSampled: (requestClass: string) => boolean;
 }
 
-/** How far a plan has come. */
+/** Represents the progress of a plan. */
 interface PlanProgress {
-    /** Lines of answers that were rated and not accepted. */
+    /** Bill lines of answers that were not accepted. */
     readonly earlierLines: BillLine[];
-    /** What is known of the earlier steps together: once one ran, the request is no longer "not run". */
+    /** Combined outcome of the earlier steps: once one of them ran, the request is no longer "not run". */
     outcome: Outcome;
-    /** Whether the plan was chosen to learn. */
+    /** Whether the plan was chosen for exploration. */
     readonly exploring: boolean;
-    /** The rated answer in whose place the next one comes. */
+    /** The rated answer that the next step's answer replaces. */
     escalatedFrom: RatedStep | undefined;
 }
 
@@ -79,20 +79,20 @@
         for (let index = 0; index < plan.steps.length; index += 1) {
             const step = plan.steps[index];
             const isLast = index === plan.steps.length - 1;
-            const work = isLast
+            const served = isLast
                 ? await this.#runDirect(call, step, index, progress)
                 : await this.#runRated(call, step, index, progress);
-            if (work.isErr()) {
-                return err({ ...work.error, outcome: combineOutcomes(progress.outcome, work.error.outcome) });
+            if (served.isErr()) {
+                return err({ ...served.error, outcome: combineOutcomes(progress.outcome, served.error.outcome) });
             }
-            if (work.value !== undefined) {
-                return ok(work.value);
+            if (served.value !== undefined) {
+                return ok(served.value);
             }
         }
         throw new Error("A plan has at least one step, and its last step answers or fails.");
     }
 
-    /** Streams the answer to the caller as it comes. */
+    /** Streams the answer to the caller as it arrives. */
     async #runDirect(
         call: ChatCall,
         step: PlanStep,
@@ -101,7 +101,7 @@
     ): Promise<Result<ServedRequest, Refusal>> {
         const { version } = step;
         const { earlierLines, escalatedFrom, exploring } = progress;
-        // A plan that explores is paid for to learn; without its rating the price is lost.
+        // An exploring plan has a higher cost in order to obtain a rating; without the rating that cost is wasted.
         const isSampled = escalatedFrom !== undefined || exploring || this.#options.isSampled(call.requestClass);
         const text = isSampled ? new AnswerText() : undefined;
         const result = await this.#options.attemptRunner.run({
@@ -130,8 +130,8 @@
     }
 
     /**
-     * Holds an answer back until its rating is known. Accepted, it goes to the caller and this returns the work;
-     * otherwise it is billed as a line of the request, and the next step runs.
+     * Buffers an answer until its rating is known. An accepted answer is sent to the caller, and the served request is
+     * returned. Otherwise the answer is billed as a line of the request, and the next step runs.
      */
     async #runRated(
         call: ChatCall,
@@ -162,15 +162,15 @@
             writeEnd: async event => {
                 bufferedEvents.push(event);
             },
-            beforeEnd: async found => {
-                usage = found;
+            beforeEnd: async reportedUsage => {
+                usage = reportedUsage;
                 return ok(undefined);
             },
         });
         this.#recordResult(call, version, result);
         if (result.isErr()) {
             progress.outcome = combineOutcomes(progress.outcome, result.error.outcome);
-            // The next step may still answer; this one gave nothing that can be billed.
+            // The next step may still answer; this step produced nothing that can be billed.
             return call.disconnectSignal.aborted || call.deadlineSignal.aborted ? err(result.error) : ok(undefined);
         }
         progress.outcome = "ran";
@@ -194,7 +194,9 @@
         return ok(toServedRequest(result.value));
     }
 
-    /** Begins an answer that was held back. Its first token is the caller's only now, however early the engine had it. */
+    /**
+     * Starts a buffered answer. The caller receives its first token only now, however early the engine generated it.
+     */
     #startBuffered(call: ChatCall, { headers }: AttemptResult): void {
         const milliseconds = this.#options.clock.monotonic() - call.arrivedAt;
         this.#options.metrics.firstToken.observe({ class: call.requestClass }, milliseconds / 1000);
@@ -202,8 +204,9 @@
     }
 
     /**
-     * Returns from when a step's time to the first token counts. A later step's version had no part in the wait for the
-     * earlier answer; counted from the arrival, it would look slow in every cascade, and a roll-out could halt for it.
+     * Returns the time from which a step's time to first token is measured. A later step's version did not cause the
+     * wait for the earlier answer. Measured from arrival, it would look slow in every cascade, and a roll-out could be
+     * halted for that reason.
      */
     #getStepStartedAt(call: ChatCall, index: number): number {
         return index === 0 ? call.arrivedAt : this.#options.clock.monotonic();
@@ -220,9 +223,9 @@
     }
 
     /**
-     * Rates an answer that the caller has already, to learn from it. An answer that came in place of a rejected one was
-     * given to a harder request than most, so it counts among escalations only: among the others it would make the
-     * second version look worse than it is.
+     * Rates an answer that the caller has already received, as evidence. An answer that replaced a rejected one belongs
+     * to a more difficult request than most, so it counts among escalations only. Counted among the other ratings, it
+     * would make the second version look worse than it is.
      */
     async #rateInBackground(
         call: ChatCall,
@@ -246,7 +249,7 @@
         }
     }
 
-    /** Counts a rating at the time of its answer, since a change of a version is dated by answers. */
+    /** Counts a rating at the time of its answer, because a change of a version is dated by its answers. */
     #addRating(call: ChatCall, version: ModelVersion, score: number | undefined, answeredAt: number): void {
         if (score !== undefined) {
             const { requestClass } = call;
@@ -278,7 +281,7 @@
 
     #recordResult(call: ChatCall, version: ModelVersion, result: Result<AttemptResult, Refusal>): void {
         if (result.isErr() && (call.disconnectSignal.aborted || result.error.outcome === "not-run")) {
-            // The version had no part in a caller's leaving or in a full pool.
+            // A disconnected caller or a pool without free capacity says nothing about the version.
             return;
         }
         this.#options.evidence.addAnswer({
@@ -288,8 +291,8 @@
             slow: result.isOk() && result.value.firstTokenMilliseconds > call.settings.firstTokenMilliseconds,
         });
         if (result.isOk()) {
-            const { firstTokenMilliseconds: firstToken, milliseconds: whole } = result.value;
-            this.#options.answerTimes.add(version.id, call.requestClass, { firstToken, total: whole });
+            const { firstTokenMilliseconds: firstToken, milliseconds: totalMilliseconds } = result.value;
+            this.#options.answerTimes.add(version.id, call.requestClass, { firstToken, total: totalMilliseconds });
             this.#options.metrics.answers.inc({ version: version.id, class: call.requestClass });
             if (version.status === "candidate") {
                 this.#options.metrics.candidateAnswers.inc({ version: version.id });
--- a/src/entry/problem.ts
+++ b/src/entry/problem.ts
@@ -1,11 +1,11 @@
 /**
- * Refusals as callers see them: problem documents (RFC 9457) that the `openai` client understands as well.
+ * Represents refusals as problem documents (RFC 9457) that the `openai` client also understands.
  */
 import type { Failure, FailureKind, Outcome, Refusal } from "../common/index.js";
 
 export type { Refusal } from "../common/index.js";
 
-/** The body of a refusal. */
+/** Represents the body of a refusal. */
 export interface ProblemDocument {
     readonly type: string;
     readonly title: string;
@@ -15,12 +15,12 @@
     readonly remedy: string;
     readonly requestId: string;
     readonly retryAfterMilliseconds: number | undefined;
-    /** The shape in which the `openai` client looks for an error. */
+    /** The shape in which the `openai` client expects an error. */
     readonly error: { readonly message: string; readonly type: FailureKind; readonly code: string; };
 }
 
 interface ProblemDefinition {
-    /** Never changes its meaning. */
+    /** Number in the type of the problem. Its meaning never changes. */
     readonly number: number;
     readonly status: number;
     readonly title: string;
@@ -32,19 +32,19 @@
     "not-allowed": { number: 3, status: 403, title: "The workspace does not allow this" },
     "overloaded": { number: 4, status: 429, title: "There is more work than capacity" },
     "deadline": { number: 5, status: 504, title: "The deadline cannot be met" },
-    "unavailable": { number: 6, status: 503, title: "Something that is needed cannot be reached" },
-    "conflict": { number: 7, status: 409, title: "Another request came first" },
+    "unavailable": { number: 6, status: 503, title: "A required resource is unavailable" },
+    "conflict": { number: 7, status: 409, title: "The request conflicts with an earlier one" },
     "in-progress": { number: 8, status: 409, title: "The same request is in progress or its outcome is unknown" },
-    "gone": { number: 9, status: 410, title: "What the request refers to has ended" },
+    "gone": { number: 9, status: 410, title: "The resource that the request refers to has ended" },
     "upstream-failed": { number: 10, status: 502, title: "The upstream failed" },
     "stale": { number: 11, status: 503, title: "The entry's configuration is too old" },
-    "protocol": { number: 12, status: 502, title: "The upstream broke its protocol" },
-    "not-found": { number: 13, status: 404, title: "No route leads there" },
+    "protocol": { number: 12, status: 502, title: "The upstream violated its protocol" },
+    "not-found": { number: 13, status: 404, title: "No route matches the request" },
     "too-large": { number: 14, status: 413, title: "The request is too large" },
 };
 
 /**
- * Creates the document for a refusal.
+ * Creates the problem document of a refusal.
  * @param refusal - The refusal.
  * @param requestId - Identifies the request.
  */
@@ -65,14 +65,14 @@
 }
 
 /**
- * Returns the headers that go with a refusal.
+ * Returns the headers of a refusal.
  * @param problem - The document.
  */
 export function getProblemHeaders(problem: ProblemDocument): Readonly<Record<string, string>> {
     const headers: Record<string, string> = {
         "content-type": "application/problem+json",
         "x-rattanlock-outcome": problem.outcome,
-        // The public client repeats 409, 429 and 5xx on its own. It may do so only where nothing ran.
+        // The public client retries 409, 429 and 5xx on its own. It may do so only if nothing ran.
         "x-should-retry": problem.outcome === "not-run" && problem.retryAfterMilliseconds !== undefined
             ? "true"
             : "false",
@@ -84,7 +84,7 @@
     return headers;
 }
 
-/** Creates a refusal of a request of which nothing was sent to an upstream. */
+/** Creates a refusal of a request that was not sent to any upstream. */
 export function createNotRunRefusal(failure: Failure): Refusal {
     return { failure, outcome: "not-run" };
 }
--- a/src/entry/promptBlocks.ts
+++ b/src/entry/promptBlocks.ts
@@ -1,11 +1,11 @@
 /**
- * Hashes of a prompt's prefixes, by which engines name the blocks in their prefix caches.
+ * Hashes of prompt prefixes, by which engines identify the blocks in their prefix caches.
  */
 import createHasher from "xxhash-wasm";
 
-/** Characters of a block. */
+/** Characters per block. */
 const blockCharacters = 512;
-/** Blocks of a prompt that are looked at, at most: further ones change no decision. */
+/** Maximum number of blocks that are hashed: further blocks change no decision. */
 const maxBlocks = 64;
 const hashDigits = 16;
 
--- a/src/entry/requestBody.ts
+++ b/src/entry/requestBody.ts
@@ -1,5 +1,5 @@
 /**
- * Reads request bodies with a bound on their size and time.
+ * Reads request bodies with a limit on their size and time.
  */
 import { err, ok, type Result } from "neverthrow";
 import type { IncomingMessage } from "node:http";
@@ -9,11 +9,11 @@
 /**
  * Reads a body.
  *
- * A body of any size, or one that trickles in for minutes, would hold memory for each such caller; enough of them
- * stop the entry for everybody.
+ * Without limits, each caller that sends a very large body, or sends one slowly over minutes, would hold memory. Enough
+ * of them would stop the entry for all callers.
  * @param request - The request.
- * @param maxBytes - The largest body that is taken.
- * @param timeoutMilliseconds - How long the caller may take to send it.
+ * @param maxBytes - Maximum size of the body, in bytes.
+ * @param timeoutMilliseconds - How long the caller may take to send the body, in milliseconds.
  */
 export async function readBody(
     request: IncomingMessage,
--- a/src/entry/resumePipeline.ts
+++ b/src/entry/resumePipeline.ts
@@ -1,5 +1,5 @@
 /**
- * Goes on with a stream that broke between a caller and another entry.
+ * Resumes a stream that broke between a caller and another entry.
  */
 import { err, ok, type Result } from "neverthrow";
 import type { BillWriter } from "../bills/index.js";
@@ -15,7 +15,7 @@
 import type { Refusal } from "./problem.js";
 import { readResumeToken, type ResumePoint } from "./resumeToken.js";
 
-/** What the pipeline works with. */
+/** Options of the pipeline. */
 export interface ResumePipelineOptions {
     readonly clock: Clock;
     readonly journal: Journal;
@@ -28,10 +28,10 @@
     readonly entry: string;
 }
 
-/** A caller that wants the rest of its answer. */
+/** Represents a caller's request for the rest of its answer. */
 export interface Resumption {
     readonly token: string;
-    /** Number of the last event that the caller has. */
+    /** Number of the last event that the caller received. */
     readonly lastId: number;
     readonly identity: CallerIdentity;
     readonly sink: AnswerSink;
@@ -48,7 +48,7 @@
 
     /**
      * Sends the rest of an answer.
-     * @param resumption - Who wants it, and from where.
+     * @param resumption - The caller's request.
      */
     async run(resumption: Resumption): Promise<Result<void, Refusal>> {
         const point = readResumeToken(resumption.token, this.#options.signingKey);
@@ -87,7 +87,10 @@
         return relayed.map(() => undefined);
     }
 
-    /** Bills like the entry that the caller lost. When both do, the ledger keeps one: the request is the same. */
+    /**
+     * Bills the answer like the entry from which the caller was disconnected. If both entries bill it, the ledger
+     * counts one bill, because the request is the same.
+     */
     async #bill(point: ResumePoint, usage: Parameters<typeof createBillLine>[1]): Promise<Result<void, Failure>> {
         const version = this.#options.getConfiguration().getVersion(point.version);
         if (version === undefined) {
@@ -108,7 +111,7 @@
 function createTokenFailure(): Failure {
     return new Failure({
         kind: "not-allowed",
-        message: "The resume token is not one of this workspace.",
+        message: "The resume token does not belong to this workspace.",
         remedy: "Send the X-Rattanlock-Resume header of the answer that broke, with the same API key.",
     });
 }
@@ -117,14 +120,14 @@
     return new Failure({
         kind: "invalid-input",
         message: "Last-Event-ID is not the number of an event.",
-        remedy: "Send the id of the last event that arrived whole, or 0.",
+        remedy: "Send the id of the last event that arrived completely, or 0.",
     });
 }
 
 function createAnswerExpiredFailure(): Failure {
     return new Failure({
         kind: "gone",
-        message: "The rest of the answer is no longer kept.",
+        message: "The rest of the answer is no longer available.",
         remedy: "Send the request again.",
     });
 }
--- a/src/entry/resumeToken.ts
+++ b/src/entry/resumeToken.ts
@@ -1,8 +1,8 @@
 /**
  * Signed tokens with which a caller resumes a stream through any entry.
  *
- * An entry that dies in the middle of an answer takes everything that it knew along. The token tells the next entry
- * where the answer is and how to bill it; the signature keeps a caller from reaching another workspace's answer.
+ * An entry that crashes in the middle of an answer loses its state. The token contains where the answer is and how to
+ * bill it, so that another entry can continue. The signature prevents a caller from reading another workspace's answer.
  */
 import { createHmac, timingSafeEqual } from "node:crypto";
 import { z } from "zod";
@@ -27,12 +27,12 @@
     earlierLines: z.array(billLineSchema),
 });
 
-/** What an entry needs to go on with an answer. */
+/** Represents what an entry needs to resume an answer. */
 export type ResumePoint = z.infer<typeof resumeSchema>;
 
 /**
  * Signs a resume point.
- * @param point - Where the answer is.
+ * @param point - The resume point.
  * @param key - The site's signing key.
  */
 export function createResumeToken(point: ResumePoint, key: string): string {
@@ -41,7 +41,7 @@
 }
 
 /**
- * Returns the resume point of a token, or `undefined` when the token was not signed with the key.
+ * Returns the resume point of a token, or `undefined` if the token was not signed with the key.
  * @param token - The token.
  * @param key - The site's signing key.
  */
--- a/src/entry/rolloutDriver.ts
+++ b/src/entry/rolloutDriver.ts
@@ -1,9 +1,10 @@
 /**
- * Carries roll-outs on, and halts versions that turned bad.
+ * Advances roll-outs, and halts versions that became worse.
  *
- * Every entry judges every roll-out from the merged evidence and may halt, log or no log. Advancing, granting and
- * finishing are left to the holder of the roll-out lease, so an entry that was paused cannot widen a roll-out that
- * another one has narrowed meanwhile: its fence is old, and the fold refuses its record.
+ * Every entry evaluates every roll-out from the merged evidence and may halt a version, even while the log is
+ * unavailable. Only the holder of the roll-out lease advances, grants and finishes. An entry that was paused therefore
+ * cannot widen a roll-out that another entry has narrowed meanwhile: its fencing token is outdated, and the fold
+ * rejects its record.
  */
 import { randomUUID } from "node:crypto";
 import { type Clock, RepeatedTask } from "../common/index.js";
@@ -12,12 +13,12 @@
 import { events, type Journal } from "../events/index.js";
 import type { LogRecord } from "../log/index.js";
 
-/** Pause between two judgements, in milliseconds. */
+/** Pause between two evaluations, in milliseconds. */
 const evaluationIntervalMilliseconds = 1000;
 /** Format of the records that the driver writes. */
 const recordFormat = 1;
 
-/** What a driver works with. */
+/** Options of a driver. */
 export interface RolloutDriverOptions {
     /** Name of this entry. */
     readonly entry: string;
@@ -26,15 +27,15 @@
     readonly rollouts: RolloutFold;
     readonly evaluator: RolloutEvaluator;
     readonly lease: LeaseHolder;
-    /** Identifiers of the entries that take callers. */
+    /** Returns the identifiers of the entries that serve callers. */
     readonly getEntries: () => readonly string[];
-    /** Versions that serve, to be watched for a change to the worse. */
+    /** Returns the stable versions, which are monitored for a change to the worse. */
     readonly getStableVersions: () => readonly string[];
-    /** Appends a record to the control stream; false when the log did not take it. */
+    /** Appends a record to the control stream. Returns false if the log did not accept it. */
     readonly append: (record: LogRecord) => Promise<boolean>;
-    /** Tells all peers at once. */
+    /** Sends a halt to all peers at once. */
     readonly broadcastHalt: (halt: Halt) => void;
-    /** Tells whether a version is loaded on enough runners to take callers. */
+    /** Returns whether a version is loaded on enough runners to serve callers. */
     readonly isLoaded: (version: string) => boolean;
 }
 
@@ -42,9 +43,9 @@
 export class RolloutDriver {
     readonly #options: RolloutDriverOptions;
     readonly #task: RepeatedTask;
-    /** Halts raised here that the log has not taken yet. */
+    /** Halts of this entry that the log has not accepted yet. */
     readonly #unappendedHalts = new Map<string, Halt>();
-    /** Roll-outs whose candidate is not loaded yet, as far as this entry drives them. */
+    /** Roll-outs that this entry drives and whose candidate is not loaded yet. */
     readonly #waitingRollouts = new Set<string>();
 
     constructor(options: RolloutDriverOptions) {
@@ -55,17 +56,17 @@
         });
     }
 
-    /** Starts to judge. */
+    /** Starts to evaluate roll-outs and stable versions. */
     start(): void {
         this.#task.start();
     }
 
-    /** Stops judging. */
+    /** Stops evaluating. */
     stop(): Promise<void> {
         return this.#task.stop();
     }
 
-    /** Returns the roll-outs that this entry, as holder of the lease, holds back until their candidate is loaded. */
+    /** Returns the roll-outs that wait for their candidate to be loaded; empty unless this entry holds the lease. */
     getWaitingRollouts(): readonly string[] {
         const { lease, rollouts } = this.#options;
         if (lease.getFencingToken() === undefined) {
@@ -123,8 +124,8 @@
     }
 
     /**
-     * Tells whether a roll-out has to wait for its candidate to be loaded. Callers who are let through to a version that
-     * no runner has would be refused, and their failures would count against the candidate.
+     * Returns whether a roll-out has to wait until its candidate is loaded. Callers that are routed to a version that
+     * no runner has loaded would be refused, and these failures would count against the candidate.
      */
     #isWaiting(rollout: Rollout): boolean {
         if (this.#options.isLoaded(rollout.candidate)) {
@@ -157,7 +158,7 @@
         this.#unappendedHalts.set(halt.id, halt);
     }
 
-    /** Writes halts into the log as soon as it takes them, so that nodes which start later know of them too. */
+    /** Writes halts to the log as soon as it accepts them, so that nodes that start later also receive them. */
     async #writeHalts(): Promise<void> {
         for (const halt of this.#unappendedHalts.values()) {
             const record = this.#createRecord(rolloutRecordKinds.halt, { ...halt, evidence: undefined });
--- a/src/entry/servicePipeline.ts
+++ b/src/entry/servicePipeline.ts
@@ -1,5 +1,5 @@
 /**
- * The way of a call to a plain service. A call that may not be repeated runs at most once.
+ * Handles calls to plain services. A call that must not be repeated runs at most once.
  */
 import { err, ok, type Result } from "neverthrow";
 import type { Bill, BillWriter } from "../bills/index.js";
@@ -14,14 +14,14 @@
 import { createNotRunRefusal, type Refusal } from "./problem.js";
 import { packAnswer, unpackAnswer } from "./storedAnswer.js";
 
-/** Instances that are tried for one call, at most. */
+/** Maximum number of instances tried for one call. */
 const maxAttempts = 3;
-/** Tokens that a call to a plain service counts for in admission. */
+/** Tokens with which admission counts each call to a plain service. */
 const tokensPerCall = 100;
-/** Methods that HTTP defines as idempotent: a repeat does no harm. */
+/** Methods that HTTP defines as idempotent, so that repeating them is safe. */
 const idempotentMethods: ReadonlySet<string> = new Set(["GET", "HEAD", "OPTIONS", "PUT", "DELETE"]);
 
-/** A call that has been authenticated. */
+/** Represents an authenticated call to a plain service. */
 export interface ServiceRequest {
     readonly requestId: string;
     readonly workspace: string;
@@ -34,18 +34,18 @@
     readonly body: Uint8Array | undefined;
     readonly idempotencyKey: string | undefined;
     readonly disconnectSignal: AbortSignal;
-    /** Monotonic milliseconds of the arrival. */
+    /** Monotonic time of arrival, in milliseconds. */
     readonly arrivedAt: number;
 }
 
-/** An answer for the caller. */
+/** Represents the response for the caller. */
 export interface ServiceReply {
     readonly answer: ServiceAnswer;
     /** Whether the answer is that of an earlier call with the same key. */
     readonly replayed: boolean;
 }
 
-/** What the pipeline works with. */
+/** Options of the pipeline. */
 export interface ServicePipelineOptions {
     readonly clock: Clock;
     readonly journal: Journal;
@@ -61,10 +61,10 @@
     readonly entry: string;
 }
 
-/** Takes calls to plain services from their arrival to their answer. */
+/** Processes calls to plain services from arrival to response. */
 export class ServicePipeline {
     readonly #options: ServicePipelineOptions;
-    /** Outcomes that are being written. */
+    /** Outcomes of claimed calls that are still being written to the log. */
     readonly #pendingCompletions = new Set<Promise<void>>();
 
     constructor(options: ServicePipelineOptions) {
@@ -72,7 +72,7 @@
     }
 
     /**
-     * Answers a call or refuses it.
+     * Serves or refuses a call.
      * @param request - The call.
      */
     async run(request: ServiceRequest): Promise<Result<ServiceReply, Refusal>> {
@@ -113,9 +113,9 @@
     }
 
     /**
-     * Runs a call under its idempotency key. The claim is in the log before anything is written to the service; the
-     * first claim in the log's order wins, and a claim is never taken over. So a claimant that was frozen past every
-     * time-out and wakes up again may still run the call: nobody else has.
+     * Runs a call under its idempotency key. The claim is in the log before anything is written to the service. The
+     * first claim in the log's order wins, and a claim is never taken over. A claimant that was frozen past every
+     * timeout and then resumes may therefore still run the call, because no other claimant has run it.
      */
     async #callClaimed(request: ServiceRequest, idempotencyKey: string): Promise<Result<ServiceReply, Refusal>> {
         const key = createRunKey(request.workspace, `${request.pool}/${idempotencyKey}`);
@@ -137,16 +137,16 @@
         return result;
     }
 
-    /** Waits until the outcomes of answered calls are in the log, or were given up. */
+    /** Waits until the outcomes of answered calls are in the log or their writes were abandoned. */
     async waitForCompletions(): Promise<void> {
         await Promise.all(this.#pendingCompletions);
     }
 
     /**
-     * Writes down how a claimed call ended. Only a call of which nothing was written to a service gives its key
-     * back; the release is in the log before the caller reads "not run", or its next try would meet its own claim.
-     * The outcome of an answered call is written behind its answer: with the log away the caller would wait for seconds
-     * for something that only a later call with the same key needs.
+     * Records how a claimed call ended. The key is released only if nothing was written to a service. The release is in
+     * the log before the caller receives "not run"; otherwise the caller's next attempt would conflict with its own
+     * claim. The outcome of an answered call is written after its answer: while the log is unavailable, the caller
+     * would otherwise wait seconds for a record that only a later call with the same key needs.
      */
     async #recordClaimOutcome(grant: GrantedClaim, result: Result<ServiceReply, Refusal>): Promise<void> {
         const { claims } = this.#options;
@@ -174,8 +174,9 @@
             failure: new Failure({
                 kind: "in-progress",
                 message:
-                    `The same key is held by request ${existingClaim.value}, which runs or ended in an unknown way.`,
-                remedy: "Ask again with the same key for its answer; do not send the work under another key.",
+                    `Request ${existingClaim.value} holds the same key; it is in progress or its outcome is unknown.`,
+                remedy:
+                    "Send the request again with the same key for its answer; do not send the work under another key.",
                 retryAfterMilliseconds: 1000,
             }),
         });
@@ -275,8 +276,8 @@
 function createBillsFullFailure(): Failure {
     return new Failure({
         kind: "unavailable",
-        message: "Bills cannot be kept: the log has been away for so long that their buffer is full.",
-        remedy: "Come back later.",
+        message: "Bills cannot be stored: the log has been unavailable for so long that their buffer is full.",
+        remedy: "Retry later.",
         retryAfterMilliseconds: 15_000,
     });
 }
@@ -284,7 +285,7 @@
 function createClaimTimeoutFailure(): Failure {
     return new Failure({
         kind: "deadline",
-        message: "The claim on the key came too late to start the call.",
+        message: "The key was claimed too late to start the call.",
         remedy: "Send the request again with the same key.",
         retryAfterMilliseconds: 500,
     });
--- a/src/entry/sessions.ts
+++ b/src/entry/sessions.ts
@@ -1,5 +1,5 @@
 /**
- * Keeps sessions on their versions: by the token that the caller sends back, or else by the pin in the log.
+ * Pins sessions to their versions, by the token that the caller sends back or else by the pin in the log.
  */
 import type { Result } from "neverthrow";
 import { createSessionToken, readSessionToken, type SessionPins } from "../claims/index.js";
@@ -7,21 +7,21 @@
 import type { ChatCall } from "./chatCall.js";
 
 /**
- * How long a token is good for; it is renewed with every answer. It must be well below the time for which a pin stays
- * in the log, or a token could outlive its pin, and the session be pinned anew to another version elsewhere.
+ * Lifetime of a session token; each answer renews it. It must be well below the time for which a pin stays in the log.
+ * Otherwise a token could outlive its pin, and the session could be pinned to another version elsewhere.
  */
 const tokenLifetimeMilliseconds = 12 * 3600 * 1000;
 
-/** What sessions are kept with. */
+/** Options of the sessions. */
 export interface SessionsOptions {
     readonly pins: SessionPins;
     readonly clock: Clock;
     readonly signingKey: string;
-    /** A key that still counts while the site changes to a new one. */
+    /** A key that is still accepted while the site changes to a new one. */
     readonly previousSigningKey: string | undefined;
 }
 
-/** Knows the versions of sessions. */
+/** Looks up, pins and signs the versions of sessions. */
 export class Sessions {
     readonly #options: SessionsOptions;
 
@@ -30,7 +30,7 @@
     }
 
     /**
-     * Returns the version that a call's token names, or `undefined` without a token that is good for the call.
+     * Returns the version in a call's session token, or `undefined` if the call has no token that is valid for it.
      * @param call - The call.
      */
     readVersion(call: ChatCall): string | undefined {
@@ -47,7 +47,7 @@
     }
 
     /**
-     * Returns the version of a call's session, pinned to the proposal if it has none yet.
+     * Returns the version of a call's session. Pins the session to the proposal if it has no version yet.
      * @param call - The call.
      * @param session - The session.
      * @param proposal - The version to pin.
@@ -58,7 +58,7 @@
     }
 
     /**
-     * Creates the token for a call's answer, or returns `undefined` for a call without a session.
+     * Creates the session token for a call's answer, or returns `undefined` for a call without a sticky session.
      * @param call - The call.
      * @param version - The session's version.
      */
--- a/src/entry/sharedState.ts
+++ b/src/entry/sharedState.ts
@@ -1,5 +1,5 @@
 /**
- * Shares what an entry knows with the others by gossip: evidence, exposures, halts, leaving upstreams, freshness.
+ * Shares this entry's state with the other entries by gossip: evidence, exposures, halts, leaving upstreams, freshness.
  */
 import { z } from "zod";
 import { RepeatedTask } from "../common/index.js";
@@ -20,16 +20,16 @@
 
 const haltSchema = z.object({ id: z.string(), version: z.string(), reason: z.string(), at: z.number() });
 
-/** What is shared. */
+/** Options of the shared state. */
 export interface SharedStateOptions {
     readonly gossip: Pick<Gossip, "get" | "onUpdate" | "set">;
     readonly evidence: Pick<Evidence, "exportOwn" | "forget" | "merge">;
     readonly exposures: Pick<Exposures, "exportOwn" | "merge">;
     readonly rollouts: Pick<RolloutFold, "addHalt">;
     readonly runners: Pick<RunnerChooser, "markLeaving">;
-    /** Tells the runs of an entry apart. */
+    /** Returns the incarnation of an entry, which changes with each restart. */
     readonly getIncarnation: (origin: string) => string | number | undefined;
-    /** Milliseconds since this entry confirmed its configuration. */
+    /** Returns the milliseconds since this entry confirmed its configuration. */
     readonly getConfigurationAge: () => number;
 }
 
@@ -37,7 +37,7 @@
 export class SharedState {
     readonly #options: SharedStateOptions;
     readonly #task: RepeatedTask;
-    /** By origin: the run whose counts were taken in last. */
+    /** By origin: the incarnation whose counts were merged last. */
     readonly #incarnationKeys = new Map<string, string>();
     #evidenceSequence = 0;
     #exposuresSequence = -1;
@@ -63,7 +63,7 @@
     }
 
     /**
-     * Tells all entries of a halt, at once.
+     * Sends a halt to all entries at once.
      * @param halt - The halt.
      */
     broadcastHalt(halt: Halt): void {
@@ -71,7 +71,7 @@
     }
 
     /**
-     * Tells all entries that an upstream is leaving, at once.
+     * Announces to all entries at once that an upstream is leaving.
      * @param upstream - Identifier of the upstream.
      */
     broadcastLeaving(upstream: string): void {
@@ -79,7 +79,7 @@
     }
 
     /**
-     * Tells whether another entry says that it has confirmed its configuration lately.
+     * Returns whether another entry reports that it confirmed its configuration recently.
      * @param origin - The entry.
      */
     isPeerFresh(origin: string): boolean {
@@ -102,8 +102,8 @@
     }
 
     /**
-     * Publishes what changed since the last time, each version's counts in a class under a key of their own: together
-     * they may be larger than an exchange carries.
+     * Publishes the evidence that changed since the last publication. The counts of each version and request class have
+     * their own key, because all counts together may exceed the size of a gossip exchange.
      */
     #publishEvidence(): void {
         const { sequence, series, escalations } = this.#options.evidence.exportOwn(this.#evidenceSequence);
@@ -112,7 +112,7 @@
         }
         this.#evidenceSequence = sequence;
         for (const counts of series) {
-            // Without a sequence of its own this part leaves the escalations, which it does not hold, as they are.
+            // Without its own sequence, this part leaves the escalations, which it does not contain, unchanged.
             const part: EvidenceCounts = { sequence: noSequence, series: [counts], escalations: [] };
             this.#set(`${evidencePrefix}${counts.version}/${counts.requestClass}`, part, false);
         }
@@ -145,14 +145,17 @@
         }
     }
 
-    /** A restarted entry counts from zero, so its runs must not be taken for one another. */
+    /**
+     * Returns the key of an entry's incarnation. A restarted entry counts from zero, so the counts of its incarnations
+     * must not be mixed.
+     */
     #getIncarnationKey(origin: string): string {
         return `${origin}/${this.#options.getIncarnation(origin)}`;
     }
 
     /**
-     * Marks the counts of runs that are over, so that they go once they are too old to matter. At a site that replaces
-     * its entries every day, memory would otherwise grow by a whole entry's counts with each of them.
+     * Marks the counts of past incarnations, so that they are removed once they are too old to matter. At a site that
+     * replaces its entries every day, memory would otherwise grow by a whole entry's counts with each replacement.
      */
     #forgetPastIncarnations(): void {
         for (const origin of this.#incarnationKeys.keys()) {
--- a/src/entry/stateFetcher.ts
+++ b/src/entry/stateFetcher.ts
@@ -1,5 +1,5 @@
 /**
- * Takes folded state from peers while the log cannot be read here.
+ * Fetches folded state from peers while this entry cannot read the log.
  */
 import { type Clock, RepeatedTask } from "../common/index.js";
 import type { ConfigurationReader } from "../configuration/index.js";
@@ -11,14 +11,14 @@
 const configurationStream = "config";
 const controlStream = "control";
 
-/** A configuration that was confirmed this long ago needs no peer's word yet, in milliseconds. */
+/** Minimum age of the configuration at which peers are queried, in milliseconds. */
 const minFetchAgeMilliseconds = 3000;
-/** What an answer of the log may take beyond the wait of a long poll. */
-const slackMilliseconds = 500;
-/** Peers that are asked in one round, at most. */
+/** Time that the log may take to answer beyond the wait of a long poll, in milliseconds. */
+const logLatencyAllowanceMilliseconds = 500;
+/** Maximum number of peers queried in one round. */
 const maxPeersPerRound = 3;
 
-/** What a fetcher works with. */
+/** Options of a fetcher. */
 export interface StateFetcherOptions {
     readonly clock: Clock;
     readonly configuration: Pick<
@@ -31,48 +31,49 @@
     /** Name of this entry. */
     readonly self: string;
     readonly getCounter: () => number;
-    /** Draws one of a number of peers. */
+    /** Draws a random integer from 0 (included) to a bound (excluded). */
     readonly nextInteger: (bound: number) => number;
-    /** How long a long poll of the log waits. */
+    /** How long a long poll of the log waits, in milliseconds. */
     readonly logWaitMilliseconds: number;
 }
 
-/** Fetches state from peers, and hands it to them. */
+/** Fetches state from peers, and serves it to them. */
 export class StateFetcher {
     readonly #options: StateFetcherOptions;
     readonly #task: RepeatedTask;
     readonly #fetchAgeMilliseconds: number;
 
     constructor(options: StateFetcherOptions) {
-        // A read confirms the configuration as of when it was asked, and the next one ends a wait later. Up to two waits
-        // are thus ordinary; with a lower bound, nodes that the log answers asked three peers for half of the time.
-        const maxNormalAgeMilliseconds = 2 * options.logWaitMilliseconds + slackMilliseconds;
+        // A read confirms the configuration as of the time of its request, and the next read ends one wait later. An
+        // age of up to two waits is therefore normal. With a lower threshold, nodes whose log was available queried
+        // three peers half of the time.
+        const maxNormalAgeMilliseconds = 2 * options.logWaitMilliseconds + logLatencyAllowanceMilliseconds;
         this.#fetchAgeMilliseconds = Math.max(minFetchAgeMilliseconds, maxNormalAgeMilliseconds);
         this.#options = options;
         this.#task = new RepeatedTask({ run: () => this.#fetch(), pauseMilliseconds });
     }
 
-    /** Starts to look for newer state. */
+    /** Starts to fetch newer state. */
     start(): void {
         this.#task.start();
     }
 
-    /** Stops looking. */
+    /** Stops fetching. */
     stop(): Promise<void> {
         return this.#task.stop();
     }
 
     /**
-     * Answers a peer that asks for state.
-     * @param request - What it asks for.
+     * Handles a peer's request for state.
+     * @param request - The request.
      * @param protocol - The newest protocol that the peer reads.
      */
     handle(request: FetchStateRequest, protocol: number): FetchStateReply {
         const { configuration, control } = this.#options;
         const isControl = request.stream === controlStream;
         const offset = isControl ? control.getOffset() : configuration.getOffset();
-        // An older peer cannot read a tree that uses sections which came after it. It is told of none, stops confirming
-        // its own and refuses new work in the end, as it does when it meets such a record in the log.
+        // An older peer cannot read a tree that uses sections added later. It is sent no newer state, stops confirming
+        // its own and finally refuses new work, as it does when it reads such a record in the log.
         const isReadable = isControl || configuration.getFormat() <= protocol;
         const newer = isReadable && offset > request.knownOffset;
         return {
@@ -108,8 +109,8 @@
     }
 
     /**
-     * Takes a peer's configuration if it is newer. A peer that is at the same place, and confirmed it with the log,
-     * confirms this entry's configuration too, as of the moment at which the peer did.
+     * Imports a peer's configuration if it is newer. A peer at the same offset that confirmed it with the log also
+     * confirms this entry's configuration, as of the time of the peer's confirmation.
      */
     async #fetchConfiguration(peer: Member): Promise<void> {
         const { configuration, clock } = this.#options;
--- a/src/entry/status.ts
+++ b/src/entry/status.ts
@@ -1,5 +1,5 @@
 /**
- * What an entry tells operators about itself.
+ * Creates the status document for operators, and refreshes the gauges.
  */
 import type { AdmissionController } from "../decisions/index.js";
 import { newestProtocol } from "../membership/index.js";
@@ -9,7 +9,7 @@
 const millisecondsPerSecond = 1000;
 
 /**
- * Creates the answer to `GET /status`.
+ * Creates the response to `GET /status`.
  * @param cradle - The entry's parts.
  */
 export function createStatus(cradle: Cradle): object {
@@ -55,7 +55,7 @@
 }
 
 /**
- * Sets the gauges from the entry's present state.
+ * Sets the gauges from the entry's current state.
  * @param cradle - The entry's parts.
  */
 export function refreshGauges(cradle: Cradle): void {
--- a/src/entry/storedAnswer.ts
+++ b/src/entry/storedAnswer.ts
@@ -1,12 +1,12 @@
 /**
- * Answers of plain services as they are stored in the log under their idempotency key.
+ * Packs and unpacks answers of plain services, which the log stores under their idempotency keys.
  */
 import { err, ok, type Result } from "neverthrow";
 import { z } from "zod";
 import { Failure } from "../common/index.js";
 import type { ServiceAnswer } from "../upstream/index.js";
 
-/** Largest body that is stored, in bytes. A larger one is replaced by its absence; the status is kept. */
+/** Maximum size of a stored body, in bytes. A larger body is omitted; the status and the headers are stored. */
 const maxStoredBodyBytes = 16 * 1024;
 
 const storedSchema = z.object({
@@ -27,7 +27,7 @@
 }
 
 /**
- * Unpacks a stored answer. Fails when its body was too large to be stored.
+ * Unpacks a stored answer. Fails if its body was too large to be stored.
  * @param text - JSON text.
  */
 export function unpackAnswer(text: string): Result<ServiceAnswer, Failure> {
@@ -36,7 +36,7 @@
         return err(
             new Failure({
                 kind: "gone",
-                message: `The call ran and was answered with status ${stored.status}; its body was too large to keep.`,
+                message: `The call ran and was answered with status ${stored.status}; its body was too large to store.`,
                 remedy: "Ask the service for the result; do not send the call again.",
             }),
         );
--- a/src/entry/ticketOutcome.ts
+++ b/src/entry/ticketOutcome.ts
@@ -1,15 +1,15 @@
 /**
- * What a refused request tells the admission controller about the upstreams.
+ * Maps refusals to the outcomes that the admission controller counts.
  */
 import type { Refusal } from "./problem.js";
 
 /**
- * Returns how a request ended, as the adaptive limit should see it.
+ * Returns how a request ended for the adaptive limit.
  *
- * A caller that left says nothing about the upstreams: counted as failures, impatient callers would lower the limit
- * until everybody else is refused.
+ * A caller that disconnected says nothing about the upstreams. If disconnections counted as failures, impatient callers
+ * would lower the limit until all other callers are refused.
  * @param refusal - Why there was no answer.
- * @param isCallerDisconnected - Whether the caller's connection is gone.
+ * @param isCallerDisconnected - Whether the caller's connection is closed.
  */
 export function getTicketOutcome(refusal: Refusal, isCallerDisconnected: boolean): "refused" | "failed" | "cancelled" {
     if (isCallerDisconnected) {
--- a/src/entry/versionPolicy.ts
+++ b/src/entry/versionPolicy.ts
@@ -6,13 +6,13 @@
 import type { ModelVersion } from "../world/index.js";
 import type { ChatCall } from "./chatCall.js";
 
-/** What the policy works with. */
+/** Options of the policy. */
 export interface VersionPolicyOptions {
     readonly rollouts: RolloutFold;
     readonly router: RolloutRouter;
 }
 
-/** Decides which callers meet a roll-out's candidate. */
+/** Decides which callers get a roll-out's candidate. */
 export class VersionPolicy {
     readonly #rollouts: RolloutFold;
     readonly #router: RolloutRouter;
@@ -23,7 +23,7 @@
     }
 
     /**
-     * Tells whether a version was halted and not lifted again.
+     * Returns whether a version was halted and the halt has not been lifted.
      * @param version - Identifier of the version.
      */
     isHalted(version: string): boolean {
@@ -31,10 +31,10 @@
     }
 
     /**
-     * Puts candidates in the place of settled versions where a roll-out exposes the caller.
-     * @param plan - The plan on settled versions.
+     * Replaces stable versions by candidates where a roll-out exposes the caller.
+     * @param plan - The plan with stable versions.
      * @param call - The call.
-     * @param exposureKey - What decides whether the caller is exposed.
+     * @param exposureKey - The key that decides whether the caller is exposed.
      */
     applyRollouts(plan: Plan, call: ChatCall, exposureKey: string): Plan {
         const steps: PlanStep[] = [];
@@ -46,9 +46,9 @@
     }
 
     /**
-     * Follows the roll-outs that start from a version, in the order of their start: the candidate of a finished one is
-     * where the next one starts from. Without the finished ones a candidate would lose all its callers at the moment
-     * at which it has passed, until an operator changes its status.
+     * Follows the roll-outs that start from a version, in the order of their start. The candidate of a finished
+     * roll-out is the baseline of the next one. If finished roll-outs were ignored, a candidate would lose all its
+     * callers when its roll-out finishes, until an operator changes its status.
      */
     #selectCandidate(stable: ModelVersion, call: ChatCall, exposureKey: string): ModelVersion | undefined {
         if (call.request.model === stable.id) {
--- a/src/entry/versionSelection.ts
+++ b/src/entry/versionSelection.ts
@@ -1,23 +1,24 @@
 /**
- * Which versions may serve a request: what the workspace allows, less what is halted, draining or not asked for.
+ * Selects the versions that may serve a request: those that the workspace allows and that match the requested model,
+ * except halted and draining ones.
  */
 import { err, ok, type Result } from "neverthrow";
 import { Failure } from "../common/index.js";
 import type { ModelVersion } from "../world/index.js";
 import { automaticModel } from "./chatRequest.js";
 
-/** What a selection depends on. */
+/** Options of a selection. */
 export interface SelectionOptions {
-    /** Versions that the workspace allows; withdrawn ones are not among them. */
+    /** Versions that the workspace allows, without withdrawn ones. */
     readonly allowed: readonly ModelVersion[];
-    /** `auto`, a model or a version, as the caller asked. */
+    /** `auto`, a model or a version, as the caller requested. */
     readonly model: string;
     readonly isHalted: (version: string) => boolean;
 }
 
 /**
  * Selects the versions that may take work that belongs to no session yet.
- * @param options - What it depends on.
+ * @param options - Options of the selection.
  */
 export function selectVersions(options: SelectionOptions): Result<readonly ModelVersion[], Failure> {
     const matching = options.allowed.filter(version => matchesModel(version, options.model));
@@ -38,9 +39,9 @@
 }
 
 /**
- * Checks that a session's version may go on serving it.
- * @param id - The version that the session is pinned to.
- * @param options - What it depends on.
+ * Checks that a session's version may continue to serve the session.
+ * @param id - The version to which the session is pinned.
+ * @param options - Options of the selection.
  */
 export function selectPinnedVersion(id: string, options: SelectionOptions): Result<ModelVersion, Failure> {
     const version = options.allowed.find(candidate => candidate.id === id);
@@ -48,8 +49,8 @@
         return err(
             new Failure({
                 kind: "gone",
-                message: `The session is bound to ${id}, which takes no more work.`,
-                remedy: "Start a new session; it will be bound to another version.",
+                message: `The session is pinned to ${id}, which accepts no more work.`,
+                remedy: "Start a new session; it will be pinned to another version.",
             }),
         );
     }
@@ -68,15 +69,15 @@
     return new Failure({
         kind: "not-allowed",
         message: `The workspace does not allow the model ${JSON.stringify(model)}.`,
-        remedy: "Ask for \"auto\" or for a model that GET /v1/models lists.",
+        remedy: "Request \"auto\" or a model that GET /v1/models lists.",
     });
 }
 
 function createUnavailableFailure(model: string): Failure {
     return new Failure({
         kind: "unavailable",
-        message: `No version of ${JSON.stringify(model)} takes new work: all are halted, draining or candidates.`,
-        remedy: "Come back later, or ask for another model.",
+        message: `No version of ${JSON.stringify(model)} accepts new work: all are halted, draining or candidates.`,
+        remedy: "Retry later, or request another model.",
         retryAfterMilliseconds: 10_000,
     });
 }
--- a/src/entry/vmWatcher.ts
+++ b/src/entry/vmWatcher.ts
@@ -1,5 +1,5 @@
 /**
- * Follows the VM list.
+ * Polls the VM list.
  */
 import { RepeatedTask } from "../common/index.js";
 import type { VmListClient } from "../upstream/index.js";
@@ -11,11 +11,11 @@
 export interface VmWatcherOptions {
     readonly client: VmListClient;
     readonly intervalMilliseconds: number;
-    /** Takes each list that differs from the one before. */
+    /** Called with each list that differs from the previous one. */
     readonly onList: (vms: readonly Vm[]) => void;
 }
 
-/** Reads the VM list again and again, and remembers the newest answer. */
+/** Reads the VM list periodically, and stores the latest one. */
 export class VmWatcher {
     readonly #options: VmWatcherOptions;
     readonly #task: RepeatedTask;
@@ -30,30 +30,33 @@
         });
     }
 
-    /** Starts to follow the list. */
+    /** Starts to poll the list. */
     start(): void {
         this.#task.start();
     }
 
-    /** Stops following it. */
+    /** Stops polling. */
     stop(): Promise<void> {
         return this.#task.stop();
     }
 
     /**
-     * Returns a VM of the newest list.
+     * Returns a VM of the latest list.
      * @param id - Identifier of the VM.
      */
     getVm(id: string): Vm | undefined {
         return this.#vms.get(id);
     }
 
-    /** Returns all VMs of the newest list. */
+    /** Returns all VMs of the latest list. */
     getVms(): Iterable<Vm> {
         return this.#vms.values();
     }
 
-    /** Keeps the last list while the platform does not answer: an outage of the list must not empty the site. */
+    /**
+     * Reads the list. Retains the last list while the platform does not respond: an outage of the list must not empty
+     * the site.
+     */
     async #read(): Promise<void> {
         const read = await this.#options.client.getVms();
         if (read.isErr() || read.value === this.#lastList) {
--- a/test/entry/bufferedAnswers.test.ts
+++ b/test/entry/bufferedAnswers.test.ts
@@ -11,10 +11,10 @@
     waitUntil,
 } from "../../src/testbench/index.js";
 
-/** An answer takes 25 tokens at least, so its wait is far above the bound of 0.9 s for the first token. */
+/** An answer takes at least 25 tokens, so it takes far longer than the target of 0.9 s for the first token. */
 const stepMilliseconds = 60;
 
-describe("ChatPipeline before slow engines", () => {
+describe("ChatPipeline with slow engines", () => {
     const group = new ProcessGroup();
     const caller = new Caller();
     let site: Site;
@@ -45,16 +45,17 @@
         });
     }
 
-    /** Returns the requests whose plan has more than one version, as the entry's events tell them. */
+    /** Returns the requests whose plan has more than one version, according to the entry's events. */
     function getCascades(): readonly string[] {
         const planned = site.getEntryOrThrow("entry-1").process.getEvents()
             .filter(line => line.event === events.requestPlanned.number && String(line.versions).includes(","));
         return planned.map(line => String(line.request));
     }
 
-    // A cheap answer takes seconds, and a cascade holds it back until it is whole and rated. A caller that reads along
-    // waited for its first token for those seconds, with idle engines; one that takes a document waits for the end anyhow.
-    it("takes a streaming caller through no cascade, and others through those that save cost", async () => {
+    // With slow engines a cheap answer takes seconds, and a cascade buffers it until it is complete and rated. A
+    // streaming caller would wait that long for its first token while engines are idle. A caller that receives a
+    // document waits for the end in any case.
+    it("runs no cascades for a streaming caller, and those that save cost for others", async () => {
         const streamedIds = new Set<string>();
         const countCascades = () => getCascades().filter(id => !streamedIds.has(id)).length;
         await waitUntil(async () => {
--- a/test/entry/deadline.test.ts
+++ b/test/entry/deadline.test.ts
@@ -16,7 +16,7 @@
             entryCount: 1,
             runners: { name: "lm-pool", count: 1, settings: { stepMilliseconds: 5 } },
             hasProxiedLinks: true,
-            // Longer than the caller waits: only an entry that doesn't wait for the engine answers in time.
+            // Longer than the caller's timeout: only an entry that does not wait for the engine answers in time.
             entrySettings: { timing: { upstream_connect_timeout_ms: "30000" } },
         });
     });
@@ -26,8 +26,9 @@
         await group.killAll();
     });
 
-    // The way to an engine goes dead in the middle of a request. At the deadline the entry knows that there will be no
-    // answer; a caller that is kept until the engine has confirmed the cancellation waits for nothing.
+    // The link to an engine freezes in the middle of a request. At the deadline the entry knows that there will be no
+    // answer. If it waited for the engine to confirm the cancellation, the caller would get its final answer late or
+    // not at all.
     it("gives the final answer without waiting for the cancellation", async () => {
         const [{ name, callerAddress: entry }] = site.getEntries();
         const key = getApiKey("commissary");
--- a/test/entry/hostileInput.test.ts
+++ b/test/entry/hostileInput.test.ts
@@ -25,8 +25,8 @@
     entrySettings: { limits: { body_bytes: "65536" }, timing: { resume_grace_ms: "50" } },
 };
 
-// A caller sends what no well-meaning client sends, by mistake or on purpose. It must get a clear refusal that says
-// that nothing ran, and the requests of others must go on as if it were not there.
+// A caller sends malformed or abusive input, by mistake or on purpose. It must get a clear refusal that says that
+// nothing ran, and the requests of other callers must not be affected.
 describe("CallerServer under hostile input", () => {
     const group = new ProcessGroup();
     const caller = new Caller();
@@ -59,7 +59,7 @@
         });
     }
 
-    it("refuses bodies that are no chat completions", async () => {
+    it("refuses bodies that are not chat completions", async () => {
         const bodies = [
             {},
             { model: "auto" },
@@ -95,7 +95,7 @@
         await expectHealthy();
     });
 
-    it("refuses names that are no names", async () => {
+    it("refuses invalid names", async () => {
         for (const name of ["x-rattanlock-application", "x-rattanlock-session", "x-rattanlock-class"]) {
             const reply = await post({ [name]: "a b" }, { model: "auto", messages: [{ role: "user", content: "x" }] });
             expect(reply.status).toEqual(400);
@@ -103,7 +103,7 @@
         await expectHealthy();
     });
 
-    it("goes on while callers vanish in the middle of their bodies", async () => {
+    it("continues to serve while callers disconnect in the middle of their bodies", async () => {
         for (let count = 0; count < 50; count += 1) {
             const socket = await open(entry);
             socket.write(`POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\nauthorization: Bearer ${key}\r\n`);
@@ -113,9 +113,9 @@
         await expectHealthy();
     });
 
-    // A caller loses interest after the first words. Nobody reads the rest, which would take a minute to make; an engine
-    // that goes on with it is slower for everybody else.
-    it("cancels at the engine when the caller vanishes in the middle of its answer", async () => {
+    // A caller disconnects after the first words of its answer. The rest would take a minute to generate and has no
+    // reader; an engine that continues with it is slower for all other callers.
+    it("cancels at the engine when the caller disconnects in the middle of its answer", async () => {
         await makeAnswersLong();
         const record = await disconnectMidStream();
         expect(record.status).toEqual(200);
@@ -124,9 +124,9 @@
         await expectHealthy();
     });
 
-    // A busy engine notices late that a reader has gone, and refuses to cancel what it takes for being read. An entry that
-    // believes it at once leaves the engine at work for nobody.
-    it("cancels at an engine that learns late of its reader's end", async () => {
+    // A busy engine notices late that a reader has disconnected, and refuses to cancel a stream that it assumes is
+    // being read. An entry that accepts the refusal at once leaves the engine generating an answer that has no reader.
+    it("cancels at an engine that notices late that its reader disconnected", async () => {
         await makeAnswersLong();
         await Promise.all(getRunners().map(runner => setFaults(runner, { readerLagMilliseconds: 900 })));
         const record = await disconnectMidStream();
@@ -148,7 +148,7 @@
         return caller.chat({ entry, key, model: version, text, streamed: true, disconnectAfterEvents: 1 });
     }
 
-    /** Waits until the engines' own notes tell of one run for the request, and this outcome. */
+    /** Waits until the engines' journals contain exactly one run of the request, with this outcome. */
     async function waitUntilOutcome(record: ChatRecord, expected: string): Promise<void> {
         let outcomes: string[] = [];
         await waitUntil(async () => {
@@ -156,7 +156,7 @@
             for (const runner of getRunners()) {
                 const runs = await getJournal<{ id?: string; outcome: string; }>(runner);
                 const ownRuns = runs.filter(({ id }) => id?.startsWith(record.requestId ?? "-"));
-                outcomes.push(...ownRuns.map(note => note.outcome));
+                outcomes.push(...ownRuns.map(run => run.outcome));
             }
             return outcomes.length === 1 && outcomes[0] === expected;
         }, { description: `the engines to note ${expected}`, describeState: () => outcomes.join() });
--- a/test/entry/mutualTls.test.ts
+++ b/test/entry/mutualTls.test.ts
@@ -53,17 +53,18 @@
         return reply.isOk();
     }
 
-    // Somebody on the network calls an entry's port for peers, without a certificate or with one of another authority.
-    // It could read every workspace's settings and spread halts; it must not get an answer.
-    it("answers only those whom the site's authority has signed", async () => {
+    // An unauthorized client connects to an entry's port for peers, without a certificate or with one of another
+    // authority. It could read every workspace's settings and spread halts, so it must not get an answer.
+    it("answers only clients with a certificate signed by the site's authority", async () => {
         expect(await isAnswered(new PeerClient({ credentials: readTestCredentials("site-second") }))).toEqual(true);
         expect(await isAnswered(new PeerClient({ credentials: readTestCredentials("other-first") }))).toEqual(false);
         expect(await isAnswered(new PeerClient())).toEqual(false);
     });
 
-    // Certificates run out and are renewed on the running VMs. An entry that has to be restarted for it would drop its
-    // callers; one that went on with the old certificate would be shut out by the others on the day it ends.
-    it("takes renewed certificates into use without a restart", async () => {
+    // Certificates expire and are renewed on the running VMs. An entry that needs a restart to use the new one would
+    // drop its callers; one that continued to use the old certificate would be rejected by the others on the day it
+    // expires.
+    it("uses renewed certificates without a restart", async () => {
         installCertificate("site-second");
         for (const entry of site.getEntries()) {
             await waitUntil(() => entry.process.getEvents().some(line => line.name === "credentials-renewed"), {
--- a/test/entry/requestBody.test.ts
+++ b/test/entry/requestBody.test.ts
@@ -12,7 +12,7 @@
 }
 
 describe("readBody", () => {
-    it("reads a body that comes in pieces", async () => {
+    it("reads a body that arrives in pieces", async () => {
         const request = createRequest();
         const body = readBody(request, maxBytes, longTimeoutMilliseconds);
         request.write("one ");
@@ -20,8 +20,8 @@
         expect((await body)._unsafeUnwrap().toString()).toEqual("one two");
     });
 
-    // A caller sends a part of its body and then nothing more. Without a bound in time each such caller would hold a
-    // connection and memory for as long as it likes.
+    // A caller sends a part of its body and then nothing more. Without a timeout, each such caller would hold a
+    // connection and memory indefinitely.
     it("refuses a sender that stops in the middle", async () => {
         const request = createRequest();
         request.write("one ");
@@ -29,7 +29,7 @@
         expect(body._unsafeUnwrapErr().kind).toEqual("deadline");
     });
 
-    it("refuses a body above the bound", async () => {
+    it("refuses a body above the size limit", async () => {
         const request = createRequest();
         const body = readBody(request, maxBytes, longTimeoutMilliseconds);
         request.end("x".repeat(maxBytes + 1));
--- a/test/entry/retryBudget.test.ts
+++ b/test/entry/retryBudget.test.ts
@@ -12,14 +12,14 @@
 } from "../../src/testbench/index.js";
 
 const requestCount = 120;
-/** Retries that the budget holds when it is full. */
+/** Number of retries in a full budget. */
 const burst = 10;
 
 describe("AttemptRunner", () => {
-    // A version fails most of its requests. Retries elsewhere help a caller now and then, but if each failure were
-    // tried again without a bound, the runners would get three times the work just when they are in trouble. If first
-    // attempts did not refill the budget, an entry would stop retrying for good after its first ten.
-    it("retries more than the burst over time, and no more than first attempts pay for", async () => {
+    // A version fails many of its requests. Retries on other runners help some callers. If every failure were retried
+    // without a limit, the runners would get three times the work while they are already failing. If first attempts did
+    // not refill the budget, an entry would stop retrying for good after its first ten retries.
+    it("retries more than the burst over time, but no more than first attempts refill", async () => {
         await withProcesses(async group => {
             const site = await Site.start(group, {
                 ...metroManila,
--- a/test/entry/sharedState.test.ts
+++ b/test/entry/sharedState.test.ts
@@ -12,11 +12,11 @@
 interface Setup {
     readonly clock: ManualClock;
     readonly evidence: Evidence;
-    readonly shared: SharedState;
-    /** Says which run of `entry-2` gossip knows; none once gossip has forgotten it. */
-    readonly setRun: (incarnation: string | undefined) => void;
-    /** Takes in what a run of `entry-2` counted. */
-    readonly takeRating: () => void;
+    readonly sharedState: SharedState;
+    /** Sets the incarnation of `entry-2` that gossip reports; `undefined` once gossip has removed the entry. */
+    readonly setIncarnation: (incarnation: string | undefined) => void;
+    /** Receives the counts of the current incarnation of `entry-2`. */
+    readonly receiveRating: () => void;
 }
 
 function createSetup(): Setup {
@@ -24,8 +24,8 @@
     const evidence = new Evidence({ clock });
     let currentIncarnation: string | undefined = "1";
     let listener: GossipListener = () => {};
-    const shared = new SharedState({
-        gossip: { get: () => undefined, set: () => {}, onUpdate: given => listener = given },
+    const sharedState = new SharedState({
+        gossip: { get: () => undefined, set: () => {}, onUpdate: updateListener => listener = updateListener },
         evidence,
         exposures: { exportOwn: () => ({ sequence: -1 }) as never, merge: () => {} },
         rollouts: { addHalt: () => true },
@@ -36,9 +36,9 @@
     return {
         clock,
         evidence,
-        shared,
-        setRun: incarnation => currentIncarnation = incarnation,
-        takeRating: () => {
+        sharedState,
+        setIncarnation: incarnation => currentIncarnation = incarnation,
+        receiveRating: () => {
             const other = new Evidence({ clock });
             other.addRating({ version, requestClass, score: 1 });
             listener("entry-2", "evidence/part", Buffer.from(JSON.stringify(other.exportOwn())));
@@ -50,38 +50,38 @@
     return evidence.getBuckets(version, requestClass).reduce((sum, { tally }) => sum + tally.ratings, 0);
 }
 
-async function publishOnce(shared: SharedState): Promise<void> {
-    shared.start();
-    await shared.stop();
+async function publishOnce(sharedState: SharedState): Promise<void> {
+    sharedState.start();
+    await sharedState.stop();
 }
 
 describe("SharedState", () => {
-    // A site replaces its entries every day. Counts of runs that are long over would stay in every entry's memory, and
-    // after some weeks the entries would run out of it, all at about the same time.
-    it("lets the counts of a restarted entry's earlier run go once they are old", async () => {
-        const { clock, evidence, setRun, takeRating, shared } = createSetup();
-        takeRating();
-        setRun("2");
-        takeRating();
+    // A site replaces its entries every day. If the counts of past incarnations stayed in every entry's memory, the
+    // entries would run out of memory after some weeks, all at about the same time.
+    it("removes the counts of a restarted entry's past incarnation once they are old", async () => {
+        const { clock, evidence, setIncarnation, receiveRating, sharedState } = createSetup();
+        receiveRating();
+        setIncarnation("2");
+        receiveRating();
         expect(countRatings(evidence)).toEqual(2);
         clock.advance(10 * hour);
-        setRun("3");
-        takeRating();
-        await publishOnce(shared);
+        setIncarnation("3");
+        receiveRating();
+        await publishOnce(sharedState);
         expect(countRatings(evidence)).toEqual(1);
     });
 
-    it("keeps what an entry that is gone saw until it is old", async () => {
-        const { clock, evidence, setRun, takeRating, shared } = createSetup();
-        takeRating();
-        setRun(undefined);
-        await publishOnce(shared);
+    it("retains the counts of a departed entry until they are old", async () => {
+        const { clock, evidence, setIncarnation, receiveRating, sharedState } = createSetup();
+        receiveRating();
+        setIncarnation(undefined);
+        await publishOnce(sharedState);
         expect(countRatings(evidence)).toEqual(1);
-        setRun("2");
-        takeRating();
+        setIncarnation("2");
+        receiveRating();
         clock.advance(10 * hour);
-        setRun(undefined);
-        await publishOnce(shared);
+        setIncarnation(undefined);
+        await publishOnce(sharedState);
         expect(countRatings(evidence)).toEqual(0);
     });
 });
--- a/test/entry/stateFetcher.test.ts
+++ b/test/entry/stateFetcher.test.ts
@@ -7,7 +7,7 @@
 
 const logWaitMilliseconds = 2_000;
 
-/** Starts a fetcher of an entry whose configuration was confirmed some time ago, and counts whom it asks. */
+/** Runs a fetcher of an entry whose configuration was confirmed some time ago, and counts its requests to peers. */
 async function countRequests(configurationAge: number): Promise<number> {
     let requests = 0;
     const fetcher = new StateFetcher({
@@ -25,7 +25,7 @@
         client: {
             fetchState: () => {
                 requests += 1;
-                const failure = new Failure({ kind: "unavailable", message: "Away.", remedy: "Wait." });
+                const failure = new Failure({ kind: "unavailable", message: "Unavailable.", remedy: "Wait." });
                 return Promise.resolve(err(failure));
             },
         },
@@ -55,15 +55,16 @@
 }
 
 describe("StateFetcher", () => {
-    // The log is well and nobody publishes anything. A read that waits its two seconds confirms the configuration as of
-    // when it was asked, so its age goes up to four seconds. Nodes that then ask three peers each, twice a second, spend
-    // more on that than on all the rest of their control.
-    it("asks nobody while the log answers long polls", async () => {
+    // The log is available and nothing is published. A read that waits two seconds confirms the configuration as of the
+    // time of its request, so the age rises up to four seconds. Nodes that queried three peers each, twice a second, at
+    // that age would spend more on these queries than on all their other control traffic.
+    it("queries no peers while the log answers long polls", async () => {
         expect(await countRequests(2 * logWaitMilliseconds)).toEqual(0);
     });
 
-    // A node is cut off from the log. A version may have been withdrawn since, and callers would still get it.
-    it("asks once a read of the log is overdue", async () => {
+    // A node is cut off from the log. A version may have been withdrawn since, and the node would still serve it to
+    // callers.
+    it("queries peers once a read of the log is overdue", async () => {
         expect(await countRequests(5_000)).toEqual(2);
     });
 });
--- a/test/entry/ticketOutcome.test.ts
+++ b/test/entry/ticketOutcome.test.ts
@@ -9,20 +9,20 @@
         return getTicketOutcome({ failure, outcome }, isCallerDisconnected);
     }
 
-    // Many callers lose interest in the middle of their answers. Nothing is wrong with the engines; an entry that took
-    // it for failures would lower its limit and refuse others for it.
-    it("holds a caller's leaving against nobody", () => {
+    // Many callers disconnect in the middle of their answers, while the engines are healthy. An entry that counted this
+    // as failures would lower its limit and refuse other callers.
+    it("does not count a caller's disconnection as a failure", () => {
         expect(getOutcome("upstream-failed", "unknown", true)).toEqual("cancelled");
         expect(getOutcome("deadline", "ran", true)).toEqual("cancelled");
     });
 
-    it("counts missed deadlines, broken upstreams and answers that were lost as failures", () => {
+    it("counts missed deadlines, failed upstreams and lost answers as failures", () => {
         expect(getOutcome("deadline", "not-run", false)).toEqual("failed");
         expect(getOutcome("upstream-failed", "not-run", false)).toEqual("failed");
         expect(getOutcome("unavailable", "unknown", false)).toEqual("failed");
     });
 
-    it("counts what never ran for another reason as refused", () => {
+    it("counts requests that did not run for another reason as refused", () => {
         expect(getOutcome("unavailable", "not-run", false)).toEqual("refused");
     });
 });
--- a/test/entry/upstreamTls.test.ts
+++ b/test/entry/upstreamTls.test.ts
@@ -66,14 +66,14 @@
         expect(print.status).toEqual(200);
     }
 
-    // Recipes and answers cross a network that others use, too. The upstreams serve nobody without a certificate, so an
-    // entry that calls them in the clear gets no answer at all.
+    // Recipes and answers cross a network that is shared with others. The upstreams refuse clients without a
+    // certificate, so an entry that connects without TLS gets no answer at all.
     it("serves models and plain services that ask for a certificate", async () => {
         await expectServed();
     });
 
-    // The entry's certificate is renewed while it serves. With the old one kept in memory, upstreams would turn it away
-    // from the day on which that ends.
+    // The entry's certificate is renewed while it serves. If it retained the old one in memory, upstreams would reject
+    // it from the day on which that certificate expires.
     it("uses renewed certificates for new connections without a restart", async () => {
         const [entry] = site.getEntries();
         const countRenewals = () =>
