--- a/src/common/clock.ts
+++ b/src/common/clock.ts
@@ -1,13 +1,13 @@
 /**
- * Time sources. Code that decides by time takes a `Clock`, so that tests move time by hand.
+ * Time sources. Code that depends on time takes a `Clock`, so that tests can control the time.
  */
 import { performance } from "node:perf_hooks";
 
-/** Tells the time in two ways. */
+/** Provides monotonic and wall-clock time. */
 export interface Clock {
-    /** Milliseconds on a clock that never goes back. It stands still for nobody: it runs on while a process is paused. */
+    /** Returns milliseconds of a clock that never goes back and that continues while a process is paused. */
     monotonic(): number;
-    /** Milliseconds since the Unix epoch. It may jump. */
+    /** Returns the milliseconds since the Unix epoch. The clock may jump. */
     wall(): number;
 }
 
@@ -17,7 +17,7 @@
     wall: () => Date.now(),
 };
 
-/** A clock that moves only when told to. */
+/** A clock that advances only when `advance` is called. */
 export class ManualClock implements Clock {
     #now: number;
 
@@ -34,8 +34,8 @@
     }
 
     /**
-     * Moves the clock forward.
-     * @param milliseconds - How far.
+     * Advances the clock.
+     * @param milliseconds - Milliseconds by which the clock advances.
      */
     advance(milliseconds: number): void {
         this.#now += milliseconds;
--- a/src/common/credentials.ts
+++ b/src/common/credentials.ts
@@ -1,12 +1,12 @@
 /**
- * What a process shows and whom it trusts on connections that are encrypted both ways.
+ * Credentials for connections with mutual TLS.
  */
 
-/** A certificate, its key and the authority that signs the other side's certificates, all in PEM. */
+/** Holds a certificate, its key and the authority that signs the other side's certificates, all in PEM. */
 export interface Credentials {
     readonly certificate: Buffer;
     readonly key: Buffer;
     readonly authority: Buffer;
-    /** The name in the other side's certificates, when they name the site and not each VM's IP number. */
+    /** The name in the other side's certificates, if they name the site instead of each VM's IP address. */
     readonly serverName?: string;
 }
--- a/src/common/errors.ts
+++ b/src/common/errors.ts
@@ -1,14 +1,14 @@
 /**
- * The family of errors that cross module boundaries.
+ * Errors that cross module boundaries.
  *
- * Every expected failure is a value of one of these kinds inside a neverthrow `Result`; exceptions are left for
- * programming mistakes. The message says what happened and what to do about it.
+ * Every expected failure is a value of one of these kinds inside a neverthrow `Result`; exceptions are reserved for
+ * programming errors. The message says what happened and how to remedy it.
  */
 
-/** What is known about whether a request was executed by an upstream. */
+/** What is known about whether an upstream executed a request. */
 export type Outcome = "not-run" | "unknown" | "ran";
 
-/** Names each kind of failure. */
+/** The kind of a failure. */
 export type FailureKind =
     | "invalid-input"
     | "unauthorized"
@@ -25,14 +25,14 @@
     | "not-found"
     | "too-large";
 
-/** Holds what a failure tells its reader. */
+/** Options of a failure. */
 export interface FailureOptions {
     readonly kind: FailureKind;
     /** What happened, as a full sentence. */
     readonly message: string;
     /** What the reader should do, as a full sentence. */
     readonly remedy: string;
-    /** When a retry is worthwhile, in milliseconds from now. */
+    /** Time after which a retry is worthwhile, in milliseconds from now. */
     readonly retryAfterMilliseconds?: number;
     readonly cause?: unknown;
 }
@@ -52,7 +52,7 @@
     }
 }
 
-/** A request that got no answer of an upstream, with what is known about whether it ran. */
+/** Represents a request without an answer from an upstream, with what is known about whether it ran. */
 export interface Refusal {
     readonly failure: Failure;
     readonly outcome: Outcome;
--- a/src/common/random.ts
+++ b/src/common/random.ts
@@ -1,15 +1,15 @@
 /**
- * Seeded random numbers on top of pure-rand. Everything random in a decision takes a `RandomSource`, so that
- * a seed repeats a run exactly.
+ * Seeded random numbers on top of pure-rand. Every random decision takes a `RandomSource`, so that a run with the same
+ * seed is exactly reproducible.
  */
 import { uniformFloat64 } from "pure-rand/distribution/uniformFloat64";
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
 
-/** Draws random numbers. */
+/** Generates seeded random numbers. */
 export class RandomSource {
     readonly #generator: ReturnType<typeof xoroshiro128plus>;
 
-    /** @param seed - An integer; the same seed draws the same numbers. */
+    /** @param seed - An integer; the same seed generates the same numbers. */
     constructor(seed: number) {
         this.#generator = xoroshiro128plus(seed);
     }
@@ -20,8 +20,8 @@
     }
 
     /**
-     * Draws an integer.
-     * @param bound - The first integer that is not drawn; at least 1.
+     * Draws an integer from 0 (included) to a bound (excluded).
+     * @param bound - The bound; at least 1.
      */
     nextInteger(bound: number): number {
         return Math.floor(this.next() * bound);
--- a/src/common/repeatedTask.ts
+++ b/src/common/repeatedTask.ts
@@ -1,5 +1,5 @@
 /**
- * Work that is done again and again with a pause in between.
+ * Runs work repeatedly, with a pause between two runs.
  */
 
 /** Options of a repeated task. */
@@ -10,7 +10,7 @@
     readonly pauseMilliseconds: number;
 }
 
-/** Repeats work without ever running it twice at a time. */
+/** Repeats work without overlapping runs. */
 export class RepeatedTask {
     readonly #options: RepeatedTaskOptions;
     #timer: NodeJS.Timeout | undefined;
@@ -21,13 +21,13 @@
         this.#options = options;
     }
 
-    /** Runs the work now and from then on. */
+    /** Runs the work now, and repeats it until `stop` is called. */
     start(): void {
         this.#stopped = false;
         this.#runOnce();
     }
 
-    /** Ends the repetition, and resolves when a run that is under way has ended. */
+    /** Stops the repetition, and resolves when a run in progress has ended. */
     async stop(): Promise<void> {
         this.#stopped = true;
         clearTimeout(this.#timer);
--- a/src/common/suspensionClock.ts
+++ b/src/common/suspensionClock.ts
@@ -1,16 +1,20 @@
 /**
- * A clock that also counts the time for which the machine was suspended.
+ * A clock that includes the time for which the machine was suspended.
  */
 import type { Clock } from "./clock.js";
 
-/** A wall clock that gains less than this on the monotonic one only drifts or is being adjusted, in milliseconds. */
+/**
+ * Minimum advance of the wall clock over the monotonic clock that counts as a suspension, in milliseconds. A smaller
+ * advance is drift or an adjustment of the wall clock.
+ */
 const minSuspensionMilliseconds = 250;
 
 /**
- * Adds suspensions to a monotonic clock. The steady clock of the machine stands still while it is suspended, so a belief
- * would seem younger than it is, and a key that was taken away meanwhile would still be accepted. The wall clock goes
- * on, so whatever it gains between two looks counts as suspension. A wall clock that is set forward looks the same: then
- * beliefs seem older than they are until the next read confirms them, which is the safe side.
+ * Adds suspensions to a monotonic clock. The monotonic clock of the machine stands still during a suspension. Cached
+ * state would then seem younger than it is, and a key that was revoked in the meantime would still be accepted. The
+ * wall clock continues, so its advance over the monotonic clock between two calls counts as a suspension. A wall clock
+ * that is set forward has the same effect: cached state then seems older than it is until the next read confirms it,
+ * which is the safe side.
  */
 export class SuspensionClock implements Clock {
     readonly #clock: Clock;
@@ -25,7 +29,7 @@
         this.#lastWall = clock.wall();
     }
 
-    /** Milliseconds that never go back and include suspensions. */
+    /** Returns milliseconds that never go back and include suspensions. */
     monotonic(): number {
         const monotonic = this.#clock.monotonic();
         const wall = this.#clock.wall();
@@ -38,7 +42,7 @@
         return monotonic + this.#suspendedMilliseconds;
     }
 
-    /** Milliseconds since the Unix epoch. */
+    /** Returns the milliseconds since the Unix epoch. */
     wall(): number {
         return this.#clock.wall();
     }
