--- a/src/world/index.ts
+++ b/src/world/index.ts
@@ -1,4 +1,4 @@
-/** The things that the router deals with: VMs, failure domains, upstreams, versions and workspaces. */
+/** Domain objects of the router: VMs, failure domains, upstreams, versions and workspaces. */
 export * from "./upstream.js";
 export * from "./version.js";
 export * from "./vm.js";
--- a/src/world/upstream.ts
+++ b/src/world/upstream.ts
@@ -1,23 +1,23 @@
 /**
- * Upstreams: model runners and plain services, and what they report of themselves.
+ * Upstreams: model runners and plain services, and the load that they report.
  */
 
-/** What an upstream reports of its load. It is as old as `measuredAt` says. */
+/** Represents an upstream's report of its load at the time `measuredAt`. */
 export interface LoadReport {
     /** Identifier of the VM that runs the upstream. */
     readonly upstream: string;
-    /** Wall-clock milliseconds of the upstream when it measured. */
+    /** Wall-clock time of the measurement by the upstream's clock, in milliseconds. */
     readonly measuredAt: number;
-    /** Requests that are being worked on. */
+    /** Number of requests in progress. */
     readonly running: number;
-    /** Requests that wait inside the upstream. */
+    /** Number of requests that wait inside the upstream. */
     readonly waiting: number;
-    /** Requests that it can work on at once. */
+    /** Number of requests that the upstream can process at once. */
     readonly capacity: number;
-    /** Identifiers of the versions that it has loaded. Empty for plain services. */
+    /** Identifiers of the loaded versions. Empty for plain services. */
     readonly versions: readonly string[];
-    /** Whether it has announced that it is leaving. */
+    /** Whether the upstream has announced that it is leaving. */
     readonly leaving: boolean;
-    /** Whether it refuses an order with an old fencing number; engines only, and not all of them say so. */
+    /** Whether it refuses an order with an outdated fencing token. Only engines report this, and not all of them. */
     readonly checksFencing?: boolean;
 }
--- a/src/world/vm.ts
+++ b/src/world/vm.ts
@@ -1,18 +1,18 @@
 /**
- * VMs as the platform's VM list shows them.
+ * VMs as listed in the platform's VM list.
  */
 
-/** What a VM runs. */
+/** Role of a VM. */
 export type VmRole = "entry" | "runner" | "service";
 
-/** Whether the platform keeps a VM or is about to take it away. */
+/** Whether the platform retains a VM or is about to remove it. */
 export type VmState = "live" | "leaving";
 
-/** A VM of a site. */
+/** Represents a VM of a site. */
 export interface Vm {
-    /** Unique over time: a replaced VM on the same address has a new identifier. */
+    /** Unique over time: a replacement VM at the same address has a new identifier. */
     readonly id: string;
-    /** IP number. */
+    /** IP address. */
     readonly address: string;
     readonly port: number;
     readonly role: VmRole;
@@ -21,6 +21,6 @@
     readonly failureDomain: string;
     readonly region: string;
     readonly state: VmState;
-    /** For entries: the port on which its peers call it. */
+    /** For entries: the port on which peers connect. */
     readonly peerPort?: number;
 }
