--- a/src/entry/metrics.ts
+++ b/src/entry/metrics.ts
@@ -65,12 +65,12 @@
         }),
         running: new Gauge({
             name: "rattanlock_running_requests",
-            help: "Requests in progress at this entry.",
+            help: "Requests that this entry works on.",
             registers,
         }),
         configurationOffset: new Gauge({
             name: "rattanlock_configuration_offset",
-            help: "Log offset of the configuration that is in force at this entry.",
+            help: "Offset up to which the configuration is in force here.",
             registers,
         }),
         configurationAge: new Gauge({
@@ -86,7 +86,7 @@
         }),
         unappendedBills: new Gauge({
             name: "rattanlock_unappended_bills",
-            help: "Bills that the log has not accepted yet.",
+            help: "Bills that wait for the log.",
             registers,
         }),
     };
--- a/src/forwarding/metrics.ts
+++ b/src/forwarding/metrics.ts
@@ -14,25 +14,25 @@
         registry,
         requests: new Counter({
             name: "rattanlock_forwarded_requests_total",
-            help: "Requests that matched a route, by route and by whether they ran, as far as known.",
+            help: "Requests that were matched with a route, by route and what is known of whether they ran.",
             labelNames: ["route", "ran"] as const,
             registers,
         }),
         refusals: new Counter({
             name: "rattanlock_refused_requests_total",
-            help: "Requests that were refused before they were sent to any upstream, by the kind of the refusal.",
+            help: "Requests that were refused before any upstream was asked, by the kind of the refusal.",
             labelNames: ["kind"] as const,
             registers,
         }),
         attempts: new Counter({
             name: "rattanlock_attempts_total",
-            help: "Requests sent to upstreams, by pool, version and outcome.",
+            help: "Requests sent to upstreams, by pool, version and how that ended.",
             labelNames: ["pool", "version", "outcome"] as const,
             registers,
         }),
         heads: new Histogram({
             name: "rattanlock_attempt_head_seconds",
-            help: "Time from sending a request to the head of its answer, by pool and model.",
+            help: "Time from the sending of a request to the head of its answer, by pool and model.",
             labelNames: ["pool", "model"] as const,
             buckets: answerBuckets,
             registers,
@@ -46,32 +46,32 @@
         }),
         inFlight: new Gauge({
             name: "rattanlock_forwarded_requests_in_flight",
-            help: "Requests in flight at this node.",
+            help: "Requests that this node works on.",
             registers,
         }),
         configurationVersion: new Gauge({
             name: "rattanlock_route_table_version",
-            help: "Version of the route table in force at this node.",
+            help: "Version of the route table in force here.",
             registers,
         }),
         configurationAge: new Gauge({
             name: "rattanlock_route_table_age_seconds",
-            help: "Time since the route table was last confirmed to be the latest.",
+            help: "Time since the route table was last known to be the newest.",
             registers,
         }),
         members: new Gauge({
             name: "rattanlock_alive_members",
-            help: "Nodes that are known to be alive, including this one.",
+            help: "Nodes that are known to live, this one among them.",
             registers,
         }),
         upstreams: new Gauge({
             name: "rattanlock_registered_upstreams",
-            help: "Registered upstreams, including leaving ones.",
+            help: "Upstreams that are registered, leaving ones among them.",
             registers,
         }),
         linesLeftOut: new Gauge({
             name: "rattanlock_log_lines_left_out",
-            help: "Log lines that were dropped since the start to limit their volume.",
+            help: "Log lines that were left out since the start to bound their volume.",
             registers,
         }),
     };
