--- a/src/caller/addressResolver.ts
+++ b/src/caller/addressResolver.ts
@@ -1,5 +1,6 @@
 /**
- * A caller's view of which entries to use: it asks the site, keeps the answer for as long as it was told, and asks again.
+ * Resolves the entries that a caller sends requests to. The site returns the addresses with a lifetime; the list is
+ * cached for that time and then fetched again.
  */
 import { z } from "zod";
 import { callJson } from "./call.js";
@@ -12,9 +13,9 @@
     keepSeconds: z.number(),
 });
 
-/** Follows the site's addresses. */
+/** Provides the current entry addresses of a site. */
 export class AddressResolver {
-    /** Where to ask as long as nothing else is known. */
+    /** Addresses to query while no others are known. */
     readonly #seeds: readonly string[];
     #addresses: readonly string[] = [];
     #expiresAt = 0;
@@ -26,7 +27,7 @@
         this.#seeds = seeds;
     }
 
-    /** Returns the address for the next request as `HOST:PORT`, each address of the kept answer in turn. */
+    /** Returns the address for the next request as `HOST:PORT`, round-robin over the cached addresses. */
     async getAddress(): Promise<string> {
         if (performance.now() >= this.#expiresAt) {
             this.#pendingRefresh ??= this.#refresh().finally(() => this.#pendingRefresh = undefined);
@@ -46,11 +47,14 @@
             this.#expiresAt = performance.now() + document.keepSeconds * millisecondsPerSecond;
             return;
         }
-        throw new Error("No entry tells the addresses to use.");
+        throw new Error("No entry returned the addresses to use.");
     }
 }
 
-/** Asks one entry; one that does not answer is passed over, since no request depends on it yet. */
+/**
+ * Fetches the addresses from one entry. Returns undefined when the entry does not answer; the resolver then queries the
+ * next one, since no request depends on this entry yet.
+ */
 async function fetchAddresses(address: string): Promise<z.infer<typeof addressesSchema> | undefined> {
     try {
         return addressesSchema.parse(
--- a/src/caller/call.ts
+++ b/src/caller/call.ts
@@ -1,5 +1,5 @@
 /**
- * Calls of a test to stand-ins and entries.
+ * HTTP calls from tests to stand-ins and entries.
  */
 import { request } from "undici";
 
@@ -15,20 +15,20 @@
     /** Sent as JSON. */
     readonly body?: object;
     readonly timeoutMilliseconds?: number;
-    /** Whether a body that breaks off is returned as far as it came, in place of an error. */
+    /** Whether the received part of a truncated body is returned instead of throwing an error. */
     readonly allowsPartialBody?: boolean;
 }
 
-/** What came back. */
+/** The response to a call. */
 export interface Reply {
     readonly status: number;
     readonly headers: Readonly<Record<string, string | string[] | undefined>>;
     readonly text: string;
-    /** Whether the body broke off. */
+    /** Whether the connection failed before the end of the body. */
     readonly isTruncated: boolean;
 }
 
-/** Makes a call; throws when the connection fails or the bound is over. */
+/** Makes a call. Throws when the connection fails or the timeout expires. */
 export async function call(options: Call): Promise<Reply> {
     const { address, path, method = "GET", headers, body, timeoutMilliseconds = defaultTimeoutMilliseconds } = options;
     const reply = await request(`http://${address}${path}`, {
@@ -44,7 +44,7 @@
     return { status: reply.statusCode, headers: reply.headers, text, isTruncated: error !== undefined };
 }
 
-/** Reads a body to its end, or as far as it comes. */
+/** Reads a body to its end or, when the connection fails, returns the received part and the error. */
 async function readText(body: AsyncIterable<Buffer>): Promise<{ readonly text: string; readonly error?: unknown; }> {
     const chunks: Buffer[] = [];
     try {
@@ -58,7 +58,7 @@
     }
 }
 
-/** Makes a call and returns the JSON that came back; throws at any status from 400 on. */
+/** Makes a call and returns the JSON of the response. Throws for any status of 400 or above. */
 export async function callJson<Body>(options: Call): Promise<Body> {
     const reply = await call(options);
     if (reply.status >= 400) {
--- a/src/caller/caller.ts
+++ b/src/caller/caller.ts
@@ -1,12 +1,12 @@
 /**
- * A caller that keeps its own record of what it asked for and what it got, against which a site is judged.
+ * A client that keeps its own records of requests and answers. Tests compare a site's behaviour with these records.
  */
 import { createParser } from "eventsource-parser";
 import { Agent, request } from "undici";
 
 const defaultTimeoutMilliseconds = 30_000;
 
-/** A chat completion to ask for. */
+/** A request for a chat completion. */
 export interface ChatCompletionRequest {
     /** `HOST:PORT` of the entry. */
     readonly entry: string;
@@ -20,25 +20,25 @@
     readonly sessionToken?: string;
     readonly maxTokens?: number;
     readonly timeoutMilliseconds?: number;
-    /** Is called after each piece of the answer, with the number of events so far. */
+    /** Called after each received chunk of the answer, with the number of events so far. */
     readonly onProgress?: (eventCount: number) => void;
-    /** Leaves the answer after so many events, as a caller does whose connection breaks. */
+    /** Closes the connection after this number of events, to simulate a connection that fails on the caller's side. */
     readonly disconnectAfterEvents?: number;
 }
 
-/** What became of a request. */
+/** The result of a chat completion request. */
 export interface ChatRecord {
-    /** HTTP status; 0 when the connection failed before one came. */
+    /** HTTP status; 0 when the connection failed before the status was received. */
     readonly status: number;
     readonly requestId: string | undefined;
     readonly version: string | undefined;
     readonly text: string;
-    /** Whether the answer came to its end mark. */
+    /** Whether the answer was received up to its end marker. */
     readonly isComplete: boolean;
     readonly lastEventId: number;
     readonly resumeToken: string | undefined;
     readonly sessionToken: string | undefined;
-    /** `not-run`, `unknown` or `ran`, as a refusal said. */
+    /** `not-run`, `unknown` or `ran`, as reported by a refusal. */
     readonly outcome: string | undefined;
     readonly problem: string | undefined;
     readonly retryAfterSeconds: number | undefined;
@@ -58,7 +58,7 @@
     readonly timeoutMilliseconds?: number;
 }
 
-/** What became of a call to a plain service. */
+/** The result of a call to a plain service. */
 export interface ServiceRecord {
     readonly status: number;
     readonly requestId: string | undefined;
@@ -70,7 +70,7 @@
 
 type Headers = Readonly<Record<string, string | string[] | undefined>>;
 
-/** Asks a site for work. */
+/** Sends chat completions and service calls to a site and records the results. */
 export class Caller {
     readonly #agent = new Agent({ connections: 256, pipelining: 1, connect: { timeout: 2000 } });
 
@@ -80,7 +80,7 @@
     }
 
     /**
-     * Asks for a chat completion; never throws for what the site does.
+     * Sends a chat completion request. Never throws for a failure of the site; the record shows it.
      * @param chatRequest - The request.
      */
     async chat(chatRequest: ChatCompletionRequest): Promise<ChatRecord> {
@@ -104,16 +104,16 @@
             await this.#collect(response.body, collector, chatRequest, abortController);
         }
         catch {
-            // The record tells how far the answer came; a broken connection is what many tests cause on purpose.
+            // The record shows how much of the answer was received. Many tests break the connection on purpose.
         }
         return collector.toRecord();
     }
 
     /**
-     * Takes up a broken answer at any entry.
+     * Resumes an interrupted answer at any entry.
      * @param entry - `HOST:PORT` of the entry.
      * @param key - The API key.
-     * @param partial - What came so far.
+     * @param partial - The record of the part that was received.
      */
     async resume(entry: string, key: string, partial: ChatRecord): Promise<ChatRecord> {
         const collector = new AnswerCollector(partial);
@@ -131,13 +131,13 @@
             await this.#collect(response.body, collector, {}, new AbortController());
         }
         catch {
-            // As above.
+            // The record shows how much of the answer was received, as in `chat`.
         }
         return collector.toRecord();
     }
 
     /**
-     * Calls a plain service by POST; never throws for what the site does.
+     * Calls a plain service by POST. Never throws for a failure of the site; the record shows it.
      * @param serviceRequest - The call.
      */
     async callService(serviceRequest: ServiceCallRequest): Promise<ServiceRecord> {
@@ -197,6 +197,7 @@
     }
 }
 
+/** Assembles the record of one answer from its response headers and body chunks. */
 class AnswerCollector {
     readonly #startedAt = performance.now();
     readonly #decoder = new TextDecoder();
--- a/src/caller/index.ts
+++ b/src/caller/index.ts
@@ -1,4 +1,4 @@
-/** A caller of a site, for the load tool, the demo and tests. */
+/** A client of a site, for the load generator, the demo and tests. */
 export * from "./addressResolver.js";
 export * from "./call.js";
 export * from "./caller.js";
--- a/src/demo/demo.ts
+++ b/src/demo/demo.ts
@@ -1,5 +1,6 @@
 /**
- * The demo: work through a whole site, a change, a roll-out of a bad version, a withdrawal, and a summary.
+ * The demo: sends requests to a site, publishes a change, rolls out a bad version, withdraws a version and prints a
+ * summary.
  */
 import { randomUUID } from "node:crypto";
 import { rolloutRecordKinds } from "../control/index.js";
@@ -11,10 +12,10 @@
 const requestsBeforeChange = 120;
 const requestsAfterWithdrawal = 60;
 const rolloutTimeoutMilliseconds = 60_000;
-/** Format of the records that the demo writes as an operator. */
+/** Format version of the records that the demo appends as an operator. */
 const recordFormat = 1;
 
-/** Runs the demo at a site. */
+/** Runs the demo against a site. */
 export class Demo {
     readonly #site: Site;
     readonly #plan: DemoPlan;
@@ -30,7 +31,7 @@
     async run(): Promise<readonly string[]> {
         const workload = new Workload(this.#site, this.#plan);
         workload.start();
-        this.#print("Callers send chat completions, conversations and calls that must not run twice ...");
+        this.#print("Callers send chat completions, conversations and service calls that must not run twice ...");
         await waitForRequests(workload, requestsBeforeChange);
         const changeMilliseconds = await this.#publishChange();
         const rolloutMilliseconds = await this.#runRollout(workload);
@@ -41,13 +42,13 @@
             plan: this.#plan,
             chats: workload.getChats(),
             prints: workload.getPrints(),
-            runs: await this.#readRuns(),
+            runs: await this.#readRunCounts(),
             bills: await this.#waitForBills(workload),
             changeMilliseconds,
             rolloutMilliseconds,
             withdrawnAt: withdrawal.inForceAt,
             withdrawalMilliseconds: withdrawal.milliseconds,
-            engineRunStarts: await this.#readStarts(),
+            engineRunStarts: await this.#readEngineRunStarts(),
         };
         return createSummary(observations);
     }
@@ -62,7 +63,7 @@
 
     async #runRollout(workload: Workload): Promise<number> {
         const { model, candidate, baseline } = this.#plan.rollout;
-        this.#print(`A roll-out of ${candidate} in place of ${baseline} starts; the candidate is bad in truth ...`);
+        this.#print(`A roll-out of ${candidate} in place of ${baseline} starts; the candidate is known to be bad ...`);
         const startedAt = performance.now();
         const rollout = randomUUID();
         await this.#site.append("control", {
@@ -78,7 +79,7 @@
             return status.halts.some(halt => halt.version === candidate);
         }, { description: `${candidate} to be halted`, timeoutMilliseconds: rolloutTimeoutMilliseconds });
         const candidateAnswers = workload.getChats().filter(({ chat }) => chat.version === candidate).length;
-        this.#print(`It is halted after ${candidateAnswers} answers.`);
+        this.#print(`The candidate was halted after ${candidateAnswers} answers.`);
         return performance.now() - startedAt;
     }
 
@@ -92,8 +93,8 @@
         return { milliseconds: performance.now() - startedAt, inForceAt: Date.now() };
     }
 
-    /** Returns how often each key ran, as the services themselves counted. */
-    async #readRuns(): Promise<ReadonlyMap<string, number>> {
+    /** Returns the number of runs of each idempotency key, from the journals of the services. */
+    async #readRunCounts(): Promise<ReadonlyMap<string, number>> {
         const runs = new Map<string, number>();
         for (const [name, upstream] of this.#site.getUpstreams()) {
             if (!name.startsWith("service")) {
@@ -108,17 +109,17 @@
         return runs;
     }
 
-    /** Returns when engines started work on each version, by their own word. */
-    async #readStarts(): Promise<readonly { readonly version: string; readonly at: number; }[]> {
+    /** Returns the version and start time of each engine run, from the journals of the engines. */
+    async #readEngineRunStarts(): Promise<readonly { readonly version: string; readonly at: number; }[]> {
         const starts: { version: string; at: number; }[] = [];
         for (const [name, upstream] of this.#site.getUpstreams()) {
             if (!name.startsWith("runner")) {
                 continue;
             }
-            const notes = await getJournal<{ readonly ran?: string; readonly arrivedAt?: number; }>(
+            const records = await getJournal<{ readonly ran?: string; readonly arrivedAt?: number; }>(
                 upstream.getAddress(),
             );
-            for (const { ran, arrivedAt } of notes) {
+            for (const { ran, arrivedAt } of records) {
                 if (ran !== undefined && arrivedAt !== undefined) {
                     starts.push({ version: ran, at: arrivedAt });
                 }
@@ -127,7 +128,7 @@
         return starts;
     }
 
-    /** Waits until the log holds a bill for every answer; whatever is missing after that is missing for good. */
+    /** Waits until the log holds a bill for every answer. Throws when the wait times out, since a bill is then lost. */
     async #waitForBills(workload: Workload) {
         const answered = workload.getChats().filter(({ chat }) => chat.isComplete);
         return waitUntil(async () => {
--- a/src/demo/demoPlan.ts
+++ b/src/demo/demoPlan.ts
@@ -1,5 +1,5 @@
 /**
- * What the demo does at each site: which work it sends, what it changes, what it rolls out and withdraws.
+ * The plans of the demo for each site: the work, the configuration change, the roll-out and the withdrawal.
  */
 import type { Change } from "../configuration/index.js";
 import { catania, metroManila, type SiteDescription } from "../testbench/index.js";
@@ -10,23 +10,23 @@
     readonly requestClass: string;
     readonly text: string;
     readonly streamed: boolean;
-    /** Whether it belongs to conversations. */
+    /** Whether the requests belong to sessions. */
     readonly hasSessions: boolean;
 }
 
-/** The demo of one site. */
+/** The plan of the demo for one site. */
 export interface DemoPlan {
     readonly site: SiteDescription;
     readonly work: readonly DemoWork[];
-    /** A call that must not run twice. */
+    /** A service call that must not run twice. */
     readonly service: { readonly workspace: string; readonly pool: string; readonly path: string; };
     readonly change: Change;
-    /** A candidate that is bad in truth, and the version in whose place it comes. */
+    /** A candidate that is known to be bad, and the baseline that it is to replace. */
     readonly rollout: { readonly model: string; readonly candidate: string; readonly baseline: string; };
     readonly withdrawnVersion: string;
 }
 
-/** The demos by the name of their site. */
+/** The plans by the name of their site. */
 export const demoPlans: Readonly<Record<string, DemoPlan>> = {
     "metro-manila": {
         site: metroManila,
--- a/src/demo/main.ts
+++ b/src/demo/main.ts
@@ -39,11 +39,13 @@
     }
 }
 
-/** Stops the entries as an operator would and reports those that did not end well. */
+/** Stops the entries as an operator would, and reports how many exited with a non-zero code. */
 async function stopEntries(site: Site): Promise<number> {
     const codes = await Promise.all(site.getEntries().map(entry => entry.process.stop()));
     const failed = codes.filter(code => code !== 0).length;
-    console.log(failed === 0 ? "\nAll entries shut down gracefully." : `\n${failed} entries did not shut down well.`);
+    console.log(
+        failed === 0 ? "\nAll entries shut down gracefully." : `\n${failed} entries did not shut down gracefully.`,
+    );
     return failed === 0 ? 0 : exitCodes.failed;
 }
 
@@ -53,7 +55,7 @@
     const vmList = `http://${site.getPlatformAddress("vm-list")}`;
     console.log([
         "",
-        "The site goes on until you press Ctrl-C. Try:",
+        "The site keeps running until you press Ctrl-C. Try:",
         `  curl -s http://${entry.callerAddress}/v1/addresses`,
         `  curl -sN http://${entry.callerAddress}/v1/chat/completions -H "Authorization: Bearer ${
             getApiKey(workspace)
--- a/src/demo/summary.ts
+++ b/src/demo/summary.ts
@@ -1,32 +1,32 @@
 /**
- * The demo's summary, and its verdict on what must always hold.
+ * The summary of the demo, and the checks of the invariants.
  */
 import type { Bill } from "../bills/index.js";
 import type { DemoPlan } from "./demoPlan.js";
 import type { PrintRecord, WorkRecord } from "./workload.js";
 
-/** What the demo saw. */
+/** The data that the demo collected. */
 export interface DemoObservations {
     readonly plan: DemoPlan;
     readonly chats: readonly WorkRecord[];
     readonly prints: readonly PrintRecord[];
-    /** How often each idempotency key ran, as the services counted. */
+    /** Number of runs of each idempotency key, from the journals of the services. */
     readonly runs: ReadonlyMap<string, number>;
     readonly bills: ReadonlyMap<string, Bill>;
     readonly changeMilliseconds: number;
     readonly rolloutMilliseconds: number;
-    /** Wall-clock milliseconds at which the withdrawal was in force everywhere. */
+    /** Wall-clock milliseconds at which the withdrawal was in force on all entries. */
     readonly withdrawnAt: number;
     readonly withdrawalMilliseconds: number;
     readonly engineRunStarts: readonly { readonly version: string; readonly at: number; }[];
 }
 
-/** A promise that the demo saw broken. */
+/** An invariant that did not hold in the demo. */
 export class InvariantViolation extends Error {}
 
 /**
- * Creates the summary. Throws when the demo saw a promise broken.
- * @param observations - What the demo saw.
+ * Creates the summary. Throws when an invariant did not hold.
+ * @param observations - The data that the demo collected.
  */
 export function createSummary(observations: DemoObservations): readonly string[] {
     checkInvariants(observations);
@@ -40,12 +40,12 @@
 function checkInvariants(observations: DemoObservations): void {
     for (const [key, runs] of observations.runs) {
         if (runs > 1) {
-            throw new InvariantViolation(`The call with the key ${key} ran ${runs} times.`);
+            throw new InvariantViolation(`The call with the idempotency key ${key} ran ${runs} times.`);
         }
     }
     for (const { chat } of observations.chats) {
         if (chat.isComplete && !chat.text.includes(chat.requestId ?? "-")) {
-            throw new InvariantViolation(`The request ${chat.requestId} got another request's answer.`);
+            throw new InvariantViolation(`The request ${chat.requestId} received the answer of another request.`);
         }
     }
     const { withdrawnVersion } = observations.plan;
@@ -54,7 +54,7 @@
     );
     if (lateRuns.length > 0) {
         throw new InvariantViolation(
-            `${withdrawnVersion} got ${lateRuns.length} new requests after its withdrawal was in force.`,
+            `${withdrawnVersion} received ${lateRuns.length} new requests after its withdrawal was in force.`,
         );
     }
 }
@@ -82,8 +82,8 @@
     }
     const replayed = prints.filter(({ first, second }) => first.isReplayed || second.isReplayed).length;
     lines.push(
-        `  ${prints.length} calls were sent twice under one key: ${runs.size} keys ran, each once; `
-            + `${replayed} second answers were the first one's`,
+        `  ${prints.length} calls were sent twice with the same key: ${runs.size} keys ran, each once; `
+            + `${replayed} second answers were replays of the first`,
         `  ${bills.size} bills, one for each answered request`,
     );
     return lines;
@@ -117,7 +117,7 @@
         `  the withdrawal of ${observations.plan.withdrawnVersion} was in force after ${
             Math.round(observations.withdrawalMilliseconds)
         } ms; `
-        + "it got nothing new after that",
+        + "it received no new requests after that",
     ];
 }
 
--- a/src/demo/workload.ts
+++ b/src/demo/workload.ts
@@ -1,5 +1,5 @@
 /**
- * Sends the demo's work and keeps the callers' own record of it.
+ * Sends the work of the demo and records the results that the callers receive.
  */
 import { randomUUID } from "node:crypto";
 import { Caller, type ChatRecord, getApiKey, type ServiceRecord, type Site } from "../testbench/index.js";
@@ -9,20 +9,20 @@
 const turnsPerSession = 4;
 const conflictStatus = 409;
 
-/** A chat completion of the demo. */
+/** The result of a chat completion of the demo. */
 export interface WorkRecord {
     readonly work: DemoWork;
     readonly chat: ChatRecord;
 }
 
-/** A label print or booking of the demo, sent twice under one key. */
+/** The results of a label print or booking of the demo, sent twice with the same key. */
 export interface PrintRecord {
     readonly key: string;
     readonly first: ServiceRecord;
     readonly second: ServiceRecord;
 }
 
-/** Sends work until it is stopped. */
+/** Sends work until stopped. */
 export class Workload {
     readonly #site: Site;
     readonly #plan: DemoPlan;
@@ -48,19 +48,19 @@
         this.#loops.push(this.#print());
     }
 
-    /** Lets every caller finish its request. */
+    /** Stops the callers after their current requests. */
     async stop(): Promise<void> {
         this.#isStopped = true;
         await Promise.all(this.#loops);
         await this.#caller.close();
     }
 
-    /** Returns the chat completions so far. */
+    /** Returns the results of the chat completions so far. */
     getChats(): readonly WorkRecord[] {
         return this.#chats;
     }
 
-    /** Returns the prints or bookings so far. */
+    /** Returns the results of the prints or bookings so far. */
     getPrints(): readonly PrintRecord[] {
         return this.#prints;
     }
@@ -85,7 +85,7 @@
         }
     }
 
-    /** Sends each call twice at two entries, as a caller does that did not get its first answer in time. */
+    /** Sends each call twice, to two entries, like a caller that retries because it did not receive the first answer in time. */
     async #print(): Promise<void> {
         const { workspace, pool, path } = this.#plan.service;
         while (!this.#isStopped) {
@@ -100,7 +100,7 @@
                     body: `work for ${key}`,
                 });
             const [first, second] = await Promise.all([send(), send()]);
-            // Whoever comes second while the first runs is told so, and asks again for the first one's answer.
+            // A second call that arrives while the first runs is refused with a conflict, and is sent again for its answer.
             const retried = second.status === conflictStatus ? await send() : second;
             this.#prints.push({ key, first, second: retried });
         }
--- a/src/load/arrivals.ts
+++ b/src/load/arrivals.ts
@@ -5,7 +5,7 @@
 
 const millisecondsPerSecond = 1000;
 
-/** How many requests arrive for how long. */
+/** Arrival rate and duration. */
 export interface ArrivalOptions {
     readonly ratePerSecond: number;
     readonly seconds: number;
@@ -13,8 +13,8 @@
 }
 
 /**
- * Draws the arrival times of a Poisson process, in milliseconds from the start and in order.
- * @param options - The rate, the time and the random numbers.
+ * Draws the arrival times of a Poisson process, in milliseconds from the start, in ascending order.
+ * @param options - The rate, the duration and the random source.
  */
 export function createArrivalTimes({ ratePerSecond, seconds, random }: ArrivalOptions): readonly number[] {
     const end = seconds * millisecondsPerSecond;
--- a/src/load/compare.ts
+++ b/src/load/compare.ts
@@ -1,9 +1,9 @@
 /**
- * Compares two runs.
+ * Comparison of the results of two runs.
  */
 import { countTitles, type Distribution, distributionTitles, type LoadResult } from "./loadResult.js";
 
-/** One figure of two runs. */
+/** One figure of both runs. */
 export interface Difference {
     readonly name: string;
     readonly before: number;
@@ -14,8 +14,8 @@
 
 /**
  * Returns the figures of two runs side by side.
- * @param before - The run that is compared with.
- * @param after - The run that is looked at.
+ * @param before - The reference run.
+ * @param after - The run that is compared with it.
  */
 export function compareResults(before: LoadResult, after: LoadResult): readonly Difference[] {
     const differences: Difference[] = [
@@ -56,7 +56,7 @@
 }
 
 /**
- * Writes differences as an aligned table.
+ * Formats differences as an aligned table.
  * @param differences - The figures.
  */
 export function formatDifferences(differences: readonly Difference[]): string {
--- a/src/load/index.ts
+++ b/src/load/index.ts
@@ -1,4 +1,4 @@
-/** The load generator: open-loop arrivals of the users' mix of work, and reports of what the callers met. */
+/** The load generator: open-loop arrivals of a configured mix of work, and reports of latencies and outcomes. */
 export * from "./arrivals.js";
 export * from "./compare.js";
 export * from "./loadClient.js";
--- a/src/load/linePlot.ts
+++ b/src/load/linePlot.ts
@@ -13,24 +13,24 @@
     readonly points: readonly (readonly [x: number, y: number])[];
 }
 
-/** A plot. */
+/** The contents of a line plot. */
 export interface LinePlot {
     readonly title: string;
     readonly xTitle: string;
     readonly yTitle: string;
     readonly series: readonly PlotSeries[];
-    /** Positions on the x axis with their labels, in place of evenly spaced ones. */
+    /** Positions and labels of the ticks on the x axis; evenly spaced ticks when undefined. */
     readonly xTicks?: readonly (readonly [x: number, label: string])[];
 }
 
-/** Escapes text for HTML and SVG; without it a name in a result could bring a script into the page. */
+/** Escapes text for HTML and SVG. Without escaping, a name in a result could inject a script into the page. */
 export function escapeText(text: string): string {
     return text.replace(/[&<>"']/g, character => `&#${character.charCodeAt(0)};`);
 }
 
 /**
- * Draws a plot; its colours are the page's classes `series-1` and so on.
- * @param plot - What to draw.
+ * Renders a plot as SVG. The page's CSS classes `series-1`, `series-2` and so on set the colours.
+ * @param plot - The plot.
  */
 export function drawLinePlot(plot: LinePlot): string {
     const points = plot.series.flatMap(series => series.points);
--- a/src/load/loadClient.ts
+++ b/src/load/loadClient.ts
@@ -1,5 +1,6 @@
 /**
- * The callers of a run: they follow the site's addresses, come back when they are told to, and keep a record.
+ * The client that sends the requests of a run: it follows the site's addresses, retries after the delay that a refusal
+ * asks for, and records the results.
  */
 import { setTimeout as wait } from "node:timers/promises";
 import type { ChatCompletionRequest, ChatRecord, ServiceCallRequest, ServiceRecord } from "../caller/index.js";
@@ -10,21 +11,21 @@
 
 const millisecondsPerSecond = 1000;
 
-/** How callers reach the site. */
+/** Sends requests to the site. */
 export interface SiteTransport {
-    readonly chat: (ask: ChatCompletionRequest) => Promise<ChatRecord>;
-    readonly callService: (ask: ServiceCallRequest) => Promise<ServiceRecord>;
-    readonly resume: (entry: string, key: string, broken: ChatRecord) => Promise<ChatRecord>;
-    /** Gives `HOST:PORT` for the next try. */
+    readonly chat: (request: ChatCompletionRequest) => Promise<ChatRecord>;
+    readonly callService: (request: ServiceCallRequest) => Promise<ServiceRecord>;
+    readonly resume: (entry: string, key: string, partial: ChatRecord) => Promise<ChatRecord>;
+    /** Returns `HOST:PORT` for the next attempt. */
     readonly getAddress: () => Promise<string>;
 }
 
-/** What callers need. */
+/** Dependencies and settings of a load client. */
 export interface LoadClientOptions {
     readonly transport: SiteTransport;
     readonly clock: Clock;
     readonly settings: Pick<LoadSettings, "boundMilliseconds" | "tries">;
-    /** Distinguishes the idempotency keys and sessions of this run from those of others. */
+    /** Distinguishes the idempotency keys and sessions of this run from those of other runs. */
     readonly runId: string;
     readonly sleep?: (milliseconds: number) => Promise<void>;
 }
@@ -32,23 +33,23 @@
 /** How a request ended for its caller. */
 export type LoadEnd = "answered" | "refused" | "broken" | "failed";
 
-/** What became of a request, with times from its intended arrival. */
+/** The result of a request. Times count from its intended arrival. */
 export interface LoadRecord {
     readonly arrival: Arrival;
     readonly end: LoadEnd;
-    /** HTTP status of the last try; 0 when its connection failed. */
+    /** HTTP status of the last attempt; 0 when its connection failed. */
     readonly status: number;
     readonly outcome: string | undefined;
     readonly version: string | undefined;
     readonly attempts: number;
-    /** How much later than intended the first try was sent. */
+    /** Delay between the intended arrival and the first attempt. */
     readonly lateMilliseconds: number;
-    /** Undefined when no token came, and for answers that are not streamed. */
+    /** Undefined when no token was received, and for answers that are not streamed. */
     readonly firstTokenMilliseconds: number | undefined;
     readonly milliseconds: number;
-    /** Times between pieces of the answer that brought tokens. */
+    /** Milliseconds between consecutive chunks of the answer that contained tokens. */
     readonly gaps: readonly number[];
-    /** Time of each refusal from when its try was due. */
+    /** Milliseconds from the due time of each refused attempt to its refusal. */
     readonly refusals: readonly number[];
 }
 
@@ -82,9 +83,10 @@
     }
 
     /**
-     * Sends a request until it is answered, refused for good or tried often enough; never throws for what the site does.
+     * Sends a request and retries it until it is answered, finally refused, or the maximum number of attempts is reached.
+     * Never throws for a failure of the site; the record shows it.
      * @param arrival - The request.
-     * @param intendedAt - When it was to arrive, on the monotonic clock. All times count from it.
+     * @param intendedAt - The intended arrival time on the monotonic clock. All times count from it.
      */
     async send(arrival: Arrival, intendedAt: number): Promise<LoadRecord> {
         const { clock, settings, sleep = wait } = this.#options;
@@ -129,7 +131,7 @@
             entry = await this.#options.transport.getAddress();
         }
         catch {
-            // No entry tells the addresses: to the caller this is a connection that failed.
+            // No entry returned the addresses. For the caller this is the same as a failed connection.
             return failedAttempt;
         }
         return arrival.work.kind === "service" ? this.#callService(arrival, entry) : this.#chat(arrival, entry);
@@ -184,7 +186,7 @@
         };
     }
 
-    /** Takes up a broken answer at the next entry, as often as a request may be tried. */
+    /** Resumes an interrupted answer at the next entry, within the maximum number of attempts. */
     async #resume(initial: ChatRecord, key: string): Promise<ChatRecord> {
         const { transport, settings } = this.#options;
         let record = initial;
@@ -194,7 +196,7 @@
             }
             try {
                 const resumed = await transport.resume(await transport.getAddress(), key, record);
-                // What broke off keeps its status, so that a failed resumption counts as a broken answer.
+                // The status of the interrupted answer is kept, so that a failed resumption counts as a broken answer.
                 record = {
                     ...resumed,
                     status: record.status,
@@ -217,7 +219,7 @@
             key: work.key,
             pool: work.pool ?? "",
             path: work.path,
-            // Each try shows the same key, so that a call whose answer was lost is not run a second time.
+            // Every attempt sends the same key, so that a call whose answer was lost does not run a second time.
             idempotencyKey: `${runId}-${number}`,
             body: `${work.name} ${runId}-${number}`,
             timeoutMilliseconds: settings.boundMilliseconds,
@@ -247,14 +249,14 @@
     return isRefusal(result) ? "refused" : "broken";
 }
 
-/** Returns how long to wait before the next try, or undefined when there should be none. */
+/** Returns the delay before the next attempt in milliseconds, or undefined when there should be none. */
 function getRetryDelay(arrival: Arrival, result: AttemptResult): number | undefined {
     if (result.isComplete) {
         return undefined;
     }
     if (result.status === 0) {
-        // Only what cannot take effect twice is sent again when nobody knows what became of it: a chat completion
-        // before its first token, or a call under its idempotency key.
+        // The outcome is unknown, so only requests that cannot take effect twice are retried: a chat completion before
+        // its first token, or a service call with its idempotency key.
         return result.firstTokenAt === undefined ? 0 : undefined;
     }
     const isRetryable = result.outcome === "not-run" || arrival.work.kind === "service";
--- a/src/load/loadCommand.ts
+++ b/src/load/loadCommand.ts
@@ -17,23 +17,23 @@
 const maxRate = 100_000;
 const maxSeed = 2_147_483_647;
 
-/** How the program is called. */
+/** The usage text of the program. */
 export const usage = [
     "Usage: rattanlock-load --address IP:PORT [--address IP:PORT ...] --profile FILE [--rate N] [--seconds N] [--seed N]",
     "                       [--json FILE] [--html FILE]",
     "       rattanlock-load compare A.json B.json",
 ].join("\n");
 
-/** What the program does outside itself. */
+/** The side effects of the program, replaceable in tests. */
 export interface LoadCommandOptions {
     readonly run: (options: LoadRunOptions) => Promise<LoadResult>;
     readonly print: (line: string) => void;
 }
 
 /**
- * Does what the command line asks for.
- * @param args - The arguments.
- * @param options - How to run and where to print.
+ * Runs the command that the arguments specify.
+ * @param args - The command-line arguments.
+ * @param options - The functions that run the load and print text.
  */
 export async function runLoadCommand(
     args: readonly string[],
@@ -48,7 +48,7 @@
     }
     const { json, html, run } = command.value;
     const outputs = [json, html].filter(file => file !== undefined);
-    // A file that cannot be written is reported now rather than after a long run whose result would be lost.
+    // Reports a file that cannot be written before the run; after a long run, its result would be lost.
     for (const file of outputs) {
         const writable = checkWritable(file);
         if (writable.isErr()) {
@@ -80,14 +80,14 @@
         );
         if (invalidAddress !== undefined) {
             return invalidInput(
-                `--address ${invalidAddress} is no address.`,
-                "Write an IP number and a port, such as 10.0.1.1:8080.",
+                `--address ${invalidAddress} is not a valid address.`,
+                "Write an IP address and a port, such as 10.0.1.1:8080.",
             );
         }
         if (addresses.length === 0 || file === undefined) {
             return invalidInput(
                 "--address or --profile is missing.",
-                "Give at least one entry's address, and a load profile.",
+                "Specify the address of at least one entry and a load profile.",
             );
         }
         return readText(file)
@@ -173,19 +173,19 @@
 function readText(file: string): Result<string, Failure> {
     const read = Result.fromThrowable(
         () => readFileSync(file, "utf8"),
-        error => createInputFailure(`${file} cannot be read: ${getMessage(error)}.`, "Give a file that exists."),
+        error => createInputFailure(`${file} cannot be read: ${getMessage(error)}.`, "Specify an existing file."),
     );
     return read();
 }
 
-/** Opens a file for appending, which leaves an earlier result in it as it is until there is a new one. */
+/** Checks that a file can be written. Opens it for appending, so that an earlier result stays until there is a new one. */
 function checkWritable(file: string): Result<void, Failure> {
     const write = Result.fromThrowable(
         () => writeFileSync(file, "", { flag: "a" }),
         error =>
             createInputFailure(
                 `${file} cannot be written: ${getMessage(error)}.`,
-                "Give a file in a folder that exists.",
+                "Specify a file in an existing folder.",
             ),
     );
     return write();
--- a/src/load/loadResult.ts
+++ b/src/load/loadResult.ts
@@ -1,11 +1,11 @@
 /**
- * The result of a run, as it is written to a JSON file and read back for a comparison.
+ * The result of a run, which is written to a JSON file and read back for comparisons.
  */
 import { err, ok, type Result } from "neverthrow";
 import { z } from "zod";
 import { Failure } from "../common/index.js";
 
-/** Format of the file; a reader refuses others, since figures of unlike meaning cannot be compared. */
+/** Format version of the file. Other versions are rejected, since figures with different meanings cannot be compared. */
 export const loadResultFormat = 1;
 
 const counts = z.record(z.string(), z.number());
@@ -18,7 +18,7 @@
     p95: z.number(),
     p99: z.number(),
     maximum: z.number(),
-    /** Points of the percentile curve: percentile and milliseconds. */
+    /** Points of the percentile curve: percentile and value in milliseconds. */
     curve: z.array(z.tuple([z.number(), z.number()])),
 });
 
@@ -47,7 +47,7 @@
         refusal: distribution,
         late: distribution,
     }),
-    /** By work, how long until a caller had something to use: a streamed answer's first token, or a whole answer. */
+    /** By work, milliseconds to the first usable output: the first token of a streamed answer, or else the whole answer. */
     firstUse: z.record(z.string(), distribution),
     ends: counts,
     outcomes: counts,
@@ -55,20 +55,20 @@
     versions: counts,
     workspaces: counts,
     works: counts,
-    /** By second from the start; arrivals by intended time, the rest by the time at which it ended. */
+    /** Counts by second from the start: arrivals by their intended time, the others by the time at which they ended. */
     timeLine: z.array(second),
 });
 
-/** A histogram's figures, in milliseconds. */
+/** Summary of a histogram, in milliseconds. */
 export type Distribution = Readonly<z.infer<typeof distribution>>;
 
-/** What happened in one second. */
+/** Counts of one second. */
 export type LoadSecond = Readonly<z.infer<typeof second>>;
 
 /** The result of a run. */
 export type LoadResult = Readonly<z.infer<typeof schema>>;
 
-/** Names of the histograms as reports show them. */
+/** Titles of the histograms in reports. */
 export const distributionTitles: Readonly<Record<keyof LoadResult["distributions"], string>> = {
     firstToken: "first token",
     gap: "gap between tokens",
@@ -77,7 +77,7 @@
     late: "sent late",
 };
 
-/** Names of the counts as reports show them. */
+/** Titles of the counts in reports. */
 export const countTitles = {
     ends: "end",
     outcomes: "outcome",
@@ -88,9 +88,9 @@
 } as const satisfies Partial<Record<keyof LoadResult, string>>;
 
 /**
- * Reads the result of a run.
+ * Parses the result of a run.
  * @param content - The text of the file.
- * @param file - The file's name, for messages.
+ * @param file - The name of the file, for error messages.
  */
 export function parseLoadResult(content: string, file: string): Result<LoadResult, Failure> {
     const fail = (message: string): Result<LoadResult, Failure> =>
--- a/src/load/loadRun.ts
+++ b/src/load/loadRun.ts
@@ -11,10 +11,10 @@
 import { LoadRecorder } from "./recorder.js";
 import { createSchedule } from "./schedule.js";
 
-/** What a run is made of. */
+/** Options of a run. */
 export interface LoadRunOptions {
     readonly title: string;
-    /** `HOST:PORT` of some entries; callers learn the others from them. */
+    /** `HOST:PORT` of some entries; the client fetches the other addresses from them. */
     readonly addresses: readonly string[];
     readonly profile: LoadProfile;
     readonly ratePerSecond: number;
@@ -23,8 +23,8 @@
 }
 
 /**
- * Sends load in an open loop and returns what the callers met.
- * @param options - The run.
+ * Sends load in an open loop and returns the recorded result.
+ * @param options - The options of the run.
  */
 export async function runLoad(options: LoadRunOptions): Promise<LoadResult> {
     const { profile, ratePerSecond, seconds, seed, title } = options;
@@ -32,9 +32,9 @@
     const resolver = new AddressResolver(options.addresses);
     const client = new LoadClient({
         transport: {
-            chat: ask => caller.chat(ask),
-            callService: ask => caller.callService(ask),
-            resume: (entry, key, broken) => caller.resume(entry, key, broken),
+            chat: chatRequest => caller.chat(chatRequest),
+            callService: serviceRequest => caller.callService(serviceRequest),
+            resume: (entry, key, partial) => caller.resume(entry, key, partial),
             getAddress: () => resolver.getAddress(),
         },
         clock: systemClock,
--- a/src/load/profile.ts
+++ b/src/load/profile.ts
@@ -1,5 +1,5 @@
 /**
- * Load profiles: which work arrives, from which workspaces and in which shares.
+ * Load profiles: the kinds of work that arrive, their workspaces and their shares.
  */
 import { err, ok, type Result } from "neverthrow";
 import {
@@ -21,23 +21,23 @@
     type ValidationError,
 } from "../settings/index.js";
 
-const loadSection = defineSection("load", "How much load there is and what counts as a good answer.", {
+const loadSection = defineSection("load", "The load, and the criterion for a good answer.", {
     rate: decimal({
-        description: "Requests that arrive per second on average; `--rate` goes before it.",
+        description: "Average number of requests that arrive per second; `--rate` overrides it.",
         example: "20",
         defaultText: "10",
         min: 0.01,
         max: 100_000,
     }),
     seconds: decimal({
-        description: "How long requests arrive; `--seconds` goes before it.",
+        description: "Duration in seconds over which requests arrive; `--seconds` overrides it.",
         example: "60",
         defaultText: "30",
         min: 0.1,
         max: 86_400,
     }),
     seed: integer({
-        description: "Seed of the arrivals and the mix; `--seed` goes before it.",
+        description: "Seed of the arrivals and the mix; `--seed` overrides it.",
         example: "7",
         defaultText: "1",
         min: 0,
@@ -45,14 +45,14 @@
     }),
     first_token_ms: integer({
         description:
-            "An answer is good when its first token, or else the whole of it, comes this soon after its intended arrival.",
+            "Maximum time from the intended arrival to the first token, or to the whole answer if not streamed, of a good answer.",
         example: "900",
         defaultText: "900",
         min: 1,
         max: 600_000,
     }),
     bound_ms: integer({
-        description: "How long a caller waits for one try.",
+        description: "Timeout of one attempt.",
         example: "30000",
         defaultText: "30000",
         min: 1,
@@ -60,7 +60,7 @@
     }),
     tries: integer({
         description:
-            "How often a caller sends a request at most, when it is told to come back or its connection fails.",
+            "Maximum number of attempts per request, when it is refused with a retry delay or its connection fails.",
         example: "3",
         defaultText: "3",
         min: 1,
@@ -77,47 +77,47 @@
         description: "A chat completion, a chat completion of a session, or a call to a plain service.",
         example: "chat",
     }),
-    workspace: name({ description: "The workspace that asks.", example: "makati-commissary" }),
+    workspace: name({ description: "The workspace that sends the requests.", example: "makati-commissary" }),
     share: decimal({
-        description: "Part of all requests, relative to the other sections.",
+        description: "Share of all requests, relative to the other sections.",
         example: "3",
         defaultText: "1",
         min: 0,
         max: 1_000_000,
     }),
-    model: text({ description: "The model to ask for.", example: "auto", defaultText: "auto" }),
+    model: text({ description: "The requested model.", example: "auto", defaultText: "auto" }),
     application: optional(name({ description: "The application within the workspace.", example: "declarations" })),
     request_class: optional(name({ description: "The class of the requests.", example: "wear-tag" })),
     streamed: toggle({ description: "Whether answers are streamed.", example: "true", defaultText: "true" }),
     prompt_characters: integer({
-        description: "Length of the history that stands before each question.",
+        description: "Length in characters of the history that precedes each question.",
         example: "12000",
         defaultText: "200",
         min: 0,
         max: 1_000_000,
     }),
     histories: integer({
-        description: "How many different histories there are; requests over one history share a prompt prefix.",
+        description: "Number of different histories; requests with the same history share a prompt prefix.",
         example: "20",
         defaultText: "20",
         min: 1,
         max: 1_000_000,
     }),
     maximum_tokens: optional(integer({
-        description: "Most tokens of an answer.",
+        description: "Maximum number of tokens of an answer.",
         example: "256",
         min: 1,
         max: 1_000_000,
     })),
     open_sessions: integer({
-        description: "How many sessions of a conversation are open at a time.",
+        description: "Number of sessions of a conversation that are open at the same time.",
         example: "8",
         defaultText: "8",
         min: 1,
         max: 100_000,
     }),
     turns: integer({
-        description: "Questions in a session before a new one takes its place.",
+        description: "Number of questions in a session before a new session replaces it.",
         example: "4",
         defaultText: "4",
         min: 1,
@@ -127,17 +127,17 @@
     path: text({ description: "The path of the service's calls.", example: "/print", defaultText: "/" }),
 };
 
-const workspaceSection = defineNamedSection("workspace", "A workspace that asks.", workspaceKeys);
+const workspaceSection = defineNamedSection("workspace", "A workspace that sends requests.", workspaceKeys);
 const workSection = defineNamedSection("work", "One kind of work.", workKeys);
 
-/** What a load profile may hold. */
+/** Schema of load profiles. */
 export const profileSchema: SettingSchema = {
     title: "Load profile",
     description: "Read by `rattanlock-load --profile FILE`.",
     sections: [loadSection, workspaceSection, workSection],
 };
 
-/** How much load there is and what counts as a good answer. */
+/** The load, and the criterion for a good answer. */
 export type LoadSettings = SettingValues<typeof loadSection.keys>;
 
 /** One kind of work. */
@@ -154,9 +154,9 @@
 }
 
 /**
- * Reads a load profile and reports every mistake in it.
+ * Parses a load profile and reports every validation error in it.
  * @param content - The text of the file.
- * @param file - The file's name, for messages.
+ * @param file - The name of the file, for error messages.
  */
 export function parseLoadProfile(content: string, file: string): Result<LoadProfile, readonly ValidationError[]> {
     return checkSettings(content, file, profileSchema).andThen(document => {
--- a/src/load/prompt.ts
+++ b/src/load/prompt.ts
@@ -1,10 +1,10 @@
 /**
- * Texts of questions. Questions over one history begin alike, so that they can share a cached prompt prefix.
+ * Prompt texts. Prompts with the same history start with the same text, so that they can share a cached prompt prefix.
  */
 import type { Arrival } from "./schedule.js";
 
 /**
- * Returns the text of a request's question.
+ * Returns the prompt of a request.
  * @param arrival - The request.
  */
 export function createPrompt(arrival: Arrival): string {
--- a/src/load/recorder.ts
+++ b/src/load/recorder.ts
@@ -1,5 +1,5 @@
 /**
- * Sums up the records of a run in histograms and counts.
+ * Aggregates the records of a run into histograms and counts.
  */
 import { build, type Histogram } from "hdr-histogram-js";
 import type { LoadRecord } from "./loadClient.js";
@@ -8,21 +8,24 @@
 const microsecondsPerMillisecond = 1000;
 const millisecondsPerSecond = 1000;
 const significantDigits = 3;
-/** Percentiles of the curve, closer to each other towards the slowest. */
+/** Percentiles of the curve, denser towards the slowest requests. */
 const curvePercentiles: readonly number[] = [0, 10, 25, 50, 75, 90, 95, 97.5, 99, 99.5, 99.9, 99.99, 100];
 
-/** What a run was. */
+/** Parameters of a run, as shown in its result. */
 export interface RunDescription {
     readonly title: string;
     readonly startedAt: Date;
     readonly ratePerSecond: number;
     readonly seconds: number;
     readonly seed: number;
-    /** An answer is good when its first token, or else the whole of it, comes this soon after its intended arrival. */
+    /**
+     * An answer is good when its first token arrives within this time after the intended arrival. Without streaming,
+     * the whole answer counts.
+     */
     readonly goodFirstTokenMilliseconds: number;
 }
 
-/** Takes the records of a run. */
+/** Aggregates the records of a run. */
 export class LoadRecorder {
     readonly #description: RunDescription;
     readonly #firstToken = createHistogram();
@@ -47,8 +50,8 @@
     }
 
     /**
-     * Takes a record.
-     * @param record - What became of a request.
+     * Adds a record.
+     * @param record - The result of a request.
      */
     add(record: LoadRecord): void {
         const { arrival } = record;
@@ -144,7 +147,7 @@
     }
 }
 
-/** Returns how long until the caller had something to use. */
+/** Returns the milliseconds until the caller received usable output. */
 function getTimeToFirstUse({ firstTokenMilliseconds, milliseconds }: LoadRecord): number {
     return firstTokenMilliseconds ?? milliseconds;
 }
--- a/src/load/reportPage.ts
+++ b/src/load/reportPage.ts
@@ -1,12 +1,12 @@
 /**
- * The report of a run as one HTML page that needs nothing else: no scripts, no styles or images from elsewhere.
+ * The report of a run as one self-contained HTML page: no scripts, and no styles or images from other hosts.
  */
 import { drawLinePlot, escapeText, type PlotSeries } from "./linePlot.js";
 import { countTitles, type Distribution, distributionTitles, type LoadResult, type LoadSecond } from "./loadResult.js";
 
-/** Labels of the percentile curve's axis; it is stretched towards 100 so that the slowest requests can be seen. */
+/** Labels of the percentile axis, which is stretched towards 100 so that the slowest requests are visible. */
 const percentileTicks: readonly number[] = [0, 50, 90, 99, 99.9];
-/** Where 100 % stands on the stretched axis, which has no end. */
+/** Percentile at whose position 100 % is drawn; on the logarithmic axis, 100 % itself would lie at infinity. */
 const maxPercentile = 99.99;
 const plottedDistributions = ["firstToken", "answer", "refusal", "gap", "late"] as const;
 const secondTitles: Readonly<Record<keyof LoadSecond, string>> = {
@@ -34,8 +34,8 @@
 `;
 
 /**
- * Creates the page.
- * @param result - The run.
+ * Creates the HTML page.
+ * @param result - The result of the run.
  */
 export function createReportPage(result: LoadResult): string {
     const title = escapeText(result.title);
@@ -47,7 +47,7 @@
         `<p>${escapeText(describeRun(result))}</p>`,
         "<h2>Times in milliseconds</h2>",
         createTimeTable(result),
-        "<h2>Time until something can be used, by work</h2>",
+        "<h2>Time to first usable output, by work</h2>",
         createDistributionTable(Object.entries(result.firstUse)),
         drawPercentiles(result),
         drawTimeLine(result),
@@ -59,13 +59,13 @@
 }
 
 /**
- * Says in two sentences what a run was and what it gave.
- * @param result - The run.
+ * Describes a run and its goodput in two sentences.
+ * @param result - The result of the run.
  */
 export function describeRun(result: LoadResult): string {
     const { requests, tries, ratePerSecond, seconds, seed, startedAt, goodPerSecond } = result;
-    return `${requests} requests in ${tries} tries, ${ratePerSecond} a second for ${seconds} s, seed ${seed}, from `
-        + `${startedAt}. Goodput: ${goodPerSecond.toFixed(2)} answers a second.`;
+    return `${requests} requests in ${tries} attempts, ${ratePerSecond} per second for ${seconds} s, seed ${seed}, from `
+        + `${startedAt}. Goodput: ${goodPerSecond.toFixed(2)} answers per second.`;
 }
 
 function createTimeTable({ distributions }: LoadResult): string {
--- a/src/load/resultText.ts
+++ b/src/load/resultText.ts
@@ -5,8 +5,8 @@
 import { describeRun } from "./reportPage.js";
 
 /**
- * Writes a result as lines of text.
- * @param result - The run.
+ * Formats a result as lines of text.
+ * @param result - The result of the run.
  */
 export function formatResult(result: LoadResult): string {
     const lines = [describeRun(result)];
--- a/src/load/schedule.ts
+++ b/src/load/schedule.ts
@@ -1,26 +1,26 @@
 /**
- * The schedule of a run: which request arrives when, fixed before the first one is sent.
+ * The schedule of a run: all requests with their arrival times, fixed before the first one is sent.
  */
 import { RandomSource } from "../common/index.js";
 import { createArrivalTimes } from "./arrivals.js";
 import type { LoadWork } from "./profile.js";
 
-/** A request that is to arrive. */
+/** A scheduled request. */
 export interface Arrival {
     /** Milliseconds from the start of the run. */
     readonly at: number;
     readonly work: LoadWork;
-    /** Distinguishes the run's requests, and makes idempotency keys and sessions repeatable. */
+    /** Number of the request within the run. Distinguishes requests, and keeps prompts and idempotency keys reproducible. */
     readonly number: number;
-    /** Number of the history that the question is about. */
+    /** Number of the history that precedes the question. */
     readonly history: number;
-    /** The session, when the work is a conversation. */
+    /** The session, if the work is a conversation. */
     readonly session: string | undefined;
-    /** Place of the question within its session, from 0. */
+    /** Index of the question within its session, from 0. */
     readonly turn: number;
 }
 
-/** What a schedule is drawn from. */
+/** Options of a schedule. */
 export interface ScheduleOptions {
     readonly works: readonly LoadWork[];
     readonly ratePerSecond: number;
@@ -29,14 +29,14 @@
 }
 
 /**
- * Draws a schedule; the same options give the same one.
- * @param options - The mix, the rate, the time and the seed.
+ * Draws a schedule. Equal options give equal schedules.
+ * @param options - The mix, the rate, the duration and the seed.
  */
 export function createSchedule({ works, ratePerSecond, seconds, seed }: ScheduleOptions): readonly Arrival[] {
     const random = new RandomSource(seed);
     const sessionPools = new Map<LoadWork, SessionPool>();
     const arrivals: Arrival[] = [];
-    // All times are drawn first, so that a change of the mix leaves them as they are and two runs can be compared.
+    // All times are drawn before the work, so that a change of the mix does not change them and runs stay comparable.
     for (const [number, at] of createArrivalTimes({ ratePerSecond, seconds, random }).entries()) {
         const work = drawWork(works, random);
         const history = random.nextInteger(work.histories);
@@ -51,7 +51,7 @@
     return arrivals;
 }
 
-/** Holds the open sessions of one work. */
+/** Holds the open sessions of one kind of work. */
 class SessionPool {
     readonly #work: LoadWork;
     readonly #seed: number;
--- a/src/scenario/createCall.ts
+++ b/src/scenario/createCall.ts
@@ -1,5 +1,5 @@
 /**
- * The HTTP call of a `send` step.
+ * Creation of the HTTP call for a `send` step.
  */
 import type { Call } from "../testbench/index.js";
 import type { ScenarioSite } from "./scenarioSite.js";
@@ -7,10 +7,10 @@
 const defaultTimeoutMilliseconds = 30_000;
 
 /**
- * Makes the call of a `send` step. The name of the request goes along as its identifier, which stand-ins take as it is.
- * @param name - Name of the request.
- * @param site - The site that it goes to.
- * @param options - Options of the step.
+ * Creates the call of a `send` step. The name of the request is sent as its identifier, which stand-ins use unchanged.
+ * @param name - The name of the request.
+ * @param site - The site that receives it.
+ * @param options - The options of the step.
  */
 export function createCall(name: string, site: ScenarioSite, options: ReadonlyMap<string, string>): Call {
     const common = {
--- a/src/scenario/entrySite.ts
+++ b/src/scenario/entrySite.ts
@@ -1,12 +1,13 @@
 /**
- * A site with entries, as a scenario drives it. The site needs links; the caller reaches each entry through one too.
+ * A site with entries that a scenario controls. Its processes communicate over proxied links, so that faults can be
+ * injected; the caller reaches each entry over such a link too.
  */
 import type { Change } from "../configuration/index.js";
 import { callJson, getApiKey, type PlatformService, type RunningProcess, setFaults, Site } from "../testbench/index.js";
 import type { ProcessGroup, SiteDescription } from "../testbench/index.js";
 import { callerName, type ScenarioSite, type VmListState } from "./scenarioSite.js";
 
-/** Stands for every entry at the beginning of a link. */
+/** Matches every entry as the source of a link. */
 const everyEntry = "*";
 const callerLastByte = 190;
 const platformServices: readonly string[] = [
@@ -17,10 +18,10 @@
     "proxy",
 ] satisfies PlatformService[];
 
-/** Drives a running site. */
+/** Controls a running site with entries. */
 export class EntrySite implements ScenarioSite {
     readonly #site: Site;
-    /** Where the caller reaches each entry. */
+    /** Address of the caller's route to each entry. */
     readonly #routeAddresses: ReadonlyMap<string, string>;
 
     private constructor(site: Site, routes: ReadonlyMap<string, string>) {
@@ -29,9 +30,9 @@
     }
 
     /**
-     * Starts a site with links.
-     * @param group - Takes the processes.
-     * @param description - The site.
+     * Starts a site with proxied links.
+     * @param group - The group that the processes are added to.
+     * @param description - The description of the site.
      */
     static async start(group: ProcessGroup, description: SiteDescription): Promise<EntrySite> {
         const site = await Site.start(group, { ...description, hasProxiedLinks: true });
@@ -48,7 +49,7 @@
         return new EntrySite(site, routes);
     }
 
-    /** Refuses: the site has started its processes. */
+    /** Rejects, since the site has already started all its processes. */
     start(kind: string, name: string): Promise<void> {
         return Promise.reject(
             new Error(`This site starts its own processes. Leave out "start ${kind} ${name}" or use start NAME.`),
@@ -57,14 +58,14 @@
 
     async restart(name: string): Promise<void> {
         if (!this.getProcess(name).hasExited()) {
-            throw new Error(`${name} still runs. Stop or kill it first.`);
+            throw new Error(`${name} is still running. Stop or kill it first.`);
         }
         await this.#site.startEntry(name);
     }
 
     getProcess(name: string): RunningProcess {
         if (platformServices.includes(name)) {
-            throw new Error(`${name} can't be stopped here. Use outage, fault or cut *>${name}.`);
+            throw new Error(`${name} cannot be stopped here. Use outage, fault or cut *>${name}.`);
         }
         return this.#isEntry(name) ? this.#site.getEntryOrThrow(name).process : this.#site.getUpstreamOrThrow(name);
     }
--- a/src/scenario/index.ts
+++ b/src/scenario/index.ts
@@ -1,4 +1,4 @@
-/** The scenario language: scripted runs of a site with faults. */
+/** The scenario language, which scripts requests, faults and checks at a site. */
 export * from "./entrySite.js";
 export * from "./readScenario.js";
 export * from "./runScenario.js";
--- a/src/scenario/readScenario.ts
+++ b/src/scenario/readScenario.ts
@@ -1,5 +1,6 @@
 /**
- * Reads scenarios: one step a line, words split at blanks, `key=value` options, comments from `#` on.
+ * Parser of scenarios: one step per line, words separated by white space, `key=value` options, and comments that start
+ * with `#`.
  */
 import { err, ok, type Result } from "neverthrow";
 import { Failure } from "../common/index.js";
@@ -9,10 +10,10 @@
 const optionPattern = /^([A-Za-z][\w.@-]*)=(.*)$/;
 
 /**
- * Reads a scenario and checks the form of every line.
- * @param text - The scenario.
- * @param syntaxes - The verbs and the form of their lines.
- * @returns The steps, or a failure that names the first wrong line.
+ * Parses a scenario and checks the syntax of every line.
+ * @param text - The text of the scenario.
+ * @param syntaxes - The syntax of each verb.
+ * @returns The steps, or a failure that names the first invalid line.
  */
 export function readScenario(
     text: string,
@@ -34,10 +35,10 @@
 }
 
 /**
- * Makes the failure of a step.
+ * Creates the failure of a step.
  * @param step - The step.
- * @param message - What is wrong, as a full sentence.
- * @param remedy - What to write or do instead.
+ * @param message - The error, as a full sentence.
+ * @param remedy - The remedy, as a full sentence.
  */
 export function createStepFailure(step: Step, message: string, remedy: string): Failure {
     return new Failure({
@@ -69,7 +70,7 @@
     const syntax = syntaxes.get(step.verb);
     if (syntax === undefined) {
         const verbs = [...syntaxes.keys()].join(", ");
-        return createStepFailure(step, `There is no verb "${step.verb}".`, `Begin the line with one of ${verbs}.`);
+        return createStepFailure(step, `There is no verb "${step.verb}".`, `Start the line with one of ${verbs}.`);
     }
     const remedy = `Write: ${syntax.usage}`;
     const count = step.words.length;
--- a/src/scenario/reply.ts
+++ b/src/scenario/reply.ts
@@ -1,20 +1,20 @@
 /**
- * A request that a scenario sent, and what came back.
+ * Requests of a scenario and their replies.
  */
 import { createParser } from "eventsource-parser";
 import { type Call, call } from "../testbench/index.js";
 
-/** What a sent request ended with. */
+/** The result of a request. */
 export interface SentReply {
-    /** 0 when the connection failed. */
+    /** HTTP status; 0 when the connection failed. */
     readonly status: number;
     readonly headers: Readonly<Record<string, string | string[] | undefined>>;
     readonly text: string;
-    /** Text of the answer, of whatever shape the body has. */
+    /** Text of the answer, extracted from a stream, a JSON body or plain text. */
     readonly answer: string;
-    /** What the refusal says of whether it ran. */
+    /** The outcome that a refusal reports: whether the request ran. */
     readonly outcome: string | undefined;
-    /** Whether the answer came to its end. */
+    /** Whether the answer was received completely. */
     readonly isComplete: boolean;
 }
 
@@ -27,7 +27,7 @@
     readonly choices: readonly { readonly delta?: { readonly content?: string; }; }[];
 }
 
-/** Sends a request and waits for its end, whatever that is. */
+/** Sends a request and waits for its result. Never throws; a failed connection gives the status 0. */
 export async function sendRequest(options: Call): Promise<SentReply> {
     try {
         const { status, headers, text, isTruncated } = await call({ ...options, allowsPartialBody: true });
--- a/src/scenario/runScenario.ts
+++ b/src/scenario/runScenario.ts
@@ -1,5 +1,5 @@
 /**
- * Runs scenarios against a site.
+ * Execution of scenarios against a site.
  */
 import { err, ok, type Result } from "neverthrow";
 import { Failure } from "../common/index.js";
@@ -10,11 +10,11 @@
 import { verbs } from "./verbs.js";
 
 /**
- * Runs a scenario, step by step.
- * @param text - The scenario.
- * @param site - The site that it drives.
- * @param write - Takes each step's line before it runs.
- * @returns How many steps ran, or the failure of the first step that did not succeed.
+ * Runs the steps of a scenario in order.
+ * @param text - The text of the scenario.
+ * @param site - The site that the scenario controls.
+ * @param write - Called with the line of each step before the step runs.
+ * @returns The number of steps that ran, or the failure of the first step that failed.
  */
 export async function runScenario(
     text: string,
@@ -47,7 +47,7 @@
             return error;
         }
         const message = error instanceof Error ? error.message : String(error);
-        return createStepFailure(step, message, "Correct the step, or the step before that it builds on.");
+        return createStepFailure(step, message, "Correct the step, or the earlier step that it depends on.");
     }
 }
 
--- a/src/scenario/scenarioSite.ts
+++ b/src/scenario/scenarioSite.ts
@@ -1,37 +1,37 @@
 /**
- * The site that a scenario drives: real processes with names and links between them.
+ * The site that a scenario controls: named processes and the links between them.
  */
 import type { Change } from "../configuration/index.js";
 import type { RunningProcess } from "../testbench/index.js";
 
-/** Who sends a scenario's requests, as the name of a link's beginning. */
+/** The sender of a scenario's requests, as the source of a link. */
 export const callerName = "caller";
 
-/** What a VM list can be made to say of a VM. */
+/** A state of a VM in the VM list. */
 export type VmListState = "live" | "leaving" | "gone";
 
-/** What a scenario needs of a site. */
+/** The operations of a site that scenarios use. */
 export interface ScenarioSite {
-    /** Starts a process of a kind under a name. */
+    /** Starts a process of the given kind and name. */
     start(kind: string, name: string, settings: Readonly<Record<string, string>>): Promise<void>;
-    /** Starts a process again that ended; it keeps its name, address and settings. */
+    /** Restarts an exited process with the same name, address and settings. */
     restart(name: string): Promise<void>;
-    /** Returns the process of a name; throws when there is none. */
+    /** Returns the process with the given name. Throws when there is none. */
     getProcess(name: string): RunningProcess;
-    /** Returns where the scenario's requests reach a process, as `HOST:PORT`. */
+    /** Returns the `HOST:PORT` at which the scenario's requests reach a process. */
     getAddress(name: string): string;
-    /** Returns where the test controls of a process listen, as `HOST:PORT`. */
+    /** Returns the `HOST:PORT` of a process's test controls. */
     getControlAddress(name: string): string;
     /** Returns the API key of a workspace. */
     getApiKey(workspace: string): string;
-    /** Returns what a process tells of itself. */
+    /** Returns the status that a process reports. */
     getStatus(name: string): Promise<Readonly<Record<string, unknown>>>;
-    /** Switches faults of the directed link between two processes, or from the caller to one. */
+    /** Sets the faults of the directed link between two processes, or from the caller to a process. */
     setLinkFaults(from: string, to: string, faults: object): Promise<void>;
-    /** Changes what the VM list says of a VM. */
+    /** Sets the state of a VM in the VM list. */
     setVmState(name: string, state: VmListState): Promise<void>;
-    /** Publishes changes of the configuration; returns the offset. */
+    /** Publishes configuration changes and returns the offset of their record. */
     publish(changes: readonly Change[]): Promise<number>;
-    /** Waits until the configuration up to an offset is in force at every running entry. */
+    /** Waits until every running entry has applied the configuration up to the given offset. */
     waitUntilApplied(offset: number): Promise<void>;
 }
--- a/src/scenario/standinSite.ts
+++ b/src/scenario/standinSite.ts
@@ -1,5 +1,5 @@
 /**
- * A site of stand-ins alone. Each process is reached through a route of the fault-injecting proxy.
+ * A site that consists of stand-ins only. The caller reaches each process through a route of the fault-injecting proxy.
  */
 import { type Change, createPublishRecord } from "../configuration/index.js";
 import { AddressBlock, callJson, type ProcessGroup, type RunningProcess, setFaults } from "../testbench/index.js";
@@ -10,11 +10,11 @@
     readonly listen: string;
     readonly settings: Readonly<Record<string, string>>;
     readonly process: RunningProcess;
-    /** Where the caller reaches it. */
+    /** Address of the caller's route to the stand-in. */
     readonly routeAddress: string;
 }
 
-/** Starts stand-ins as a scenario names them. Configuration is published on the stand-in named `log`. */
+/** Starts the stand-ins that a scenario names. Configuration is published to the stand-in named `log`. */
 export class StandinSite implements ScenarioSite {
     readonly #group: ProcessGroup;
     readonly #addresses: AddressBlock;
@@ -22,8 +22,8 @@
     #proxy: RunningProcess | undefined;
 
     /**
-     * @param group - Takes the processes.
-     * @param addresses - Where they listen.
+     * @param group - The group that the processes are added to.
+     * @param addresses - The addresses that the processes listen on.
      */
     constructor(group: ProcessGroup, addresses: AddressBlock) {
         this.#group = group;
@@ -40,7 +40,7 @@
     async restart(name: string): Promise<void> {
         const standin = this.#getStandin(name);
         if (!standin.process.hasExited()) {
-            throw new Error(`${name} still runs. Stop or kill it first.`);
+            throw new Error(`${name} is still running. Stop or kill it first.`);
         }
         const started = await this.#group.startStandin(standin.kind, standin.listen, standin.settings);
         this.#standins.set(name, { ...standin, process: started });
@@ -69,14 +69,14 @@
     async setLinkFaults(from: string, to: string, faults: object): Promise<void> {
         this.#getStandin(to);
         if (from !== callerName) {
-            throw new Error(`Here only the caller has links. Write ${callerName}>${to}.`);
+            throw new Error(`Only the caller has links in this site. Write ${callerName}>${to}.`);
         }
         await setFaults(this.#proxy?.getAddress() ?? "", { route: to, ...faults });
     }
 
-    /** Refuses: stand-ins alone are on no VM list. */
+    /** Rejects, since this site has no VM list. */
     setVmState(name: string): Promise<void> {
-        return Promise.reject(new Error(`${name} is on no VM list here. Use a site with entries.`));
+        return Promise.reject(new Error(`${name} is not on a VM list in this site. Use a site with entries.`));
     }
 
     async publish(changes: readonly Change[]): Promise<number> {
@@ -92,7 +92,7 @@
         return offset;
     }
 
-    /** Returns at once: stand-ins follow no configuration. */
+    /** Resolves at once, since stand-ins do not apply configuration. */
     async waitUntilApplied(): Promise<void> {}
 
     async #addRoute(name: string, target: string): Promise<string> {
@@ -110,7 +110,7 @@
         const standin = this.#standins.get(name);
         if (standin === undefined) {
             const names = [...this.#standins.keys()].join(", ");
-            throw new Error(`There is no process "${name}"; started are: ${names}.`);
+            throw new Error(`There is no process "${name}"; started processes: ${names}.`);
         }
         return standin;
     }
--- a/src/scenario/step.ts
+++ b/src/scenario/step.ts
@@ -1,27 +1,27 @@
 /**
- * One step of a scenario.
+ * Steps of a scenario and their syntax.
  */
 
-/** A line of a scenario, split up. */
+/** A parsed line of a scenario. */
 export interface Step {
-    /** Number of the line, from 1. */
+    /** Line number, from 1. */
     readonly line: number;
     /** The line as written. */
     readonly text: string;
     readonly verb: string;
-    /** Words after the verb that are no `key=value`. */
+    /** Words after the verb that are not `key=value` options. */
     readonly words: readonly string[];
     readonly options: ReadonlyMap<string, string>;
 }
 
-/** What a line of a verb looks like. */
+/** Syntax of the lines with a certain verb. */
 export interface StepSyntax {
-    /** The line with its parts in capitals, as an error shows it. */
+    /** The line with placeholders in capitals, as shown in error messages. */
     readonly usage: string;
     readonly minWords: number;
     readonly maxWords: number;
-    /** Keys that may be given; `any` leaves them to the step. */
+    /** Allowed option keys; with `any`, the step itself checks the keys. */
     readonly options: readonly string[] | "any";
-    /** Keys that must be given. */
+    /** Required option keys. */
     readonly required?: readonly string[];
 }
--- a/src/scenario/subjectSteps.ts
+++ b/src/scenario/subjectSteps.ts
@@ -10,15 +10,15 @@
 const withinKey = "within";
 const defaultTimeoutMilliseconds = 20_000;
 
-/** Looks once and throws when an option does not hold. */
+/** Checks a subject once and throws when an option does not match. */
 export async function checkSubject(state: ScenarioState, step: Step): Promise<void> {
     const mismatch = await getSubject(step)(state, step.words[1] ?? "", step.options);
     if (mismatch !== undefined) {
-        throw createStepFailure(step, mismatch, "Look at the processes' events, or wait with wait-until first.");
+        throw createStepFailure(step, mismatch, "Check the events of the processes, or wait with wait-until first.");
     }
 }
 
-/** Looks again and again until all options hold, and throws when the bound is over. */
+/** Polls a subject until all options match, and throws when the timeout expires. */
 export async function waitForSubject(state: ScenarioState, step: Step): Promise<void> {
     const subject = getSubject(step);
     const options = new Map(step.options);
@@ -33,8 +33,8 @@
         await waitUntil(check, { description: step.text, timeoutMilliseconds });
     }
     catch {
-        const remedy = "Look at the processes' events, or allow more with within=MILLISECONDS.";
-        throw createStepFailure(step, `${timeoutMilliseconds} ms were over. ${mismatch ?? ""}`, remedy);
+        const remedy = "Check the events of the processes, or extend the timeout with within=MILLISECONDS.";
+        throw createStepFailure(step, `The timeout of ${timeoutMilliseconds} ms expired. ${mismatch ?? ""}`, remedy);
     }
 }
 
@@ -42,7 +42,7 @@
     const subject = subjects.get(step.words[0]);
     if (subject === undefined) {
         const names = [...subjects.keys()].join(", ");
-        throw createStepFailure(step, `There is no subject "${step.words[0]}".`, `Take one of ${names}.`);
+        throw createStepFailure(step, `There is no subject "${step.words[0]}".`, `Use one of ${names}.`);
     }
     return subject;
 }
--- a/src/scenario/subjects.ts
+++ b/src/scenario/subjects.ts
@@ -1,22 +1,22 @@
 /**
- * What `expect` and `wait-until` look at: replies, journals, events, exits and the status of processes.
+ * The subjects that `expect` and `wait-until` check: replies, journals, events, exits and the status of processes.
  */
 import { getAnswerQuality } from "../standins/index.js";
 import { getJournal } from "../testbench/index.js";
 import type { SentReply } from "./reply.js";
 import type { ScenarioState } from "./scenarioState.js";
 
-/** Looks at something; returns what is wrong, or undefined when all options hold. */
+/** Checks a subject. Returns the mismatch, or undefined when all options match. */
 export type Subject = (
     state: ScenarioState,
     name: string,
     options: ReadonlyMap<string, string>,
 ) => Promise<string | undefined>;
 
-/** Keys that a subject reads as numbers of matching notes. */
+/** Option keys that specify the number of matching records. */
 const countKeys: readonly string[] = ["count", "at-least", "at-most"];
 
-/** The subjects by name. */
+/** All subjects by name. */
 export const subjects: ReadonlyMap<string, Subject> = new Map<string, Subject>([
     ["reply", checkReply],
     ["journal", checkJournal],
@@ -59,7 +59,7 @@
     };
 }
 
-/** Reads what a model's answer says of itself; undefined when it is no such answer. */
+/** Parses the request and version that the answer of a stand-in engine names; undefined for other answers. */
 function readAnswerHead(answer: string): { readonly request: string; readonly version: string; } | undefined {
     const match = /^answer (\S+) by (\S+):/.exec(answer);
     return match ? { request: match[1], version: match[2] } : undefined;
@@ -70,11 +70,11 @@
     name: string,
     options: ReadonlyMap<string, string>,
 ): Promise<string | undefined> {
-    const notes: Readonly<Record<string, unknown>>[] = [];
-    for (const member of name.split(",")) {
-        notes.push(...await getJournal<Readonly<Record<string, unknown>>>(state.site.getControlAddress(member)));
+    const records: Readonly<Record<string, unknown>>[] = [];
+    for (const processName of name.split(",")) {
+        records.push(...await getJournal<Readonly<Record<string, unknown>>>(state.site.getControlAddress(processName)));
     }
-    return checkCount(notes, options);
+    return checkCount(records, options);
 }
 
 async function checkEvent(
@@ -90,13 +90,13 @@
     name: string,
     options: ReadonlyMap<string, string>,
 ): Promise<string | undefined> {
-    const exitedProcess = state.site.getProcess(name);
-    if (!exitedProcess.hasExited()) {
-        return `${name} still runs.`;
+    const targetProcess = state.site.getProcess(name);
+    if (!targetProcess.hasExited()) {
+        return `${name} is still running.`;
     }
-    const code = String(exitedProcess.getExitCode() ?? "signal");
+    const code = String(targetProcess.getExitCode() ?? "signal");
     const expected = options.get("code") ?? code;
-    return code === expected ? undefined : `${name} ended with ${code}, not ${expected}.`;
+    return code === expected ? undefined : `${name} exited with ${code}, not ${expected}.`;
 }
 
 async function checkStatus(
@@ -128,13 +128,13 @@
     return undefined;
 }
 
-/** Counts the notes whose fields match; without a count there has to be one at least. */
+/** Checks the number of records whose fields match. Without a count option, at least one must match. */
 function checkCount(
-    notes: readonly Readonly<Record<string, unknown>>[],
+    records: readonly Readonly<Record<string, unknown>>[],
     options: ReadonlyMap<string, string>,
 ): string | undefined {
     const criteria = [...options].filter(([key]) => !countKeys.includes(key));
-    const matching = notes.filter(note => criteria.every(([key, value]) => String(note[key]) === value));
+    const matching = records.filter(record => criteria.every(([key, value]) => String(record[key]) === value));
     const { length: count } = matching;
     const exact = options.get("count");
     const min = Number(exact ?? options.get("at-least") ?? (options.has("at-most") ? 0 : 1));
@@ -142,5 +142,5 @@
     if (count >= min && count <= max) {
         return undefined;
     }
-    return `${count} of ${notes.length} notes match, not ${exact ?? `${min} to ${max}`}.`;
+    return `${count} of ${records.length} records match, not ${exact ?? `${min} to ${max}`}.`;
 }
--- a/src/scenario/verbs.ts
+++ b/src/scenario/verbs.ts
@@ -10,7 +10,7 @@
 import type { Step, StepSyntax } from "./step.js";
 import { checkSubject, waitForSubject } from "./subjectSteps.js";
 
-/** A verb: the form of its line, and what it does. Throws when it fails. */
+/** A verb: the syntax of its lines and its action, which throws when the step fails. */
 export interface Verb extends StepSyntax {
     readonly run: (state: ScenarioState, step: Step) => Promise<void>;
 }
@@ -36,7 +36,7 @@
 export const verbs: ReadonlyMap<string, Verb> = new Map<string, Verb>([
     ["set", { usage: "set NAME VALUE", minWords: 2, maxWords: 2, options: [], run: setVariable }],
     ["start", {
-        usage: "start KIND NAME [KEY=VALUE ...], or start NAME for one that ended",
+        usage: "start KIND NAME [KEY=VALUE ...], or start NAME to restart an exited process",
         minWords: 1,
         maxWords: 2,
         options: "any",
@@ -44,7 +44,7 @@
     }],
     ["send", {
         usage: "send NAME to=PROCESS model=VERSION [content= tokens= stream=yes class= workspace= session=], "
-            + "or send NAME to=PROCESS path=/PATH [method= body= key= workspace=]; within=MILLISECONDS bounds it",
+            + "or send NAME to=PROCESS path=/PATH [method= body= key= workspace=]; within=MILLISECONDS sets the timeout",
         minWords: 1,
         maxWords: 1,
         options: sendOptions,
@@ -66,7 +66,8 @@
         run: waitForSubject,
     }],
     ["cut", {
-        usage: "cut FROM>TO, or cut NAME for the link from the caller; after=BYTES breaks each answer there instead",
+        usage:
+            "cut FROM>TO, or cut NAME for the link from the caller; after=BYTES cuts each answer after that many bytes instead",
         minWords: 1,
         maxWords: 1,
         options: ["after"],
@@ -86,7 +87,7 @@
     ["stop", createProcessVerb("stop", (state, name) => state.site.getProcess(name).signal("SIGTERM"))],
     ["outage", createProcessVerb("outage", (state, name) => setOutage(state, name, "answer"))],
     ["restore", {
-        usage: "restore NAME to end an outage, or restore FROM>TO to mend a link",
+        usage: "restore NAME to end an outage, or restore FROM>TO to repair a link",
         minWords: 1,
         maxWords: 1,
         options: [],
@@ -139,7 +140,7 @@
     if (vmListState === undefined) {
         throw createStepFailure(
             step,
-            `"${requested}" is no state of a VM.`,
+            `"${requested}" is not a state of a VM.`,
             `Write one of ${vmListStates.join(", ")}.`,
         );
     }
--- a/src/soak/configurationWatch.ts
+++ b/src/soak/configurationWatch.ts
@@ -1,5 +1,5 @@
 /**
- * Watches that no entry's configuration goes back, over restarts too.
+ * Detects entries whose configuration goes back to an earlier offset, also across restarts.
  */
 import { setTimeout as sleep } from "node:timers/promises";
 import type { EntryStatus, Site } from "../testbench/index.js";
@@ -11,12 +11,12 @@
     readonly offset: number;
 }
 
-/** Polls all entries until it is stopped. */
+/** Polls the configuration offsets of all entries until stopped. */
 export class ConfigurationWatch {
     readonly #site: Site;
     readonly #lastObservations = new Map<string, Observation>();
     readonly #violations: string[] = [];
-    /** What every entry had in force at some time. */
+    /** Maximum offset that all entries are known to have applied. */
     #commonOffset = -1;
     #isStopped = false;
     #loop: Promise<void> = Promise.resolve();
@@ -25,26 +25,28 @@
         this.#site = site;
     }
 
-    /** Begins to watch. */
+    /** Starts polling. */
     start(): void {
         this.#loop = this.#run();
     }
 
-    /** Ends watching. */
+    /** Stops polling. */
     async stop(): Promise<void> {
         this.#isStopped = true;
         await this.#loop;
     }
 
-    /** Returns what went back. */
+    /** Returns descriptions of the regressions found. */
     getViolations(): readonly string[] {
         return this.#violations;
     }
 
     async #run(): Promise<void> {
         while (!this.#isStopped) {
-            const before = this.#commonOffset;
-            const offsets = await Promise.all(this.#site.getEntries().map(entry => this.#check(entry.name, before)));
+            const previousCommonOffset = this.#commonOffset;
+            const offsets = await Promise.all(
+                this.#site.getEntries().map(entry => this.#check(entry.name, previousCommonOffset)),
+            );
             if (offsets.every(offset => offset !== undefined)) {
                 this.#commonOffset = Math.max(this.#commonOffset, Math.min(...offsets));
             }
@@ -61,10 +63,12 @@
         const { configurationOffset: offset, ready } = status;
         const last = this.#lastObservations.get(name);
         if (last?.processId === processId && offset < last.offset) {
-            this.#violations.push(`The configuration of ${name} went back from ${last.offset} to ${offset}.`);
+            this.#violations.push(`The configuration offset of ${name} went back from ${last.offset} to ${offset}.`);
         }
         if (ready && offset < commonOffset) {
-            this.#violations.push(`${name} serves by ${offset} although ${commonOffset} was in force everywhere.`);
+            this.#violations.push(
+                `${name} is ready with configuration offset ${offset} although all entries had already applied ${commonOffset}.`,
+            );
         }
         this.#lastObservations.set(name, { processId, offset });
         return ready ? offset : undefined;
--- a/src/soak/faultInjector.ts
+++ b/src/soak/faultInjector.ts
@@ -1,5 +1,5 @@
 /**
- * Lets faults happen to a running site, one after another, and mends each of them.
+ * Injects faults into a running site, one after another, and repairs each of them.
  */
 import { setTimeout as sleep } from "node:timers/promises";
 import { RandomSource } from "../common/index.js";
@@ -11,14 +11,14 @@
 const maxPauseMilliseconds = 1500;
 const pollMilliseconds = 50;
 
-/** A time during which a version was withdrawn in the configuration of every entry, in wall-clock milliseconds. */
+/** A period in which a version was withdrawn in the configuration of every entry, in wall-clock milliseconds. */
 export interface WithdrawalPeriod {
     readonly version: string;
     readonly from: number;
     readonly to: number;
 }
 
-/** Something that the soak did, for the time line. */
+/** An action of the soak, for the time line. */
 export interface SoakEvent {
     readonly time: number;
     readonly text: string;
@@ -26,7 +26,7 @@
 
 type Repair = () => Promise<void>;
 
-/** Injects faults in two lanes: one for processes, one for everything around them, so that two come together. */
+/** Injects faults in two concurrent loops, one for processes and one for their environment, so that faults overlap. */
 export class FaultInjector {
     readonly #site: Site;
     readonly #targets: FaultTargets;
@@ -46,7 +46,7 @@
         };
     }
 
-    /** Begins. */
+    /** Starts injecting faults. */
     start(): void {
         this.#faultLoops = Promise.all([
             this.#runFaultLoop(new RandomSource(this.#seed), drawProcessFault),
@@ -54,18 +54,18 @@
         ]);
     }
 
-    /** Mends what is broken and ends. */
+    /** Repairs the current faults and stops. */
     async stop(): Promise<void> {
         this.#isStopped = true;
         await this.#faultLoops;
     }
 
-    /** Returns what was done. */
+    /** Returns the actions so far. */
     getEvents(): readonly SoakEvent[] {
         return this.#events;
     }
 
-    /** Returns when versions were withdrawn everywhere. */
+    /** Returns the periods in which a version was withdrawn on every entry. */
     getWithdrawals(): readonly WithdrawalPeriod[] {
         return this.#withdrawals;
     }
@@ -80,7 +80,7 @@
             const repair = await this.#apply(fault);
             await this.#wait(fault.durationMilliseconds);
             await repair();
-            this.#addEvent(`${fault.kind} ${fault.target} mended`);
+            this.#addEvent(`${fault.kind} ${fault.target} repaired`);
             await this.#wait(random.nextInteger(maxPauseMilliseconds));
         }
     }
@@ -124,8 +124,8 @@
         }
     }
 
-    async #restartAfter(name: string, end: () => Promise<unknown>): Promise<Repair> {
-        await end();
+    async #restartAfter(name: string, terminate: () => Promise<unknown>): Promise<Repair> {
+        await terminate();
         return async () => {
             await this.#site.startEntry(name);
         };
@@ -134,7 +134,7 @@
     async #stopEntry(name: string): Promise<void> {
         const code = await this.#site.getEntryOrThrow(name).process.stop();
         if (code !== 0) {
-            this.#addEvent(`FAULT ${name} ended with code ${code} after a planned stop`);
+            this.#addEvent(`FAULT ${name} exited with code ${code} after a planned stop`);
         }
     }
 
@@ -154,7 +154,7 @@
         return () => setFaults(this.#site.getPlatformAddress(service), restored);
     }
 
-    /** Two operators publish the same key from the same state; one of them is to be refused, the same everywhere. */
+    /** Two operators publish the same key based on the same offset. Every entry must reject the same one of the two. */
     async #publishConcurrently(): Promise<Repair> {
         this.#raceCount += 1;
         const endOffset = (await this.#site.readStream("config")).length;
@@ -177,12 +177,12 @@
                 this.#withdrawals.push({ version, from, to });
             }
             await waitUntil(async () => await this.#setStatus(version, "serving") !== undefined, {
-                description: `${version} to serve again`,
+                description: `${version} to be set to serving again`,
             });
         };
     }
 
-    /** Returns the offset, or undefined when the log did not say that it took the change. */
+    /** Returns the offset, or undefined when the log did not acknowledge the change. */
     async #setStatus(version: string, value: string): Promise<number | undefined> {
         try {
             return await this.#site.publish([{ section: `version.${version}`, key: "status", value }]);
@@ -192,7 +192,7 @@
         }
     }
 
-    /** Returns when every entry had a change in force, or undefined if some had not in time. */
+    /** Returns the time at which every entry had applied a change, or undefined if the timeout expired first. */
     async #waitUntilApplied(offset: number, timeoutMilliseconds: number): Promise<number | undefined> {
         const deadline = performance.now() + timeoutMilliseconds;
         while (performance.now() < deadline && !this.#isStopped) {
@@ -219,7 +219,7 @@
     }
 }
 
-/** Waits for all of them, whatever becomes of them. */
+/** Waits until all promises have settled. Returns undefined in place of the value of a rejected one. */
 async function allSettledValues<Value>(promises: readonly Promise<Value>[]): Promise<readonly (Value | undefined)[]> {
     const settled = await Promise.allSettled(promises);
     return settled.map(result => result.status === "fulfilled" ? result.value : undefined);
--- a/src/soak/index.ts
+++ b/src/soak/index.ts
@@ -1,2 +1,2 @@
-/** Soaks: seeded faults at a running site, judged at the end. */
+/** Soak tests: seeded faults at a running site, whose invariants are checked at the end. */
 export { runSoak, type SoakOptions, type SoakResult } from "./soak.js";
--- a/src/soak/main.ts
+++ b/src/soak/main.ts
@@ -24,8 +24,8 @@
     }
     const result = await runSoak({ seed, milliseconds: minutes * millisecondsPerMinute, prefix: values.prefix });
     console.log(
-        `Seed ${seed}: ${result.injectedFaults} faults injected, ${result.completeAnswers} of ${result.chats} answers whole, `
-            + `${result.prints} prints, ${result.violations.length} promises broken.`,
+        `Seed ${seed}: ${result.injectedFaults} faults injected, ${result.completeAnswers} of ${result.chats} answers complete, `
+            + `${result.prints} prints, ${result.violations.length} invariants violated.`,
     );
     if (result.violations.length === 0) {
         return 0;
--- a/src/soak/soak.ts
+++ b/src/soak/soak.ts
@@ -1,5 +1,5 @@
 /**
- * A soak: a site under load, faults drawn from a seed, and every promise checked at the end.
+ * A soak test: a site under load with faults drawn from a seed, whose invariants are checked at the end.
  */
 import { setTimeout as sleep } from "node:timers/promises";
 import { RandomSource } from "../common/index.js";
@@ -12,20 +12,20 @@
 
 const stopViolationPrefix = "FAULT ";
 
-/** What a soak is made from. */
+/** Options of a soak. */
 export interface SoakOptions {
     readonly seed: number;
     readonly milliseconds: number;
-    /** First three bytes of a loopback block. */
+    /** First three bytes of the loopback address block that the site uses. */
     readonly prefix: string;
 }
 
-/** What came of a soak. */
+/** The result of a soak. */
 export interface SoakResult {
-    /** What broke a promise; empty when all held. */
+    /** Violated invariants; empty when all held. */
     readonly violations: readonly string[];
     readonly timeLine: readonly string[];
-    /** How many faults were injected. */
+    /** Number of injected faults. */
     readonly injectedFaults: number;
     readonly chats: number;
     readonly completeAnswers: number;
@@ -33,8 +33,9 @@
 }
 
 /**
- * Runs a soak. The seed fixes the faults, their targets, order and length; the processes' own timing stays free.
- * @param options - What to run.
+ * Runs a soak. The seed determines the faults with their targets, order and durations, but not the timing of the
+ * processes.
+ * @param options - The options of the soak.
  */
 export async function runSoak(options: SoakOptions): Promise<SoakResult> {
     const group = new ProcessGroup();
--- a/src/soak/soakChecks.ts
+++ b/src/soak/soakChecks.ts
@@ -1,5 +1,6 @@
 /**
- * Checks every promise after a soak, from the records of callers, upstreams, the log and the entries' status.
+ * Checks of the invariants after a soak, based on the records of callers, upstreams and the log, and on the entries'
+ * status.
  */
 import { setTimeout as sleep } from "node:timers/promises";
 import { type Bill, billsKind } from "../bills/index.js";
@@ -16,13 +17,13 @@
 } from "../testbench/index.js";
 import type { WithdrawalPeriod } from "./faultInjector.js";
 
-/** Bills may take so long to come in after everything was mended. */
+/** Maximum time for bills to reach the log, and for configurations to converge, after all faults were repaired. */
 const checkTimeoutMilliseconds = 20_000;
 const checkIntervalMilliseconds = 200;
-/** What was sent before a withdrawal may reach an engine this much later, through links that were slow or frozen. */
-const inFlightMilliseconds = 4500;
+/** A request that was sent before a withdrawal may reach an engine this much later, over slow or frozen links. */
+const maxInFlightMilliseconds = 4500;
 
-/** What callers and the injector know. */
+/** Records of the callers and the fault injector. */
 export interface SoakRecords {
     readonly chats: readonly TrafficChat[];
     readonly prints: readonly KeyedCall[];
@@ -30,10 +31,10 @@
 }
 
 /**
- * Judges a site whose faults are all mended.
+ * Checks the invariants of a site after all faults were repaired.
  * @param site - The site.
- * @param records - What happened.
- * @returns What breaks a promise.
+ * @param records - The records of the soak.
+ * @returns Descriptions of the violated invariants.
  */
 export async function checkSoak(site: Site, records: SoakRecords): Promise<readonly string[]> {
     const runs = await readEngineRuns(site);
@@ -48,7 +49,10 @@
     ];
 }
 
-/** Bills go to the log in batches and are taken over by keepers, so faults count only once they last. */
+/**
+ * Checks the bills until there are no violations or the timeout expires. Bills reach the log in batches, or later from the
+ * entries that hold their replicas, so only violations that persist count.
+ */
 async function checkBills(site: Site, records: SoakRecords): Promise<readonly string[]> {
     const deadline = performance.now() + checkTimeoutMilliseconds;
     for (;;) {
@@ -76,7 +80,7 @@
     return bills;
 }
 
-/** A session's answers must all be of one version, as the answers themselves say. */
+/** Finds sessions whose answers come from more than one version, according to the text of the answers. */
 function findSessionViolations(chats: readonly TrafficChat[]): readonly string[] {
     const versions = new Map<string, string>();
     const violations: string[] = [];
@@ -89,7 +93,7 @@
         versions.set(session, firstVersion);
         if (firstVersion !== version) {
             violations.push(
-                `The session ${session} went from ${firstVersion} to ${version} in request ${record.requestId}.`,
+                `The session ${session} changed from ${firstVersion} to ${version} in request ${record.requestId}.`,
             );
         }
     }
@@ -100,11 +104,11 @@
     const violations: string[] = [];
     for (const { version, from, to } of periods) {
         for (const run of runs) {
-            if (run.ran === version && run.arrivedAt > from + inFlightMilliseconds && run.arrivedAt < to) {
+            if (run.ran === version && run.arrivedAt > from + maxInFlightMilliseconds && run.arrivedAt < to) {
                 violations.push(
-                    `${version} got the new work ${run.id} ${
+                    `${version} received the new request ${run.id} ${
                         run.arrivedAt - from
-                    } ms after it was withdrawn everywhere.`,
+                    } ms after it was withdrawn on every entry.`,
                 );
             }
         }
@@ -124,7 +128,7 @@
             return [];
         }
         if (performance.now() > deadline) {
-            return [`The entries end with unlike configurations: ${[...configurations].join(" and ")}.`];
+            return [`The entries end with different configurations: ${[...configurations].join(" and ")}.`];
         }
         await sleep(checkIntervalMilliseconds);
     }
--- a/src/soak/soakFault.ts
+++ b/src/soak/soakFault.ts
@@ -3,10 +3,10 @@
  */
 import type { RandomSource } from "../common/index.js";
 
-/** Something that happens to a site for a while. */
+/** A fault of a site with a limited duration. */
 export interface SoakFault {
     readonly kind: FaultKind;
-    /** The process or link that it happens to. */
+    /** The affected process, link or version. */
     readonly target: string;
     readonly durationMilliseconds: number;
 }
@@ -25,16 +25,16 @@
     "withdraw",
 ] as const;
 
-/** Kinds of faults. */
+/** The kind of a fault. */
 export type FaultKind = typeof processKinds[number] | typeof environmentKinds[number];
 
 const minDurationMilliseconds = 300;
 const maxDurationMilliseconds = 3500;
-/** A withdrawal has to come into force before it can be judged. */
+/** Long enough for a withdrawal to be applied on every entry, so that its effect can be checked. */
 const withdrawalMilliseconds = 7000;
 const versions = ["label-large@3", "label-medium@2", "label-small@5"] as const;
 
-/** What faults can happen to. */
+/** Processes that faults can affect. */
 export interface FaultTargets {
     readonly entries: readonly string[];
     readonly upstreams: readonly string[];
@@ -47,13 +47,19 @@
     return { kind, target, durationMilliseconds: drawDuration(random) };
 }
 
-/** Draws a fault of the network or the platform, or something that operators do. */
+/** Draws a fault of the network or the platform, or an action of operators. */
 export function drawEnvironmentFault(random: RandomSource, targets: FaultTargets): SoakFault {
     const kind = pick(random, environmentKinds);
     const durationMilliseconds = kind === "withdraw" ? withdrawalMilliseconds : drawDuration(random);
     const entry = pick(random, targets.entries);
-    const others = [...targets.upstreams, ...targets.entries.filter(name => name !== entry), "log", "log", "rating"];
-    const link = `${entry}>${pick(random, others)}`;
+    const linkTargets = [
+        ...targets.upstreams,
+        ...targets.entries.filter(name => name !== entry),
+        "log",
+        "log",
+        "rating",
+    ];
+    const link = `${entry}>${pick(random, linkTargets)}`;
     const version = pick(random, versions);
     return { kind, target: kind === "withdraw" ? version : link, durationMilliseconds };
 }
--- a/src/soak/timeLine.ts
+++ b/src/soak/timeLine.ts
@@ -1,5 +1,5 @@
 /**
- * The time line of a soak: what was done to the site and what its processes wrote, in order.
+ * The time line of a soak: the actions of the soak and the events of the processes in chronological order.
  */
 import type { EventLine } from "../events/index.js";
 import type { SoakEvent } from "./faultInjector.js";
@@ -7,10 +7,10 @@
 const uuidPattern = /[0-9a-f]{8}-[0-9a-f-]{27}/g;
 
 /**
- * Formats a time line. Of single requests it shows those that a fault names.
- * @param soakEvents - What the soak did.
+ * Formats a time line. Omits the events of requests that no violation names.
+ * @param soakEvents - The actions of the soak.
  * @param events - The events of all processes.
- * @param violations - What broke.
+ * @param violations - Descriptions of the violated invariants.
  */
 export function formatTimeLine(
     soakEvents: readonly SoakEvent[],
--- a/test/load/loadClient.test.ts
+++ b/test/load/loadClient.test.ts
@@ -30,20 +30,20 @@
 }
 
 describe("LoadClient.send", () => {
-    // The site has more work than capacity and says when to come back. A caller who came back at once would add to the
-    // overload; one whose wait were left out of the figures would seem to have had its answer early.
-    it("waits as long as a refusal says and counts the wait", async () => {
+    // An overloaded site refuses a request with Retry-After. A client that retried at once would add to the overload. If
+    // the wait were not counted, the report would show a shorter time to first token than the user experienced.
+    it("waits for the retry delay of a refusal and counts the wait", async () => {
         const requests: number[] = [];
         const { clock, pauses, send } = createClient({
-            chat: async ask => {
+            chat: async request => {
                 requests.push(clock.monotonic());
                 clock.advance(5);
                 if (requests.length === 1) {
                     return createRefusal(2);
                 }
-                ask.onProgress?.(1);
+                request.onProgress?.(1);
                 clock.advance(7);
-                ask.onProgress?.(2);
+                request.onProgress?.(2);
                 return createAnswer();
             },
         });
@@ -71,37 +71,37 @@
         );
     });
 
-    it("gives up after as many tries as it may make", async () => {
+    it("gives up after the maximum number of attempts", async () => {
         const { send } = createClient({ chat: async () => createRefusal(1) }, 2);
         expect(await send(createArrival())).toEqual(expect.subset({ end: "refused", attempts: 2, outcome: "not-run" }));
     });
 
-    it("does not repeat a chat completion of which the site does not say that it was not run", async () => {
+    it("does not retry a chat completion whose refusal does not say that it was not run", async () => {
         const { send } = createClient({ chat: async () => ({ ...createRefusal(1), outcome: "unknown" }) });
         expect(await send(createArrival())).toEqual(expect.subset({ end: "refused", attempts: 1 }));
     });
 
-    // The connection breaks while a label is printed, and nobody knows whether it was. A second try under another key would
-    // print the label twice.
+    // The connection fails while a label is printed, so it is unknown whether the print ran. A second attempt with another
+    // key would print the label twice.
     it("keeps the idempotency key of a call whose answer was lost", async () => {
         const requests: ServiceCallRequest[] = [];
         const { send } = createClient({
-            callService: async ask => {
-                requests.push(ask);
+            callService: async request => {
+                requests.push(request);
                 return createServiceAnswer({ status: requests.length === 1 ? 0 : 200 });
             },
         });
         expect(await send(createArrival({ work: print, number: 9 }))).toEqual(
             expect.subset({ end: "answered", attempts: 2 }),
         );
-        expect(requests.map(ask => ask.idempotencyKey)).toEqual(["run-9", "run-9"]);
+        expect(requests.map(request => request.idempotencyKey)).toEqual(["run-9", "run-9"]);
     });
 
-    it("shows the session token of the answer before", async () => {
+    it("sends the session token of the previous answer", async () => {
         const requests: ChatCompletionRequest[] = [];
         const { send } = createClient({
-            chat: async ask => {
-                requests.push(ask);
+            chat: async request => {
+                requests.push(request);
                 return createAnswer({ sessionToken: `token-${requests.length}` });
             },
         });
@@ -109,27 +109,28 @@
             await send(createArrival({ work: kitchen, session: "s", turn }));
         }
         await send(createArrival({ work: kitchen, session: "other" }));
-        expect(requests.map(ask => [ask.session, ask.sessionToken])).toEqual([
+        expect(requests.map(request => [request.session, request.sessionToken])).toEqual([
             ["run-s", undefined],
             ["run-s", "token-1"],
             ["run-other", undefined],
         ]);
     });
 
-    // The entry that relays an answer stops halfway. A caller that holds a resume token takes the answer up elsewhere.
-    it("takes up an answer that broke off", async () => {
+    // The entry that relays an answer fails halfway. With a resume token the client resumes the answer at another entry;
+    // without resumption the user would see a truncated answer.
+    it("resumes an interrupted answer", async () => {
         const { send } = createClient({
             chat: async () => createAnswer({ isComplete: false, resumeToken: "token" }),
         });
         expect(await send(createArrival())).toEqual(expect.subset({ end: "answered", attempts: 1 }));
     });
 
-    it("calls an answer broken that nobody can complete", async () => {
+    it("reports an answer as broken when it cannot be resumed", async () => {
         const { send } = createClient({ chat: async () => createAnswer({ isComplete: false }) });
         expect(await send(createArrival())).toEqual(expect.subset({ end: "broken", status: 200 }));
     });
 
-    it("counts a request as failed when no entry tells the addresses", async () => {
+    it("counts a request as failed when no entry returns the addresses", async () => {
         const { send } = createClient({ getAddress: () => Promise.reject(new Error("none")) });
         expect(await send(createArrival())).toEqual(expect.subset({ end: "failed", status: 0, attempts: 3 }));
     });
--- a/test/load/loadCommand.test.ts
+++ b/test/load/loadCommand.test.ts
@@ -39,7 +39,7 @@
     return path;
 }
 
-/** Runs the program to its end. */
+/** Runs the program and waits for its exit. */
 function runProgram(args: readonly string[]) {
     return new Promise<{ readonly code: number; readonly errors: string; }>(resolve => {
         execFile(process.execPath, [program, ...args], (error, ...[, errors]) => {
@@ -64,7 +64,7 @@
 describe("runLoadCommand", () => {
     const defaultArgs = ["--address", "127.64.1.1:80", "--profile", profile];
 
-    it("takes rate, time and seed from the profile and lets arguments go before it", async () => {
+    it("takes rate, duration and seed from the profile unless arguments override them", async () => {
         const { runs } = await runCommand([...defaultArgs, "--rate", "7.5", "--address", "127.64.1.2:80"]);
         expect(runs.length).toEqual(1);
         expect(runs[0]).toEqual(expect.subset({
@@ -85,7 +85,8 @@
         expect(lines.join("\n")).toEqual(expect.includes("first token p95, ms"));
     });
 
-    // A run against a site that is down ends in an error. The operator still wants the result of the run before, to compare.
+    // A run against an unreachable site ends with an error. If the result file were truncated before the run, the operator
+    // would lose the earlier result and could not compare with it.
     it("keeps an earlier result when the run fails", async () => {
         const json = write("earlier.json", "earlier");
         const running = runLoadCommand([...defaultArgs, "--json", json], {
@@ -105,18 +106,22 @@
     }
     testInvalidInput("no arguments", [], "--address or --profile is missing.");
     testInvalidInput("an unknown argument", [...defaultArgs, "--speed", "3"], "--speed");
-    testInvalidInput("a wrong address", ["--address", "entry", "--profile", profile], "--address entry is no address.");
+    testInvalidInput(
+        "an invalid address",
+        ["--address", "entry", "--profile", profile],
+        "--address entry is not a valid address.",
+    );
     testInvalidInput("a rate of 0", [...defaultArgs, "--rate", "0"], "Write a number above 0");
-    testInvalidInput("a rate that is no number", [...defaultArgs, "--rate", "many"], "--rate many cannot be used.");
-    testInvalidInput("an empty time", [...defaultArgs, "--seconds", ""], "Write a number above 0");
+    testInvalidInput("a rate that is not a number", [...defaultArgs, "--rate", "many"], "--rate many cannot be used.");
+    testInvalidInput("an empty duration", [...defaultArgs, "--seconds", ""], "Write a number above 0");
     testInvalidInput("a seed with a fraction", [...defaultArgs, "--seed", "1.5"], "Write a whole number");
     testInvalidInput(
-        "a profile that is missing",
+        "a missing profile",
         ["--address", "a:1", "--profile", "none.ini"],
         "none.ini cannot be read",
     );
     testInvalidInput(
-        "a profile with a mistake",
+        "a profile with an unknown key",
         ["--address", "a:1", "--profile", write("wrong.ini", "[load]\nrait = 3\n")],
         "[load] rait: The key is not known here. Did you mean rate?",
     );
@@ -130,13 +135,13 @@
 });
 
 describe("rattanlock-load", () => {
-    it("ends with code 2 and the usage at bad input", async () => {
+    it("exits with code 2 and prints the usage for bad input", async () => {
         const { code, errors } = await runProgram(["--rate", "3"]);
         expect(code).toEqual(2);
         expect(errors).toEqual(expect.includes("Usage: rattanlock-load"));
     });
 
-    it("sends its work through real entries", async () => {
+    it("sends work through running entries", async () => {
         await withProcesses(async group => {
             const site = await Site.start(group, {
                 ...metroManila,
--- a/test/load/openLoop.test.ts
+++ b/test/load/openLoop.test.ts
@@ -17,7 +17,7 @@
         settings: { boundMilliseconds: 1000, tries: 1 },
         runId: "run",
     });
-    // Lets what was sent reach the channel before the time moves on.
+    // Lets pending requests reach the transport before the clock advances.
     const sleep = async (milliseconds: number): Promise<void> => {
         await new Promise(resolve => setImmediate(resolve));
         clock.advance(milliseconds);
@@ -26,16 +26,16 @@
 }
 
 describe("runOpenLoop", () => {
-    // The site stops answering. Callers go on arriving, as real ones do, and each of them waits; a generator that waited
-    // for answers before it sent more would show the operator one slow request and hide all the others.
-    it("sends each request at its time though none before it was answered", async () => {
+    // The site stops answering while requests keep arriving. A generator that waited for each answer before sending the next
+    // request would show the operator one slow request and hide all others (coordinated omission).
+    it("sends each request at its scheduled time although no earlier one was answered", async () => {
         const clock = new ManualClock(500);
         const sentAt: number[] = [];
-        const answers: (() => void)[] = [];
+        const answerCallbacks: (() => void)[] = [];
         const { client, sleep } = createRun(clock, {
             chat: () => {
                 sentAt.push(clock.monotonic());
-                return new Promise<ChatRecord>(resolve => answers.push(() => resolve(createAnswer())));
+                return new Promise<ChatRecord>(resolve => answerCallbacks.push(() => resolve(createAnswer())));
             },
         });
         const latencies: number[] = [];
@@ -53,8 +53,8 @@
         expect(isFinished).toEqual(false);
         clock.advance(3000);
         const end = clock.monotonic();
-        for (const answer of answers) {
-            answer();
+        for (const resolveAnswer of answerCallbacks) {
+            resolveAnswer();
         }
         await running;
         for (const [index, { at }] of schedule.entries()) {
@@ -62,13 +62,13 @@
         }
     });
 
-    // The machine that generates the load is held up for a second, so requests leave late. A caller would have waited that
-    // second too; counted from the moment of sending, the wait would be missing from the percentiles.
+    // The load generator is blocked for a second, so requests are sent late. A real caller would have waited for that second
+    // too; if latency counted from the time of sending, the wait would be missing from the percentiles.
     it("counts from the intended arrival when a request is sent late", async () => {
         const clock = new ManualClock();
         const { client, sleep } = createRun(clock, {
-            chat: async ask => {
-                ask.onProgress?.(1);
+            chat: async request => {
+                request.onProgress?.(1);
                 return createAnswer();
             },
         });
--- a/test/load/profile.test.ts
+++ b/test/load/profile.test.ts
@@ -26,12 +26,12 @@
         expect(profile.works[0]).toEqual(expect.subset({ name: "tag", key: "k", share: 1, streamed: true }));
     });
 
-    it("reads the example", () => {
+    it("reads the example profile", () => {
         const example = readFileSync("examples/load-metro-manila.ini", "utf8");
         expect(parseLoadProfile(example, "example").isOk()).toEqual(true);
     });
 
-    it("reports a workspace that is missing", () => {
+    it("reports a missing workspace", () => {
         expect(getErrors("[work.tag]\nkind = chat\nworkspace = b\n")).toEqual([
             "p.ini:3: [work.tag] workspace: There is no [workspace.b]. Add the section with the workspace's key.",
         ]);
@@ -43,7 +43,7 @@
         ]);
     });
 
-    it("reports that there is no work", () => {
+    it("reports that no work has a share above 0", () => {
         expect(getErrors(`${workspace}[work.tag]\nkind = chat\nworkspace = a\nshare = 0\n`)).toEqual([
             "p.ini:0: No work has a share above 0. Add a [work.NAME] section with kind, workspace and share.",
         ]);
--- a/test/load/report.test.ts
+++ b/test/load/report.test.ts
@@ -54,7 +54,7 @@
     return recorder.getResult();
 }
 
-const mixed = createResult([
+const mixedResult = createResult([
     createRecord(),
     createRecord({ at: 1500, firstTokenMilliseconds: 901, milliseconds: 1000 }),
     createRecord({ end: "refused", status: 429, outcome: "not-run", version: undefined, refusals: [3], attempts: 2 }),
@@ -67,9 +67,9 @@
     }),
 ]);
 
-describe("Recorder.getResult", () => {
+describe("LoadRecorder.getResult", () => {
     it("counts ends, outcomes, statuses, versions and works", () => {
-        expect(mixed).toEqual(expect.subset({
+        expect(mixedResult).toEqual(expect.subset({
             requests: 5,
             tries: 6,
             ends: { answered: 3, failed: 1, refused: 1 },
@@ -81,27 +81,27 @@
         }));
     });
 
-    it("counts as good only answers that began in time", () => {
-        expect(mixed.goodPerSecond).toEqual(1);
+    it("counts only answers that started in time as good", () => {
+        expect(mixedResult.goodPerSecond).toEqual(1);
     });
 
-    it("tells by work how long callers waited for something to use", () => {
-        const { plan: plans, print: prints } = mixed.firstUse;
+    it("reports the time to first usable output by work", () => {
+        const { plan: plans, print: prints } = mixedResult.firstUse;
         expect([plans.count, prints.count]).toEqual([2, 1]);
         expect(Math.abs(plans.p95 - 901) < 0.9).toEqual(true);
         expect(Math.abs(prints.p50 - 400) < 0.4).toEqual(true);
     });
 
-    it("puts arrivals into the second in which they were intended and ends into that in which they came", () => {
-        expect(mixed.timeLine).toEqual([
+    it("assigns arrivals to the second of their intended time and ends to the second in which they occurred", () => {
+        expect(mixedResult.timeLine).toEqual([
             { arrived: 4, good: 2, refused: 1, failed: 1 },
             { arrived: 1, good: 0, refused: 0, failed: 0 },
             { arrived: 0, good: 0, refused: 0, failed: 0 },
         ]);
     });
 
-    it("keeps three digits of each time", () => {
-        const { firstToken, gap, refusal } = mixed.distributions;
+    it("keeps three significant digits of each time", () => {
+        const { firstToken, gap, refusal } = mixedResult.distributions;
         expect(firstToken.count).toEqual(3);
         expect(Math.abs(firstToken.maximum - 901) < 0.9).toEqual(true);
         expect(gap.count).toEqual(9);
@@ -111,8 +111,8 @@
 });
 
 describe("parseLoadResult", () => {
-    it("reads what a run wrote", () => {
-        expect(parseLoadResult(JSON.stringify(mixed), "a.json")._unsafeUnwrap()).toEqual(mixed);
+    it("reads a written result", () => {
+        expect(parseLoadResult(JSON.stringify(mixedResult), "a.json")._unsafeUnwrap()).toEqual(mixedResult);
     });
 
     function testInvalidFile(content: string, message: string): void {
@@ -121,12 +121,12 @@
         });
     }
     testInvalidFile("no JSON", "It is not JSON.");
-    testInvalidFile(JSON.stringify({ ...mixed, format: 2 }), "a.json: format:");
+    testInvalidFile(JSON.stringify({ ...mixedResult, format: 2 }), "a.json: format:");
     testInvalidFile("{}", "Give a file that rattanlock-load wrote with --json.");
 });
 
 describe("createReportPage", () => {
-    const page = createReportPage(mixed);
+    const page = createReportPage(mixedResult);
 
     it("draws each series with all its points", () => {
         const drawn = new Map<string, number>();
@@ -146,28 +146,28 @@
         });
     });
 
-    it("draws numbers only, also when nothing was measured", () => {
+    it("draws only finite numbers, even when nothing was measured", () => {
         for (const drawn of [page, createReportPage(createEmptyResult())]) {
             expect(/NaN|Infinity|undefined/.test(drawn)).toEqual(false);
         }
     });
 
-    // A version's or workspace's name comes from a file that somebody else may have written. Put into the page as it is, it
-    // would run as a script in the browser of whoever opens the report.
+    // The name of a version or workspace comes from a file that may be untrusted. If a name with a script tag were inserted
+    // unescaped, the script would run in the browser of the user who opens the report.
     it("escapes every name", () => {
         const work = { ...plan, name: "<script>work</script>" };
         const name = "<script>alert(\"1\")</script>&'";
-        const hostile = createReportPage({
+        const hostilePage = createReportPage({
             ...createResult([
                 createRecord({ version: name, outcome: name, arrival: { ...createRecord().arrival, work } }),
             ], name),
             startedAt: name,
         });
-        expect(hostile).not.toEqual(expect.includes("<script"));
-        expect(hostile.split("&#60;script&#62;alert(&#34;1&#34;)&#60;/script&#62;&#38;&#39;").length).toEqual(6);
+        expect(hostilePage).not.toEqual(expect.includes("<script"));
+        expect(hostilePage.split("&#60;script&#62;alert(&#34;1&#34;)&#60;/script&#62;&#38;&#39;").length).toEqual(6);
     });
 
-    it("needs nothing from elsewhere and has colours for light and dark", () => {
+    it("loads nothing from other hosts and has colours for light and dark mode", () => {
         expect(/https?:|src=|href=|url\(|@import/.test(page)).toEqual(false);
         expect(page).toEqual(expect.includes("prefers-color-scheme: dark"));
     });
@@ -175,21 +175,21 @@
 
 describe("compareResults", () => {
     const other = createResult([createRecord({ version: "small@2" }), createRecord({ version: "small@2" })]);
-    const differences = compareResults(mixed, other);
+    const differences = compareResults(mixedResult, other);
 
     function find(name: string) {
         return differences.find(difference => difference.name === name);
     }
 
-    it("puts the figures of both runs side by side, also those that one of them lacks", () => {
+    it("returns the figures of both runs, including those that one run lacks", () => {
         expect(find("requests")).toEqual({ name: "requests", before: 5, after: 2 });
         expect(find("version small@1")).toEqual({ name: "version small@1", before: 3, after: 0 });
         expect(find("version small@2")).toEqual({ name: "version small@2", before: 0, after: 2 });
-        expect(find("first token p95, ms")?.before).toEqual(mixed.distributions.firstToken.p95);
+        expect(find("first token p95, ms")?.before).toEqual(mixedResult.distributions.firstToken.p95);
         expect(find("first token p95, ms")?.after).toEqual(other.distributions.firstToken.p95);
     });
 
-    it("is written as a table with signs and shares", () => {
+    it("is formatted as a table with signed differences and percentages", () => {
         const table = formatDifferences([
             { name: "requests", before: 5, after: 2 },
             { name: "version small@2", before: 0, after: 2 },
--- a/test/scenario/entryScenarios.test.ts
+++ b/test/scenario/entryScenarios.test.ts
@@ -5,8 +5,8 @@
 import { metroManila, type SiteDescription, withProcesses } from "../../src/testbench/index.js";
 
 const folder = new URL("../../../test/scenarios/", import.meta.url);
-/** It starts its own stand-ins; its test is in runScenario.test.ts. */
-const withoutEntries = "standins.scenario";
+/** This scenario starts its own stand-ins and is tested in runScenario.test.ts. */
+const standinsOnlyFile = "standins.scenario";
 
 const description: SiteDescription = {
     ...metroManila,
@@ -16,10 +16,10 @@
     services: { name: "label-app", count: 2 },
 };
 
-// Each file tells its own failure at its top.
+// Each scenario file describes at its top the failure that it guards against.
 describe("scenarios with entries", () => {
     for (const file of readdirSync(folder)) {
-        if (file === withoutEntries) {
+        if (file === standinsOnlyFile) {
             continue;
         }
         it(file, async () => {
--- a/test/scenario/runScenario.test.ts
+++ b/test/scenario/runScenario.test.ts
@@ -20,31 +20,33 @@
     before(() => site.start("engine", "runner", { versions: "plan@1", stepMilliseconds: "2" }));
     after(() => group.killAll());
 
-    // Each of these looks like a success to a runner that forgets to check, so each has to be told apart from one.
+    // A step whose check is missing in the implementation would pass silently, and a scenario would then succeed although
+    // the site failed. Each of these steps must fail.
     const failingSteps = [
-        { step: "expect reply r status=503", found: "status is 200, not 503" },
-        { step: "expect reply r version=plan@2", found: "version is plan@1, not plan@2" },
-        { step: "expect reply other status=200", found: "No request \"other\" was sent" },
-        { step: "expect journal runner count=99 id=r", found: "notes match, not 99" },
-        { step: "expect journal runner at-most=0 id=r", found: "notes match, not 0 to 0" },
-        { step: "expect exit runner", found: "runner still runs" },
-        { step: "expect event runner name=process-stopped", found: "notes match" },
-        { step: "expect status runner leaving=true", found: "leaving of runner is false, not true" },
-        { step: "wait-until status runner leaving=true within=50", found: "50 ms were over" },
-        { step: "freeze nobody", found: "There is no process \"nobody\"" },
-        { step: "start runner", found: "runner still runs. Stop or kill it first" },
+        { step: "expect reply r status=503", expectedMessage: "status is 200, not 503" },
+        { step: "expect reply r version=plan@2", expectedMessage: "version is plan@1, not plan@2" },
+        { step: "expect reply other status=200", expectedMessage: "No request \"other\" was sent" },
+        { step: "expect journal runner count=99 id=r", expectedMessage: "records match, not 99" },
+        { step: "expect journal runner at-most=0 id=r", expectedMessage: "records match, not 0 to 0" },
+        { step: "expect exit runner", expectedMessage: "runner is still running" },
+        { step: "expect event runner name=process-stopped", expectedMessage: "records match" },
+        { step: "expect status runner leaving=true", expectedMessage: "leaving of runner is false, not true" },
+        { step: "wait-until status runner leaving=true within=50", expectedMessage: "The timeout of 50 ms expired" },
+        { step: "freeze nobody", expectedMessage: "There is no process \"nobody\"" },
+        { step: "start runner", expectedMessage: "runner is still running. Stop or kill it first" },
     ];
-    for (const { step, found } of failingSteps) {
+    for (const { step, expectedMessage: expectedMessage } of failingSteps) {
         it(`fails at "${step}"`, async () => {
             const text = `send r to=runner model=plan@1\nwait-until reply r status=200\n${step}\n`;
             const { message } = (await runScenario(text, site))._unsafeUnwrapErr();
             expect(message.startsWith(`Line 3, "${step}": `)).toEqual(true);
-            expect(message).toInclude(found);
+            expect(message).toInclude(expectedMessage);
         });
     }
 
-    // The connection breaks in the middle of an answer: the caller holds a part and must not take it for the whole.
-    it("tells a part of an answer from the whole", async () => {
+    // The connection fails in the middle of an answer. If the partial answer were taken for a complete one, a scenario would
+    // pass although a user would see a truncated answer.
+    it("distinguishes a partial answer from a complete one", async () => {
         const text = "cut runner after=900\nsend r to=runner model=plan@1 stream=yes\nexpect reply r answer=whole\n";
         const { message } = (await runScenario(text, site))._unsafeUnwrapErr();
         await runScenario("restore caller>runner", site);
