--- a/src/load/loadClient.ts
+++ b/src/load/loadClient.ts
@@ -1,6 +1,6 @@
 /**
  * The client that sends the requests of a run: it follows the site's addresses, retries after the delay that a refusal
- * asks for, and records the results.
+ * specifies, and records the results.
  */
 import { setTimeout as wait } from "node:timers/promises";
 import type { ChatCompletionRequest, ChatRecord, ServiceCallRequest, ServiceRecord } from "../caller/index.js";
--- a/src/load/loadCommand.ts
+++ b/src/load/loadCommand.ts
@@ -48,7 +48,7 @@
     }
     const { json, html, run } = command.value;
     const outputs = [json, html].filter(file => file !== undefined);
-    // Reports a file that cannot be written before the run; after a long run, its result would be lost.
+    // A file that cannot be written is reported before the run. After a long run, the result would be lost.
     for (const file of outputs) {
         const writable = checkWritable(file);
         if (writable.isErr()) {
--- a/src/load/profile.ts
+++ b/src/load/profile.ts
@@ -45,7 +45,7 @@
     }),
     first_token_ms: integer({
         description:
-            "Maximum time from the intended arrival to the first token, or to the whole answer if not streamed, of a good answer.",
+            "Maximum time from the intended arrival to the first token of a good answer, or to the whole answer if not streamed.",
         example: "900",
         defaultText: "900",
         min: 1,
--- a/src/load/schedule.ts
+++ b/src/load/schedule.ts
@@ -10,7 +10,10 @@
     /** Milliseconds from the start of the run. */
     readonly at: number;
     readonly work: LoadWork;
-    /** Number of the request within the run. Distinguishes requests, and keeps prompts and idempotency keys reproducible. */
+    /**
+     * Number of the request within the run. Prompts and idempotency keys derive from it, so that they differ between
+     * requests and stay the same for every attempt of a request.
+     */
     readonly number: number;
     /** Number of the history that precedes the question. */
     readonly history: number;
