--- a/src/standins/conditions.ts
+++ b/src/standins/conditions.ts
@@ -1,36 +1,36 @@
 /**
- * The conditions that a stand-in works under: its settings at the start, and what `POST /faults` changes later.
- * One schema serves both, so that every setting is also a fault that a test can switch on and off.
+ * Conditions of a stand-in: its initial settings, and what `POST /faults` changes later.
+ * Both use one schema, so that every setting is also a fault that a test can switch on and off.
  */
 import { err, ok, type Result } from "neverthrow";
 import { z } from "zod";
 import { Failure } from "../common/index.js";
 
-/** A number in an INI file, an argument or JSON. */
-export const amount = z.coerce.number().min(0);
+/** A number of at least 0 in an INI file, an argument or JSON. */
+export const nonNegativeNumber = z.coerce.number().min(0);
 
 /** A number from 0 to 1. */
 export const probability = z.coerce.number().min(0).max(1);
 
-/** A switch in an INI file, an argument or JSON. */
+/** A boolean in an INI file, an argument or JSON. */
 export const flag = z.union([z.boolean(), z.stringbool()]);
 
-/** A list; as text its members are separated by commas. */
-export const list = z.union([
+/** A list of strings. In text form the members are separated by commas. */
+export const stringList = z.union([
     z.array(z.string()),
     z.string().transform(text => text.split(",").map(member => member.trim()).filter(member => member !== "")),
 ]);
 
-/** Conditions that every stand-in with an HTTP face knows. */
+/** Conditions that every stand-in with an HTTP API supports. */
 export const commonConditions = {
     seed: z.coerce.number().int().default(1),
-    /** `answer` answers 503 to everything, `drop` closes each connection without an answer. */
+    /** `answer` answers every request with 503, `drop` closes each connection without an answer. */
     outage: z.enum(["none", "answer", "drop"]).default("none"),
-    /** How long each request waits before anything happens. */
-    delayMilliseconds: amount.default(0),
-    /** Listens at a second port as well, for callers with a certificate of the authority. */
+    /** Delay of each request before it is handled. */
+    delayMilliseconds: nonNegativeNumber.default(0),
+    /** Also listens on a second port, for callers with a certificate issued by the authority. */
     tls: z.strictObject({
-        /** How far above the first port the second one is. */
+        /** Added to the first port to get the second port. */
         portOffset: z.coerce.number().int().min(1),
         certificate: z.string(),
         key: z.string(),
@@ -38,7 +38,7 @@
     }).optional(),
 };
 
-/** What every stand-in's conditions hold. */
+/** Conditions that all stand-ins have in common. */
 export interface CommonConditions {
     readonly seed: number;
     readonly outage: "none" | "answer" | "drop";
@@ -46,7 +46,7 @@
     readonly tls?: TlsFiles | undefined;
 }
 
-/** Certificate files of a stand-in, and where it uses them. */
+/** Certificate files of a stand-in, and the offset of the port that uses them. */
 export interface TlsFiles {
     readonly portOffset: number;
     readonly certificate: string;
@@ -54,14 +54,14 @@
     readonly authority: string;
 }
 
-/** Holds a stand-in's conditions and changes them on command. */
+/** Stores a stand-in's conditions, validates changes and applies them. */
 export class Conditions<Values> {
     readonly #schema: z.ZodType<Values>;
     #current: Values;
 
     /**
      * @param schema - A strict object schema in which every key has a default.
-     * @param initial - Settings at the start.
+     * @param initial - Initial settings.
      */
     constructor(schema: z.ZodType<Values>, initial: unknown) {
         this.#schema = schema;
@@ -78,7 +78,7 @@
     }
 
     /**
-     * Changes some conditions and leaves the others.
+     * Changes some conditions and leaves the others as they are.
      * @param change - Keys with their new values.
      */
     change(change: object): Result<Values, Failure> {
@@ -96,8 +96,8 @@
         return err(
             new Failure({
                 kind: "invalid-input",
-                message: `Unknown or wrong conditions: ${z.prettifyError(parsed.error)}.`,
-                remedy: "Ask GET /faults for the keys and their present values.",
+                message: `Unknown or invalid conditions: ${z.prettifyError(parsed.error)}.`,
+                remedy: "Look up the keys and their current values with GET /faults.",
             }),
         );
     }
--- a/src/standins/engine/answerStream.ts
+++ b/src/standins/engine/answerStream.ts
@@ -1,29 +1,29 @@
 /**
- * The events of one streamed answer, kept so that a caller can take the stream up again.
+ * Events of one streamed answer, retained so that a caller can resume the stream.
  */
 
-/** How an answer stands. */
+/** State of an answer. */
 export type AnswerState = "waiting" | "streaming" | "finished" | "failed" | "cancelled";
 
-/** Keeps a stream's events and tells its readers of new ones. */
+/** Stores a stream's events and notifies its readers of new ones. */
 export class AnswerStream {
     readonly #events: string[] = [];
     readonly #listeners = new Set<() => void>();
     #state: AnswerState = "waiting";
     #readerCount = 0;
 
-    /** Returns how the answer stands. */
+    /** Returns the state of the answer. */
     getState(): AnswerState {
         return this.#state;
     }
 
-    /** Returns whether no further event will come. */
+    /** Returns whether the stream has ended, so that no further event follows. */
     isClosed(): boolean {
         return this.#state === "finished" || this.#state === "failed" || this.#state === "cancelled";
     }
 
     /**
-     * Adds an event; its identifier is its place, from 1.
+     * Adds an event. Its identifier is its position in the stream, counted from 1.
      * @param data - The event's data.
      */
     add(data: string): void {
@@ -49,7 +49,7 @@
     /**
      * Calls a function at each change.
      * @param listener - The function.
-     * @returns A function that ends the calls.
+     * @returns A function that removes the listener.
      */
     subscribe(listener: () => void): () => void {
         this.#listeners.add(listener);
@@ -57,9 +57,9 @@
     }
 
     /**
-     * Calls a function at each change on behalf of a reader of the stream.
+     * Adds a reader of the stream and calls a function at each change.
      * @param listener - The function.
-     * @returns A function that ends the reading.
+     * @returns A function that removes the reader.
      */
     addReader(listener: () => void): () => void {
         const unsubscribe = this.subscribe(listener);
@@ -72,17 +72,17 @@
         };
     }
 
-    /** Returns whether somebody reads the stream. */
+    /** Returns whether the stream has readers. */
     hasReaders(): boolean {
         return this.#readerCount > 0;
     }
 
-    /** Waits until the first event or the end. */
+    /** Waits for the first event or the end of the stream. */
     async waitForStart(): Promise<void> {
         await this.#waitWhile(() => this.#state === "waiting");
     }
 
-    /** Waits until the end. */
+    /** Waits for the end of the stream. */
     async waitForEnd(): Promise<void> {
         await this.#waitWhile(() => !this.isClosed());
     }
--- a/src/standins/engine/batch.ts
+++ b/src/standins/engine/batch.ts
@@ -1,34 +1,34 @@
 /**
- * Continuous batching: one loop of steps shares a budget of tokens among the sequences that run.
+ * Continuous batching: each step of a loop divides a token budget among the running sequences.
  */
 import { type Clock, systemClock } from "../../common/index.js";
 
-/** A loop that is later than so many steps gives up on catching up. */
+/** A loop that is more than this many steps late skips the missed steps instead of catching up. */
 const maxCatchUpSteps = 4;
 
 /** One request inside the batch. */
 export interface Sequence {
-    /** 0 is most urgent. */
+    /** 0 is the highest priority. */
     readonly priority: number;
-    /** KV memory that it holds while it runs, in tokens. */
+    /** KV memory that the sequence occupies while it runs, in tokens. */
     readonly memoryTokens: number;
-    /** Returns the tokens that it produces a step. */
+    /** Returns the number of tokens that the sequence produces per step. */
     readonly getSpeed: () => number;
-    /** Called at admission; returns the prompt tokens that are left to compute. */
+    /** Called at admission. Returns the number of prompt tokens that are not cached and must be computed. */
     readonly start: () => number;
-    /** Called once the whole prompt is computed. */
+    /** Called when the whole prompt is computed. */
     readonly finishPrefill: () => void;
     /** Produces one token; returns whether it was the last one. */
     readonly produceToken: () => boolean;
 }
 
-/** Limits of the batch; asked at each step. */
+/** Limits of the batch, read at each step. */
 export interface BatchLimits {
     readonly stepMilliseconds: number;
     readonly tokensPerStep: number;
     readonly maximumRunning: number;
     readonly memoryTokens: number;
-    /** Whether the loop stands still. */
+    /** Whether the steps of the loop do nothing. */
     readonly frozen: boolean;
 }
 
@@ -39,7 +39,7 @@
     tokenCredit: number;
 }
 
-/** Runs sequences side by side, the most urgent ones admitted first. */
+/** Runs sequences concurrently and admits those with the highest priority first. */
 export class Batch {
     readonly #getLimits: () => BatchLimits;
     readonly #clock: Clock;
@@ -54,17 +54,17 @@
         this.#clock = clock;
     }
 
-    /** Returns how many sequences run. */
+    /** Returns the number of running sequences. */
     getRunningCount(): number {
         return this.#running.length;
     }
 
-    /** Returns how many sequences wait to be admitted. */
+    /** Returns the number of sequences that wait for admission. */
     getWaitingCount(): number {
         return this.#waiting.length;
     }
 
-    /** Adds a sequence behind all of its own priority. */
+    /** Queues a sequence behind all waiting sequences of the same or a higher priority. */
     add(sequence: Sequence): void {
         let index = this.#waiting.length;
         while (index > 0 && this.#waiting[index - 1].priority > sequence.priority) {
@@ -77,7 +77,7 @@
         }
     }
 
-    /** Takes a sequence out, wherever it is. */
+    /** Removes a sequence, whether it waits or runs. */
     remove(sequence: Sequence): void {
         const index = this.#waiting.indexOf(sequence);
         if (index >= 0) {
--- a/src/standins/engine/chat.ts
+++ b/src/standins/engine/chat.ts
@@ -1,5 +1,5 @@
 /**
- * The chat-completions bodies that the engine reads and writes.
+ * Bodies of chat completion requests, answers and chunks.
  */
 import { z } from "zod";
 
@@ -18,7 +18,7 @@
 
 const charactersPerToken = 4;
 
-/** What the engine takes from a request's body. */
+/** Parts of a request's body that the engine uses. */
 export interface ChatRequest {
     readonly model: string;
     readonly prompt: string;
@@ -33,7 +33,7 @@
     readonly outputTokens: number;
 }
 
-/** Reads a request's body; undefined when it is none. */
+/** Parses a request's body. Returns undefined when it is not a chat completion request. */
 export function readChatRequest(body: unknown): ChatRequest | undefined {
     const parsed = chatSchema.safeParse(body);
     if (!parsed.success) {
@@ -48,12 +48,12 @@
     return { model, prompt, stream: stream === true, maxTokens: limit ?? legacyLimit ?? Number.MAX_SAFE_INTEGER };
 }
 
-/** Counts a text's tokens, at four characters each. */
+/** Returns the number of tokens of a text, at four characters per token. */
 export function countTokens(text: string): number {
     return Math.ceil(text.length / charactersPerToken);
 }
 
-/** Writes a chunk with a piece of the answer. */
+/** Returns a chunk with a part of the answer, as JSON. */
 export function createChunk(id: string, model: string, delta: object, finishReason?: string): string {
     return JSON.stringify({
         ...createBaseFields(id, model, "chat.completion.chunk"),
@@ -61,13 +61,13 @@
     });
 }
 
-/** Writes the chunk with the token counts. */
+/** Returns the chunk with the token counts, as JSON. */
 export function createUsageChunk(id: string, model: string, usage: Usage): string {
-    const head = createBaseFields(id, model, "chat.completion.chunk");
-    return JSON.stringify({ ...head, choices: [], usage: createUsage(usage) });
+    const baseFields = createBaseFields(id, model, "chat.completion.chunk");
+    return JSON.stringify({ ...baseFields, choices: [], usage: createUsage(usage) });
 }
 
-/** Returns a whole answer's body. */
+/** Returns the body of a complete answer. */
 export function createCompletion(
     id: string,
     model: string,
--- a/src/standins/engine/engineConditions.ts
+++ b/src/standins/engine/engineConditions.ts
@@ -2,66 +2,66 @@
  * Conditions of the model engine stand-in.
  */
 import { z } from "zod";
-import { amount, commonConditions, flag, list, probability } from "../conditions.js";
+import { commonConditions, flag, nonNegativeNumber, probability, stringList } from "../conditions.js";
 
 const versionSchema = z.object({
-    /** True quality; `quality.CLASS` overrides it for one class of request. */
+    /** True quality. `quality.CLASS` overrides it for one request class. */
     quality: probability.default(0.8),
-    /** Tokens that one sequence produces a step. */
+    /** Tokens that one sequence produces per step. */
     speed: z.coerce.number().positive().default(1),
     errorRate: probability.default(0),
     /** Mean length of an answer, in tokens. */
     outputTokens: z.coerce.number().min(2).default(40),
 }).catchall(probability);
 
-/** What a version is like in truth. */
+/** True behaviour of a version. */
 export type VersionBehaviour = z.infer<typeof versionSchema>;
 
-/** Every condition of an engine. */
+/** All conditions of an engine. */
 export const engineSchema = z.strictObject({
     ...commonConditions,
     name: z.string().default("engine"),
-    /** Versions that are loaded at the start. */
-    versions: list.default([]),
-    /** What versions are like; a version that is not named here has the defaults. */
+    /** Versions that are loaded initially. */
+    versions: stringList.default([]),
+    /** Behaviour by version. A version that is not listed here has the defaults. */
     version: z.record(z.string(), versionSchema).default({}),
     role: z.string().default("serve"),
     stepMilliseconds: z.coerce.number().positive().default(10),
-    tokensPerStep: amount.default(512),
+    tokensPerStep: nonNegativeNumber.default(512),
     maximumRunning: z.coerce.number().min(1).default(16),
-    /** Requests that wait beyond this are refused with 429. */
-    maximumWaiting: amount.default(64),
-    memoryTokens: amount.default(200_000),
-    cacheBlocks: amount.default(400),
-    cacheEventLagMilliseconds: amount.default(200),
+    /** Requests are rejected with 429 while this many requests wait. */
+    maximumWaiting: nonNegativeNumber.default(64),
+    memoryTokens: nonNegativeNumber.default(200_000),
+    cacheBlocks: nonNegativeNumber.default(400),
+    cacheEventLagMilliseconds: nonNegativeNumber.default(200),
     cacheEventLossProbability: probability.default(0),
-    loadLagMilliseconds: amount.default(200),
-    /** How long a finished stream can be taken up again. */
-    keepMilliseconds: amount.default(30_000),
-    /** How long it takes to load a version that an order names. */
-    loadMilliseconds: amount.default(100),
+    loadLagMilliseconds: nonNegativeNumber.default(200),
+    /** How long a finished stream can be resumed. */
+    keepMilliseconds: nonNegativeNumber.default(30_000),
+    /** Time to load a version that an order requires. */
+    loadMilliseconds: nonNegativeNumber.default(100),
     qualitySpread: probability.default(0.1),
     checksFencing: flag.default(true),
-    /** Answers orders as if all were well and does nothing. */
+    /** Answers orders as if they were followed, and ignores them. */
     ignoreOrders: flag.default(false),
     leaving: flag.default(false),
-    /** How long the engine takes a reader for present whose connection is gone. */
-    readerLagMilliseconds: amount.default(0),
-    /** Produces nothing while it is on. */
+    /** How long the engine still counts a reader after its connection has closed. */
+    readerLagMilliseconds: nonNegativeNumber.default(0),
+    /** Pauses the batch: no request is admitted and no token is produced. */
     frozen: flag.default(false),
-    /** Version that runs in truth for one that is asked for. */
+    /** Version that actually runs, by requested version. */
     runsInstead: z.record(z.string(), z.string()).default({}),
-    /** Reported in place of the true load. */
+    /** Values reported instead of the true load. */
     lie: z.object({
-        running: amount.optional(),
-        waiting: amount.optional(),
-        capacity: amount.optional(),
+        running: nonNegativeNumber.optional(),
+        waiting: nonNegativeNumber.optional(),
+        capacity: nonNegativeNumber.optional(),
     }).default({}),
-    /** `HOST:PORT` of the weight store that versions are loaded from; empty loads without asking. */
+    /** `HOST:PORT` of the weight store that versions are loaded from. When it is empty, they load without a request. */
     weightStore: z.string().default(""),
 });
 
-/** Conditions in force of an engine. */
+/** Conditions in force on an engine. */
 export type EngineConditions = z.infer<typeof engineSchema>;
 
 const versionChangeSchema = z.strictObject({
@@ -73,18 +73,18 @@
     outputTokens: z.coerce.number().min(2).optional(),
 });
 
-/** Returns what a version is like in truth. */
+/** Returns the true behaviour of a version. */
 export function getVersionBehaviour(conditions: EngineConditions, version: string): VersionBehaviour {
     return conditions.version[version] ?? versionSchema.parse({});
 }
 
-/** Returns a version's true quality for a class of request. */
+/** Returns a version's true quality for a request class. */
 export function getTrueQuality(behaviour: VersionBehaviour, requestClass: string): number {
     return behaviour[`quality.${requestClass}`] ?? behaviour.quality;
 }
 
 /**
- * Turns `{"version": "plan@2", "quality": 0.2}` into a change of conditions; any other change stays as it is.
+ * Expands `{"version": "plan@2", "quality": 0.2}` to a change of conditions. Any other change is returned unchanged.
  * @param conditions - The conditions in force.
  * @param change - The body of `POST /faults`.
  */
--- a/src/standins/engine/engineRun.ts
+++ b/src/standins/engine/engineRun.ts
@@ -9,26 +9,26 @@
 import { type EngineConditions, getTrueQuality, getVersionBehaviour } from "./engineConditions.js";
 import { blockTokens, type PrefixCache } from "./prefixCache.js";
 
-/** What a run is made from. */
+/** Options of a run. */
 export interface EngineRunOptions {
     readonly request: string;
     readonly requestClass: string;
     readonly priority: number;
     readonly chat: ChatRequest;
-    /** The version that runs in truth. */
+    /** The version that actually runs. */
     readonly version: string;
     readonly blocks: readonly string[];
     readonly cache: PrefixCache;
     readonly getConditions: () => EngineConditions;
 }
 
-/** What the engine notes of a request: the truth that tests judge by. */
+/** Journal entry of a request: the ground truth that tests compare with. */
 export interface RunJournalEntry {
     readonly kind: "request";
     readonly id: string;
-    /** Version asked for. */
+    /** Requested version. */
     readonly asked: string;
-    /** Version that ran. */
+    /** Version that actually ran. */
     readonly ran: string;
     readonly class: string;
     readonly priority: number;
@@ -44,9 +44,9 @@
     answerHash?: string;
 }
 
-/** Produces one answer inside the batch. */
+/** Produces one answer as part of the batch. */
 export class EngineRun {
-    /** The answer as it comes. */
+    /** The answer's events as they are produced. */
     readonly stream = new AnswerStream();
     readonly journalEntry: RunJournalEntry;
     readonly sequence: Sequence;
@@ -88,13 +88,13 @@
         return this.#tokens.length >= this.#options.chat.maxTokens ? "length" : "stop";
     }
 
-    /** Returns the tokens spent so far. */
+    /** Returns the token counts so far. */
     getUsage(): Usage {
         const { promptTokens, cachedTokens } = this.journalEntry;
         return { promptTokens, cachedTokens, outputTokens: this.#producedCount };
     }
 
-    /** Ends the run before its time. */
+    /** Ends the run before its answer is complete. */
     cancel(): void {
         this.#end("cancelled");
     }
--- a/src/standins/engine/index.ts
+++ b/src/standins/engine/index.ts
@@ -1,6 +1,6 @@
-/** The model engine stand-in. */
+/** Stand-in for a model engine. */
 export { getAnswerHash, getAnswerQuality } from "./answer.js";
-export type { RunJournalEntry as RunNote } from "./engineRun.js";
-export type { OrderJournalEntry as OrderNote } from "./loadedVersions.js";
+export type { RunJournalEntry } from "./engineRun.js";
+export type { OrderJournalEntry } from "./loadedVersions.js";
 export { ModelEngine } from "./modelEngine.js";
 export type { CacheEvent } from "./prefixCache.js";
--- a/src/standins/engine/loadedVersions.ts
+++ b/src/standins/engine/loadedVersions.ts
@@ -1,5 +1,5 @@
 /**
- * The versions that an engine has loaded, and the orders that change them.
+ * Versions that an engine has loaded, and the orders that change them.
  */
 import { setTimeout as sleep } from "node:timers/promises";
 import { request } from "undici";
@@ -14,22 +14,22 @@
     role: z.string().optional(),
 });
 
-/** An order: the state that the engine shall reach. */
+/** An order: the desired state of the engine. */
 export type Order = z.infer<typeof orderSchema>;
 
-/** What the engine notes of an order. */
+/** Journal entry of an order. */
 export interface OrderJournalEntry extends Order {
     readonly kind: "order";
     readonly time: number;
     readonly outcome: "followed" | "ignored" | "refused";
 }
 
-/** Reads an order; undefined when it is none. */
+/** Parses an order. Returns undefined when the body is not an order. */
 export function readOrder(body: unknown): Order | undefined {
     return orderSchema.safeParse(body).data;
 }
 
-/** Loads and unloads versions until they match the newest order. */
+/** Loads and unloads versions until they match the latest order. */
 export class LoadedVersions {
     readonly #getConditions: () => EngineConditions;
     readonly #loaded: Set<string>;
@@ -54,12 +54,12 @@
         return this.#loaded.has(version);
     }
 
-    /** Returns the role that the engine was given. */
+    /** Returns the engine's role. */
     getRole(): string {
         return this.#role;
     }
 
-    /** Takes an order and says what became of it. Loading goes on after the return. */
+    /** Applies an order and returns its outcome. Versions are still being loaded after the return. */
     applyOrder(order: Order): OrderJournalEntry["outcome"] {
         const { checksFencing, ignoreOrders } = this.#getConditions();
         if (checksFencing && order.fence < this.#maxFencingToken) {
@@ -72,7 +72,7 @@
         this.#role = order.role ?? this.#role;
         const desired = new Set(order.versions);
         if (desired.size === this.#desired.size && order.versions.every(version => this.#desired.has(version))) {
-            // The same state again: a load that is under way goes on.
+            // The desired state is unchanged, so that a load in progress continues.
             return "followed";
         }
         this.#desired = desired;
@@ -102,7 +102,10 @@
         }
     }
 
-    /** Fetches weights, again and again while the store is away or refuses for its rate. */
+    /**
+     * Fetches weights. Retries while the store is unavailable or rejects the request because of its rate limit.
+     * @returns Whether the weights were fetched.
+     */
     async #fetchWeights(version: string, isStillDesired: () => boolean): Promise<boolean> {
         const { weightStore } = this.#getConditions();
         if (weightStore === "") {
--- a/src/standins/engine/modelEngine.ts
+++ b/src/standins/engine/modelEngine.ts
@@ -1,5 +1,5 @@
 /**
- * Stand-in for a model engine: the HTTP face.
+ * Stand-in for a model engine: the HTTP API.
  */
 import type Router from "@koa/router";
 import type Koa from "koa";
@@ -9,7 +9,7 @@
 import type { LoadReport } from "../../world/index.js";
 import type { Address } from "../address.js";
 import { Conditions } from "../conditions.js";
-import { answerProblem, readJson, StandinServer } from "../standinServer.js";
+import { readJson, sendProblem, StandinServer } from "../standinServer.js";
 import type { AnswerStream } from "./answerStream.js";
 import { Batch } from "./batch.js";
 import { type ChatRequest, createCompletion, readChatRequest } from "./chat.js";
@@ -18,14 +18,14 @@
 import { LoadedVersions, type OrderJournalEntry, readOrder } from "./loadedVersions.js";
 import { BlockHasher, PrefixCache } from "./prefixCache.js";
 
-const refusalRetrySeconds = "1";
+const retryAfterSeconds = "1";
 const lowestPriority = 9;
 
 const transferSchema = z.object({ version: z.string(), blocks: z.array(z.string()).readonly() });
 
 type CacheTransfer = z.infer<typeof transferSchema>;
 
-/** An engine that batches continuously, caches prefixes, follows orders and can be made to fail. */
+/** An engine with continuous batching, a prefix cache, orders and injected faults. */
 export class ModelEngine {
     readonly #conditions: Conditions<EngineConditions>;
     readonly #server: StandinServer;
@@ -53,13 +53,13 @@
         });
     }
 
-    /** Listens; returns the address in use. */
+    /** Starts listening and returns the address in use. */
     async start(): Promise<Address> {
         this.#hasher = await BlockHasher.create();
         return this.#server.start();
     }
 
-    /** Lets answers under way end within a bound and stops listening. */
+    /** Stops listening, waits for answers in progress up to a timeout, and stops the batch. */
     async stop(): Promise<void> {
         await this.#server.stop();
         this.#batch.stop();
@@ -83,7 +83,12 @@
     async #complete(context: Koa.Context): Promise<void> {
         const chat = readChatRequest(await readJson(context));
         if (chat === undefined) {
-            answerProblem(context, 400, "bad-request", "The body is no chat completion. Send model and messages.");
+            sendProblem(
+                context,
+                400,
+                "bad-request",
+                "The body is not a chat completion request. Send model and messages.",
+            );
             return;
         }
         if (this.#rejectIfUnavailable(context, chat.model)) {
@@ -92,7 +97,7 @@
         const run = this.#startRun(context, chat);
         await run.stream.waitForStart();
         if (run.stream.getState() === "failed") {
-            answerProblem(context, 500, "engine-failed", "The engine failed on this request.");
+            sendProblem(context, 500, "engine-failed", "The engine failed while it processed this request.");
             return;
         }
         if (chat.stream) {
@@ -101,27 +106,27 @@
         }
         await run.stream.waitForEnd();
         if (run.stream.getState() === "cancelled") {
-            answerProblem(context, 499, "cancelled", "The request was cancelled.");
+            sendProblem(context, 499, "cancelled", "The request was cancelled.");
             return;
         }
         const { id, ran } = run.journalEntry;
         context.body = createCompletion(`chatcmpl-${id}`, ran, run.getText(), run.getFinishReason(), run.getUsage());
     }
 
-    /** Answers a request that the engine won't take; nothing of it has run. */
+    /** Rejects a request that the engine can't accept, before any of it has run. Returns whether it was rejected. */
     #rejectIfUnavailable(context: Koa.Context, version: string): boolean {
         const { leaving, maximumWaiting } = this.#conditions.get();
         if (leaving) {
-            answerProblem(context, 409, "leaving", "This engine is leaving. Use another.");
+            sendProblem(context, 409, "leaving", "This engine is leaving. Use another engine.");
             return true;
         }
         if (!this.#versions.has(version)) {
-            answerProblem(context, 404, "not-loaded", `Version ${version} is not loaded. Use another engine.`);
+            sendProblem(context, 404, "not-loaded", `Version ${version} is not loaded. Use another engine.`);
             return true;
         }
         if (this.#batch.getWaitingCount() >= maximumWaiting) {
-            context.set("Retry-After", refusalRetrySeconds);
-            answerProblem(context, 429, "full", "The queue is full. Use another engine or come back later.");
+            context.set("Retry-After", retryAfterSeconds);
+            sendProblem(context, 429, "full", "The queue is full. Use another engine or try again later.");
             return true;
         }
         return false;
@@ -150,7 +155,7 @@
         return run;
     }
 
-    /** Forgets a run some time after its end; until then its stream can be taken up again. */
+    /** Removes a run `keepMilliseconds` after its end. Until then its stream can be resumed. */
     async #removeAfterRetention(request: string, run: EngineRun): Promise<void> {
         await run.stream.waitForEnd();
         const timer = setTimeout(() => {
@@ -164,7 +169,7 @@
     async #resume(context: Koa.Context, request: string): Promise<void> {
         const run = this.#runs.get(request);
         if (run === undefined) {
-            answerProblem(context, 404, "no-stream", "No such stream is kept. Send the request again.");
+            sendProblem(context, 404, "no-stream", "The stream does not exist or has expired. Send the request again.");
             return;
         }
         context.set("X-Model-Version", run.journalEntry.ran);
@@ -178,11 +183,16 @@
     #cancel(context: Koa.Context, request: string): void {
         const run = this.#runs.get(request);
         if (run === undefined || run.stream.isClosed()) {
-            answerProblem(context, 404, "no-stream", "No such stream is running. There is nothing to cancel.");
+            sendProblem(
+                context,
+                404,
+                "no-stream",
+                "The stream does not exist or has ended. There is nothing to cancel.",
+            );
             return;
         }
         if (context.query.idle === "true" && run.stream.hasReaders()) {
-            answerProblem(context, 409, "stream-read", "Somebody reads the stream. Leave it to them.");
+            sendProblem(context, 409, "stream-read", "The stream has a reader. Leave it running.");
             return;
         }
         run.cancel();
@@ -200,13 +210,13 @@
     async #applyOrder(context: Koa.Context): Promise<void> {
         const order = readOrder(await readJson(context));
         if (order === undefined) {
-            answerProblem(context, 400, "bad-order", "The body is no order. Send fence, versions and role.");
+            sendProblem(context, 400, "bad-order", "The body is not an order. Send fence, versions and role.");
             return;
         }
         const outcome = this.#versions.applyOrder(order);
         this.#journal.push({ kind: "order", time: systemClock.wall(), ...order, outcome });
         if (outcome === "refused") {
-            answerProblem(context, 409, "old-fence", "The engine has seen a newer fencing number. Give up the lease.");
+            sendProblem(context, 409, "old-fence", "The engine has seen a newer fencing token. Give up the lease.");
             return;
         }
         context.body = { versions: this.#versions.get() };
@@ -215,7 +225,12 @@
     #exportCache(context: Koa.Context, request: string): void {
         const run = this.#runs.get(request);
         if (run === undefined) {
-            answerProblem(context, 404, "no-cache", "No such KV cache is kept. Compute the prompt again.");
+            sendProblem(
+                context,
+                404,
+                "no-cache",
+                "The KV cache does not exist or has expired. Compute the prompt again.",
+            );
             return;
         }
         context.body = { version: run.journalEntry.ran, blocks: run.blocks } satisfies CacheTransfer;
@@ -224,14 +239,14 @@
     async #importCache(context: Koa.Context): Promise<void> {
         const transfer = transferSchema.safeParse(await readJson(context));
         if (!transfer.success) {
-            answerProblem(context, 400, "bad-cache", "The body is no exported KV cache. Send an export unchanged.");
+            sendProblem(context, 400, "bad-cache", "The body is not an exported KV cache. Send an export unchanged.");
             return;
         }
         this.#cache.add(transfer.data.version, transfer.data.blocks);
         context.status = 204;
     }
 
-    /** Returns a load report that is up to the lag old. */
+    /** Returns a load report that is at most `loadLagMilliseconds` old. */
     #getReport(): LoadReport {
         const { loadLagMilliseconds } = this.#conditions.get();
         if (systemClock.wall() - this.#lastReport.measuredAt >= loadLagMilliseconds) {
@@ -254,14 +269,14 @@
     }
 }
 
-/** How a stream is sent. */
+/** Options of sending a stream. */
 interface StreamOptions {
-    /** Identifier of the event after which it starts. */
+    /** Identifier of the event after which sending starts. */
     readonly after: number;
     readonly readerLagMilliseconds: number;
 }
 
-/** Sends a stream's events after one, and goes on until the stream ends. */
+/** Sends a stream's events after the one identified by `options.after`, until the stream ends. */
 function sendStream(context: Koa.Context, stream: AnswerStream, options: StreamOptions): void {
     const { res: response } = context;
     let lastSentId = options.after;
@@ -286,7 +301,7 @@
     send();
 }
 
-/** Ends a response: a stream that was not finished breaks off, so that no reader takes it for whole. */
+/** Ends a response. An unfinished stream closes the connection, so that no reader takes a partial answer for a complete one. */
 function endStream(response: ServerResponse, stream: AnswerStream): void {
     if (stream.getState() === "finished") {
         response.end();
--- a/src/standins/engine/prefixCache.ts
+++ b/src/standins/engine/prefixCache.ts
@@ -1,26 +1,26 @@
 /**
- * The engine's cache of prompt prefixes, in limited memory, and the events that it publishes.
+ * The engine's cache of prompt prefixes, in limited memory, and the cache events.
  */
 import xxhash, { type XXHashAPI } from "xxhash-wasm";
 import { type Clock, type RandomSource, systemClock } from "../../common/index.js";
 
-/** Characters of a block. */
+/** Characters per block. */
 const blockCharacters = 512;
-/** Tokens of a block. */
+/** Tokens per block. */
 export const blockTokens = 128;
 const retainedEventCount = 10_000;
 
-/** Tells that a block came into the cache or left it. */
+/** Event that reports a block stored in or removed from the cache, or a cleared cache. */
 export interface CacheEvent {
     readonly sequence: number;
     readonly kind: "stored" | "removed" | "cleared";
     /** Hash of the prompt up to the end of the block; empty for `cleared`. */
     readonly block: string;
-    /** The version that computed the block: its cache serves no other version. */
+    /** The version that computed the block. Other versions can't use the block. */
     readonly version: string;
 }
 
-/** Limits of the cache; asked each time. */
+/** Limits of the cache, read at each use. */
 export interface CacheLimits {
     readonly cacheBlocks: number;
     readonly cacheEventLagMilliseconds: number;
@@ -32,7 +32,7 @@
     readonly event: CacheEvent;
 }
 
-/** Hashes prompts into blocks. */
+/** Hashes the blocks of prompts. */
 export class BlockHasher {
     readonly #api: XXHashAPI;
 
@@ -45,7 +45,7 @@
         return new BlockHasher(await xxhash());
     }
 
-    /** Returns the hashes of a prompt's whole blocks, each over the prompt from its start. */
+    /** Returns the hashes of a prompt's complete blocks. Each hash covers the prompt from its start to the end of the block. */
     getBlocks(prompt: string): readonly string[] {
         const blocks: string[] = [];
         const hash = this.#api.create64();
@@ -57,12 +57,12 @@
     }
 }
 
-/** Keeps the least recently used blocks out, and publishes events late and with gaps. */
+/** Stores blocks, evicts the least recently used ones, and publishes events with a lag and with gaps. */
 export class PrefixCache {
     readonly #getLimits: () => CacheLimits;
     readonly #random: RandomSource;
     readonly #clock: Clock;
-    /** In the order of use, the least recent first; the value is the event's part. */
+    /** Ordered by use, least recently used first. The values are the blocks' fields in events. */
     readonly #blocks = new Map<string, { readonly block: string; readonly version: string; }>();
     #events: TimestampedEvent[] = [];
     #nextSequence = 0;
@@ -74,7 +74,7 @@
     }
 
     /**
-     * Counts the blocks at the start of a prompt that are cached.
+     * Returns the number of cached blocks at the start of a prompt.
      * @param version - The version that runs the prompt.
      * @param blocks - The prompt's blocks.
      */
@@ -89,7 +89,7 @@
         return count;
     }
 
-    /** Stores a prompt's blocks, or marks them as used. A prompt's first block is given up last. */
+    /** Stores a prompt's blocks or marks them as used. A prompt's first block is evicted last. */
     add(version: string, blocks: readonly string[]): void {
         for (const block of [...blocks].reverse()) {
             const key = getKey(version, block);
@@ -102,13 +102,13 @@
         this.#evict();
     }
 
-    /** Forgets everything. */
+    /** Removes all blocks. */
     clear(): void {
         this.#blocks.clear();
         this.#publish("cleared", "", "");
     }
 
-    /** Returns the events from a sequence number on that have become visible, and the number to ask for next. */
+    /** Returns the visible events from a sequence number on, and the sequence number for the next call. */
     getEvents(from: number): { readonly events: readonly CacheEvent[]; readonly next: number; } {
         const visibleAt = this.#clock.monotonic() - this.#getLimits().cacheEventLagMilliseconds;
         const events: CacheEvent[] = [];
--- a/src/standins/index.ts
+++ b/src/standins/index.ts
@@ -1,12 +1,12 @@
-/** Small stand-ins for the platform and the upstreams, for tests and the demo. */
+/** Stand-ins for the platform's services and the upstreams, for tests and the demo. */
 export { type Address, formatAddress, parseAddress } from "./address.js";
 export {
     type CacheEvent,
     getAnswerHash,
     getAnswerQuality,
     ModelEngine,
-    type OrderNote,
-    type RunNote,
+    type OrderJournalEntry,
+    type RunJournalEntry,
 } from "./engine/index.js";
 export { LogService } from "./logService.js";
 export { PlainService } from "./plainService.js";
--- a/src/standins/logService.ts
+++ b/src/standins/logService.ts
@@ -8,27 +8,27 @@
 import { type Failure, RandomSource, systemClock } from "../common/index.js";
 import type { LogRecord } from "../log/index.js";
 import type { Address } from "./address.js";
-import { amount, commonConditions, Conditions, probability } from "./conditions.js";
+import { commonConditions, Conditions, nonNegativeNumber, probability } from "./conditions.js";
 import { LogStream } from "./logStream.js";
-import { answerProblem, dropConnection, readJson, StandinServer } from "./standinServer.js";
+import { dropConnection, readJson, sendProblem, StandinServer } from "./standinServer.js";
 import { TokenBucket } from "./tokenBucket.js";
 
-const recordBytesLimit = 256 * 1024;
-const pageLimit = 1000;
-const waitLimitMilliseconds = 30_000;
+const maxRecordBytes = 256 * 1024;
+const maxPageEntries = 1000;
+const maxWaitMilliseconds = 30_000;
 
 const schema = z.strictObject({
     ...commonConditions,
-    appendsPerSecond: amount.default(400),
-    /** Entries that each stream keeps. */
-    retainCount: amount.default(100_000),
-    retainMilliseconds: amount.default(3_600_000),
-    /** So many of the next appends take effect, then lose their connection. */
-    lostAcknowledgements: amount.default(0),
-    /** Each append takes effect and then loses its connection with this probability. */
+    appendsPerSecond: nonNegativeNumber.default(400),
+    /** Maximum number of entries that each stream retains. */
+    retainCount: nonNegativeNumber.default(100_000),
+    retainMilliseconds: nonNegativeNumber.default(3_600_000),
+    /** Number of upcoming appends that take effect and then lose their connection. */
+    lostAcknowledgements: nonNegativeNumber.default(0),
+    /** Probability that an append takes effect and then loses its connection. */
     lostAcknowledgementProbability: probability.default(0),
-    /** So many of the next appends lose their connection without taking effect. */
-    lostAppends: amount.default(0),
+    /** Number of upcoming appends that lose their connection without taking effect. */
+    lostAppends: nonNegativeNumber.default(0),
 });
 
 const recordSchema = z.object({
@@ -41,7 +41,7 @@
 
 const expirySchema = z.object({ stream: z.string(), offset: z.number().int().min(0) });
 
-/** What the log notes of an append. */
+/** Journal entry of an append. */
 interface AppendJournalEntry {
     readonly stream: string;
     readonly offset: number;
@@ -52,7 +52,7 @@
     readonly acknowledged: boolean;
 }
 
-/** A log service with offsets, rate limit, retention, outages and lost acknowledgements. */
+/** A log service with offsets, a rate limit, retention, outages and lost acknowledgements. */
 export class LogService {
     readonly #conditions: Conditions<z.infer<typeof schema>>;
     readonly #server: StandinServer;
@@ -74,12 +74,12 @@
         });
     }
 
-    /** Listens; returns the address in use. */
+    /** Starts listening and returns the address in use. */
     start(): Promise<Address> {
         return this.#server.start();
     }
 
-    /** Ends the waits of readers and stops listening. */
+    /** Stops listening and wakes the waiting readers, so that their requests end. */
     async stop(): Promise<void> {
         const stopped = this.#server.stop();
         this.#wakeReaders();
@@ -87,8 +87,8 @@
     }
 
     /**
-     * Changes conditions; `expireBefore: {stream, offset}` forgets the entries before an offset at once.
-     * @param change - As the body of `POST /faults`.
+     * Changes conditions. `expireBefore: {stream, offset}` immediately removes the entries before an offset.
+     * @param change - The body of `POST /faults`.
      */
     changeConditions(change: object): Result<unknown, Failure> {
         const { expireBefore, ...conditions } = change as Record<string, unknown>;
@@ -116,20 +116,20 @@
         const body = await readJson(context);
         const parsed = recordSchema.safeParse(body);
         if (!parsed.success) {
-            answerProblem(context, 400, "bad-record", z.prettifyError(parsed.error));
+            sendProblem(context, 400, "bad-record", z.prettifyError(parsed.error));
             return;
         }
-        if (JSON.stringify(body).length > recordBytesLimit) {
-            answerProblem(context, 413, "too-large", "A record has at most 256 KiB. Split it.");
+        if (JSON.stringify(body).length > maxRecordBytes) {
+            sendProblem(context, 413, "too-large", "The record is larger than 256 KiB. Split it.");
             return;
         }
         if (this.#consumeFault("lostAppends")) {
             dropConnection(context);
             return;
         }
-        if (!this.#bucket.take()) {
+        if (!this.#bucket.tryTake()) {
             context.set("Retry-After", "1");
-            answerProblem(context, 429, "rate-limit", "Too many appends a second. Append fewer, larger records.");
+            sendProblem(context, 429, "rate-limit", "Too many appends per second. Append fewer, larger records.");
             return;
         }
         this.#finishAppend(context, name, { ...parsed.data, body: parsed.data.body });
@@ -152,14 +152,14 @@
         const stream = this.#getStream(name);
         const requestedFrom = String(context.query.from ?? "0");
         const from = requestedFrom === "latest" ? stream.getNextOffset() : Number(requestedFrom);
-        const limit = Math.min(pageLimit, Number(context.query.limit ?? pageLimit));
-        const wait = Math.min(waitLimitMilliseconds, Number(context.query.wait ?? 0));
+        const limit = Math.min(maxPageEntries, Number(context.query.limit ?? maxPageEntries));
+        const wait = Math.min(maxWaitMilliseconds, Number(context.query.wait ?? 0));
         if (requestedFrom !== "latest" && from >= stream.getNextOffset() && wait > 0) {
             await stream.waitForAppend(wait);
         }
         this.#expire(stream);
         if (this.#conditions.get().outage !== "none") {
-            // A reader that waited into an outage loses its connection, as it would with the real service.
+            // An outage that starts while a reader waits closes the reader's connection, as with the real service.
             dropConnection(context);
             return;
         }
@@ -179,7 +179,7 @@
         return lostAcknowledgementProbability > 0 && this.#random.next() < lostAcknowledgementProbability;
     }
 
-    /** Counts one of the next so many down; returns whether there was one. */
+    /** Decrements the counter of a fault. Returns whether the fault applies to this append. */
     #consumeFault(key: "lostAcknowledgements" | "lostAppends"): boolean {
         const remaining = this.#conditions.get()[key];
         if (remaining < 1) {
--- a/src/standins/logStream.ts
+++ b/src/standins/logStream.ts
@@ -1,9 +1,9 @@
 /**
- * One stream of the log stand-in.
+ * One stream of the log service stand-in.
  */
 import type { LogEntry, LogPage, LogRecord } from "../log/index.js";
 
-/** Keeps a stream's entries within its retention and wakes readers that wait for the next one. */
+/** Stores a stream's entries within its retention limits and wakes readers that wait for the next entry. */
 export class LogStream {
     #entries: LogEntry[] = [];
     #earliestOffset = 0;
@@ -14,13 +14,13 @@
         return this.#earliestOffset + this.#entries.length;
     }
 
-    /** Returns the oldest offset that is still kept. */
+    /** Returns the earliest offset that is still retained. */
     getEarliestOffset(): number {
         return this.#earliestOffset;
     }
 
     /**
-     * Appends a record and wakes the readers that wait.
+     * Appends a record and wakes the waiting readers.
      * @param record - The record.
      * @param time - Wall-clock milliseconds.
      */
@@ -33,8 +33,8 @@
 
     /**
      * Reads a part of the stream.
-     * @param from - First offset; not older than the earliest one.
-     * @param limit - Greatest number of entries.
+     * @param from - First offset, not before the earliest retained one.
+     * @param limit - Maximum number of entries.
      */
     read(from: number, limit: number): LogPage {
         const start = from - this.#earliestOffset;
@@ -44,8 +44,8 @@
     }
 
     /**
-     * Forgets the entries before an offset.
-     * @param offset - The first offset to keep.
+     * Removes the entries before an offset.
+     * @param offset - The first offset to retain.
      */
     removeBefore(offset: number): void {
         const count = Math.min(this.#entries.length, Math.max(0, offset - this.#earliestOffset));
@@ -54,23 +54,23 @@
     }
 
     /**
-     * Forgets what is beyond retention.
-     * @param count - Greatest number of entries to keep.
-     * @param since - Wall-clock milliseconds; older entries go.
+     * Removes the entries that exceed the retention limits.
+     * @param maxCount - Maximum number of entries to retain.
+     * @param minTime - Wall-clock milliseconds. Entries before this time are removed.
      */
-    expire(count: number, since: number): void {
-        let excess = Math.max(0, this.#entries.length - count);
-        while (excess < this.#entries.length && this.#entries[excess].time < since) {
-            excess += 1;
+    expire(maxCount: number, minTime: number): void {
+        let expiredCount = Math.max(0, this.#entries.length - maxCount);
+        while (expiredCount < this.#entries.length && this.#entries[expiredCount].time < minTime) {
+            expiredCount += 1;
         }
-        if (excess > 0) {
-            this.removeBefore(this.#earliestOffset + excess);
+        if (expiredCount > 0) {
+            this.removeBefore(this.#earliestOffset + expiredCount);
         }
     }
 
     /**
-     * Waits for the next append, a wake-up or the end of the time.
-     * @param milliseconds - How long at most.
+     * Waits for the next append, a call of `wakeWaiters` or the timeout.
+     * @param milliseconds - Timeout.
      */
     waitForAppend(milliseconds: number): Promise<void> {
         return new Promise(resolve => {
@@ -84,7 +84,7 @@
         });
     }
 
-    /** Wakes all readers that wait. */
+    /** Wakes all waiting readers. */
     wakeWaiters(): void {
         for (const waiter of [...this.#waiters]) {
             waiter();
--- a/src/standins/main.ts
+++ b/src/standins/main.ts
@@ -14,7 +14,7 @@
     const journal = new Journal({ process: `${kind} ${address}`, clock: systemClock });
     let stopping: Promise<void> | undefined;
     for (const signal of ["SIGTERM", "SIGINT"] as const) {
-        // A second signal finds the shutdown under way; without a listener it would cut answers off.
+        // A second signal does not start another shutdown. Without a listener it would end the process and cut off answers.
         process.on(signal, () => void (stopping ??= stop(standin, journal)));
     }
     journal.write(events.processStarted, { address });
--- a/src/standins/plainService.ts
+++ b/src/standins/plainService.ts
@@ -1,5 +1,5 @@
 /**
- * Stand-in for a plain application service, such as one that books pickups. It counts what it ran.
+ * Stand-in for a plain application service, such as one that books pickups. It journals each call that took effect.
  */
 import type Koa from "koa";
 import { text } from "node:stream/consumers";
@@ -8,29 +8,29 @@
 import { systemClock } from "../common/index.js";
 import type { LoadReport } from "../world/index.js";
 import type { Address } from "./address.js";
-import { amount, commonConditions, Conditions, flag } from "./conditions.js";
-import { answerProblem, dropConnection, StandinServer } from "./standinServer.js";
+import { commonConditions, Conditions, flag, nonNegativeNumber } from "./conditions.js";
+import { dropConnection, sendProblem, StandinServer } from "./standinServer.js";
 
 const schema = z.strictObject({
     ...commonConditions,
     name: z.string().default("service"),
-    capacity: amount.default(16),
-    /** How long a call works after it took effect and before its answer. */
-    workMilliseconds: amount.default(0),
+    capacity: nonNegativeNumber.default(16),
+    /** Time between a call taking effect and its answer. */
+    workMilliseconds: nonNegativeNumber.default(0),
     leaving: flag.default(false),
-    /** So many of the next calls take effect, then lose their connection. */
-    dropAfterRun: amount.default(0),
-    /** So many of the next calls lose their connection without taking effect. */
-    dropBeforeRun: amount.default(0),
-    /** So many of the next calls are neither run nor answered. */
-    hang: amount.default(0),
-    /** So many of the next calls take effect and are never answered. */
-    hangAfterRun: amount.default(0),
+    /** Number of upcoming calls that take effect and then lose their connection. */
+    dropAfterRun: nonNegativeNumber.default(0),
+    /** Number of upcoming calls that lose their connection without taking effect. */
+    dropBeforeRun: nonNegativeNumber.default(0),
+    /** Number of upcoming calls that neither take effect nor are answered. */
+    hang: nonNegativeNumber.default(0),
+    /** Number of upcoming calls that take effect and are never answered. */
+    hangAfterRun: nonNegativeNumber.default(0),
 });
 
 type FaultCounter = "dropAfterRun" | "dropBeforeRun" | "hang" | "hangAfterRun";
 
-/** What the service notes of a call that took effect. */
+/** Journal entry of a call that took effect. */
 interface RunJournalEntry {
     readonly run: number;
     readonly time: number;
@@ -41,7 +41,7 @@
     readonly body: string;
 }
 
-/** A plain service whose every call takes effect at once and is noted. */
+/** A plain service in which each call takes effect immediately and is journaled. */
 export class PlainService {
     readonly #conditions: Conditions<z.infer<typeof schema>>;
     readonly #server: StandinServer;
@@ -64,19 +64,19 @@
         });
     }
 
-    /** Listens; returns the address in use. */
+    /** Starts listening and returns the address in use. */
     start(): Promise<Address> {
         return this.#server.start();
     }
 
-    /** Stops listening. */
+    /** Stops listening and closes all connections. */
     stop(): Promise<void> {
         return this.#server.stop();
     }
 
     async #serve(context: Koa.Context): Promise<void> {
         if (this.#conditions.get().leaving) {
-            answerProblem(context, 409, "leaving", "This service is leaving. Use another.");
+            sendProblem(context, 409, "leaving", "This service is leaving. Use another service.");
             return;
         }
         this.#activeCount += 1;
--- a/src/standins/proxy/faultProxy.ts
+++ b/src/standins/proxy/faultProxy.ts
@@ -1,5 +1,5 @@
 /**
- * The fault-injecting proxy: leads TCP connections to their targets and delays, holds, drops or breaks them.
+ * Fault-injecting proxy. It forwards TCP connections to their targets and delays, holds back, drops or breaks them.
  */
 import type Router from "@koa/router";
 import type Koa from "koa";
@@ -7,17 +7,17 @@
 import { z } from "zod";
 import { Failure } from "../../common/index.js";
 import { type Address, formatAddress, parseAddress } from "../address.js";
-import { answerProblem, readJson, StandinServer } from "../standinServer.js";
+import { readJson, sendProblem, StandinServer } from "../standinServer.js";
 import { type ConnectionJournalEntry, ProxyRoute } from "./proxyRoute.js";
 
 const routeSchema = z.strictObject({ listen: z.string(), target: z.string() });
 
 const schema = z.strictObject({
-    /** Routes at the start, by name. */
+    /** Initial routes by name. */
     route: z.record(z.string(), routeSchema).default({}),
 });
 
-/** Listeners with names, each of which leads to a target; faults are switched by route. */
+/** Forwards connections along named routes. Each route has a listener, a target and its own faults. */
 export class FaultProxy {
     readonly #server: StandinServer;
     readonly #routes = new Map<string, ProxyRoute>();
@@ -52,19 +52,19 @@
     }
 
     /**
-     * Opens a route; one of the same name ends.
-     * @returns Where the route listens.
+     * Opens a route and stops an existing route of the same name.
+     * @returns The address at which the route listens.
      */
     async addRoute(name: string, listen: Address, target: Address): Promise<Address> {
         await this.#routes.get(name)?.stop();
-        const route = new ProxyRoute({ name, listen, target, onConnection: note => this.#journal.push(note) });
+        const route = new ProxyRoute({ name, listen, target, onConnection: entry => this.#journal.push(entry) });
         this.#routes.set(name, route);
         return route.start();
     }
 
     /**
-     * Changes faults of the route that `route` names, or of all routes.
-     * @param change - As the body of `POST /faults`.
+     * Changes faults of the route named by `route`, or of all routes without it.
+     * @param change - The body of `POST /faults`.
      */
     async changeFaults(change: object): Promise<Result<unknown, Failure>> {
         const { route: name, ...faults } = change as Record<string, unknown>;
@@ -93,7 +93,7 @@
     async #putRoute(context: Koa.Context, name: string): Promise<void> {
         const parsed = routeSchema.safeParse(await readJson(context));
         if (!parsed.success) {
-            answerProblem(context, 400, "bad-route", z.prettifyError(parsed.error));
+            sendProblem(context, 400, "bad-route", z.prettifyError(parsed.error));
             return;
         }
         const address = await this.addRoute(name, parseAddress(parsed.data.listen), parseAddress(parsed.data.target));
--- a/src/standins/proxy/index.ts
+++ b/src/standins/proxy/index.ts
@@ -1,4 +1,4 @@
-/** The fault-injecting proxy. */
+/** Fault-injecting proxy. */
 export { FaultProxy } from "./faultProxy.js";
-export type { ConnectionJournalEntry as ConnectionNote } from "./proxyRoute.js";
+export type { ConnectionJournalEntry } from "./proxyRoute.js";
 export type { RouteFaults } from "./routeFaults.js";
--- a/src/standins/proxy/proxyRoute.ts
+++ b/src/standins/proxy/proxyRoute.ts
@@ -1,5 +1,5 @@
 /**
- * One route through the proxy: a listener that leads to a target.
+ * One route through the proxy: a listener whose connections are forwarded to a target.
  */
 import type { Result } from "neverthrow";
 import { type AddressInfo, connect, createServer, type Server, type Socket } from "node:net";
@@ -10,7 +10,7 @@
 import { resetSocket } from "./resetSocket.js";
 import { type RouteFaults, routeFaultSchema } from "./routeFaults.js";
 
-/** What the proxy notes of a connection. */
+/** Journal entry of a connection. */
 export interface ConnectionJournalEntry {
     readonly route: string;
     readonly openedAt: number;
@@ -19,14 +19,14 @@
     fromTarget: number;
 }
 
-/** What a route is made from. */
+/** Options of a route. */
 export interface ProxyRouteOptions {
     readonly name: string;
     readonly listen: Address;
     readonly target: Address;
     readonly faults?: object;
-    /** Takes the note of each connection as it opens. */
-    readonly onConnection: (onConnection: ConnectionJournalEntry) => void;
+    /** Called with the journal entry of each connection when the connection opens. */
+    readonly onConnection: (entry: ConnectionJournalEntry) => void;
 }
 
 interface Connection {
@@ -34,7 +34,7 @@
     readonly pumps: readonly Pump[];
 }
 
-/** Leads connections to a target and applies faults to them. */
+/** Forwards connections to a target and applies faults to them. */
 export class ProxyRoute {
     readonly #options: ProxyRouteOptions;
     readonly #faults: Conditions<RouteFaults>;
@@ -53,12 +53,12 @@
         return this.#faults.get();
     }
 
-    /** Returns where the route listens. */
+    /** Returns the address at which the route listens. */
     getAddress(): Address {
         return this.#address;
     }
 
-    /** Listens; returns the address in use. */
+    /** Starts listening and returns the address in use. */
     async start(): Promise<Address> {
         const server = createServer({ allowHalfOpen: true }, socket => this.#accept(socket));
         const { host, port } = this.#address;
@@ -75,14 +75,14 @@
     async stop(): Promise<void> {
         const server = this.#server;
         this.#server = undefined;
-        this.#breakAll(() => true);
+        this.#breakConnections(() => true);
         if (server !== undefined) {
             await new Promise<void>(resolve => server.close(() => resolve()));
         }
     }
 
     /**
-     * Changes some faults and leaves the others.
+     * Changes some faults and leaves the others as they are.
      * @param change - Keys with their new values.
      */
     async changeFaults(change: object): Promise<Result<unknown, Failure>> {
@@ -98,8 +98,8 @@
             await this.start();
         }
         if (!halfOpen && oneWay === "none") {
-            // A connection that lost bytes would deliver a text with a hole in it, which no real network does.
-            this.#breakAll(connection => connection.pumps.some(pump => pump.hasDroppedBytes()));
+            // A connection that lost bytes would deliver data with a gap, which no real network does.
+            this.#breakConnections(connection => connection.pumps.some(pump => pump.hasDroppedBytes()));
         }
         for (const connection of this.#connections) {
             for (const pump of connection.pumps) {
@@ -151,9 +151,9 @@
         }
     }
 
-    #breakAll(isBroken: (connection: Connection) => boolean): void {
+    #breakConnections(shouldBreak: (connection: Connection) => boolean): void {
         for (const connection of this.#connections) {
-            if (isBroken(connection)) {
+            if (shouldBreak(connection)) {
                 breakSockets(connection.sockets);
             }
         }
--- a/src/standins/proxy/pump.ts
+++ b/src/standins/proxy/pump.ts
@@ -1,14 +1,14 @@
 /**
- * Carries the bytes of one direction of a connection, through whatever faults are in force.
+ * Forwards the bytes of one direction of a connection and applies the faults in force.
  */
 import type { Socket } from "node:net";
 import { systemClock } from "../../common/index.js";
 import type { Direction, RouteFaults } from "./routeFaults.js";
 
-/** Above this the sender is held back. */
-const queuedBytesLimit = 1024 * 1024;
+/** From this number of queued bytes on, reading from the sender is paused. */
+const maxQueuedBytes = 1024 * 1024;
 
-/** What a pump is made from. */
+/** Options of a pump. */
 export interface PumpOptions {
     readonly direction: Direction;
     readonly from: Socket;
@@ -18,21 +18,21 @@
     readonly breakConnection: () => void;
 }
 
-/** Bytes on their way, or the end of the connection after them. */
+/** Bytes to deliver, or the end of the connection after them. */
 interface QueuedChunk {
     readonly dueAt: number;
     readonly bytes: Buffer | undefined;
     readonly end: "none" | "close" | "break";
 }
 
-/** One direction of a connection. */
+/** Forwards one direction of a connection. */
 export class Pump {
     readonly #options: PumpOptions;
     #queue: QueuedChunk[] = [];
     #queuedBytes = 0;
     #deliveredBytes = 0;
-    /** What had arrived when faults last changed; the bytes after which to break are counted from there. */
-    #deliveredAtFaultChange = 0;
+    /** Bytes delivered when the faults last changed. `cutAfterBytes` is counted from there. */
+    #deliveredBytesAtFaultChange = 0;
     #hasDroppedBytes = false;
     #timer: NodeJS.Timeout | undefined;
 
@@ -46,23 +46,23 @@
         to.on("drain", () => this.deliver());
     }
 
-    /** Returns how many bytes arrived. */
+    /** Returns the number of delivered bytes. */
     getDeliveredBytes(): number {
         return this.#deliveredBytes;
     }
 
-    /** Returns whether bytes were dropped. Such a connection can't go on once the fault is lifted. */
+    /** Returns whether bytes were dropped. Such a connection can't continue after the fault is lifted. */
     hasDroppedBytes(): boolean {
         return this.#hasDroppedBytes;
     }
 
-    /** Takes up changed faults. */
+    /** Applies changed faults. */
     applyFaults(): void {
-        this.#deliveredAtFaultChange = this.#deliveredBytes;
+        this.#deliveredBytesAtFaultChange = this.#deliveredBytes;
         this.deliver();
     }
 
-    /** Delivers what is due. */
+    /** Delivers the chunks that are due. */
     deliver(): void {
         clearTimeout(this.#timer);
         const { to, from, getFaults } = this.#options;
@@ -76,7 +76,7 @@
             this.#queue.shift();
             this.#deliverChunk(chunk);
         }
-        if (this.#queuedBytes < queuedBytesLimit) {
+        if (this.#queuedBytes < maxQueuedBytes) {
             from.resume();
         }
     }
@@ -89,7 +89,7 @@
         }
         this.#queue.push({ dueAt: systemClock.monotonic() + delayMilliseconds, bytes, end });
         this.#queuedBytes += bytes?.length ?? 0;
-        if (this.#queuedBytes >= queuedBytesLimit) {
+        if (this.#queuedBytes >= maxQueuedBytes) {
             this.#options.from.pause();
         }
         this.deliver();
@@ -117,12 +117,12 @@
         to.write(allowedBytes);
     }
 
-    /** Returns how many bytes may still arrive before the connection is to break. */
+    /** Returns how many bytes may still be delivered before the connection breaks. */
     #getRemainingBytes(): number {
         const { cutAfterBytes } = this.#options.getFaults();
         if (cutAfterBytes === 0 || this.#options.direction === "to-target") {
             return Number.MAX_SAFE_INTEGER;
         }
-        return Math.max(0, cutAfterBytes - (this.#deliveredBytes - this.#deliveredAtFaultChange));
+        return Math.max(0, cutAfterBytes - (this.#deliveredBytes - this.#deliveredBytesAtFaultChange));
     }
 }
--- a/src/standins/proxy/resetSocket.ts
+++ b/src/standins/proxy/resetSocket.ts
@@ -1,11 +1,11 @@
 /**
- * Resets connections, also those whose end is on its way.
+ * Resets connections, including those whose FIN is being sent.
  */
 import type { Socket } from "node:net";
 
 /**
- * Breaks a connection with a reset. While the end that was written to a socket is being sent, Node fails the reset (EINVAL) and never
- * closes the handle; the process then spins in its own exit without end. Such a socket is reset as soon as the end was sent.
+ * Breaks a connection with a reset. While the FIN of an ended socket is being sent, Node fails the reset with EINVAL and never
+ * closes the handle. The process then loops at exit and never ends. Such a socket is reset after its FIN was sent.
  * @param socket - One side of the connection.
  */
 export function resetSocket(socket: Socket): void {
--- a/src/standins/ratingService.ts
+++ b/src/standins/ratingService.ts
@@ -1,20 +1,20 @@
 /**
- * Stand-in for the rating service. It reads the true quality that the engine stand-in wrote into the answer.
+ * Stand-in for the rating service. It derives scores from the true quality that the engine stand-in writes into answers.
  */
 import type Router from "@koa/router";
 import type Koa from "koa";
 import { z } from "zod";
 import { systemClock } from "../common/index.js";
 import type { Address } from "./address.js";
-import { amount, commonConditions, Conditions, probability } from "./conditions.js";
+import { commonConditions, Conditions, nonNegativeNumber, probability } from "./conditions.js";
 import { createSeededRandom, getAnswerQuality } from "./engine/answer.js";
-import { answerProblem, readJson, StandinServer } from "./standinServer.js";
+import { readJson, sendProblem, StandinServer } from "./standinServer.js";
 
 const schema = z.strictObject({
     ...commonConditions,
     /** Standard deviation of the score around the true quality. */
-    noise: amount.default(0.05),
-    /** How often an answer is not rated. */
+    noise: nonNegativeNumber.default(0.05),
+    /** Probability that an answer is not rated. */
     missingProbability: probability.default(0),
 });
 
@@ -26,7 +26,7 @@
     answer: z.string(),
 });
 
-/** A rating service with noise, gaps and delay. */
+/** A rating service with noisy scores, missing ratings and delays. */
 export class RatingService {
     readonly #conditions: Conditions<z.infer<typeof schema>>;
     readonly #server: StandinServer;
@@ -43,12 +43,12 @@
         });
     }
 
-    /** Listens; returns the address in use. */
+    /** Starts listening and returns the address in use. */
     start(): Promise<Address> {
         return this.#server.start();
     }
 
-    /** Stops listening. */
+    /** Stops listening and closes all connections. */
     stop(): Promise<void> {
         return this.#server.stop();
     }
@@ -57,7 +57,7 @@
         router.post("/ratings", async context => {
             const parsed = ratingSchema.safeParse(await readJson(context));
             if (!parsed.success) {
-                answerProblem(context, 400, "bad-rating", z.prettifyError(parsed.error));
+                sendProblem(context, 400, "bad-rating", z.prettifyError(parsed.error));
                 return;
             }
             this.#rate(context, parsed.data);
@@ -71,7 +71,7 @@
             context.status = 204;
             return;
         }
-        // An answer without its end is cut off and worth nothing.
+        // A truncated answer lacks the quality at its end and counts as quality 0.
         const quality = getAnswerQuality(request.answer) ?? 0;
         const score = Math.min(1, Math.max(0, quality + noise * random.nextNormal()));
         this.#journal.push({
--- a/src/standins/settings.ts
+++ b/src/standins/settings.ts
@@ -1,12 +1,12 @@
 /**
- * Settings of a stand-in process: an INI file, and arguments of the form `key=value` that go before it.
+ * Settings of a stand-in process: an INI file, and arguments of the form `key=value` after it, which override it.
  */
 import { parse } from "ini";
 import { readFileSync } from "node:fs";
 import { Failure } from "../common/index.js";
 import { type Address, parseAddress } from "./address.js";
 
-/** What the command line asks for. */
+/** Parsed command line of a stand-in process. */
 export interface StandinCommand {
     readonly kind: string;
     readonly listen: Address;
@@ -16,8 +16,8 @@
 type Section = Record<string, unknown>;
 
 /**
- * Reads the command line `KIND --listen ADDRESS [--settings FILE] [KEY=VALUE ...]`.
- * A key such as `version.plan@2.quality.wear-tag` stands for key `quality.wear-tag` in section `[version.plan@2]`.
+ * Parses the command line `KIND --listen ADDRESS [--settings FILE] [KEY=VALUE ...]`.
+ * A key such as `version.plan@2.quality.wear-tag` sets the key `quality.wear-tag` of section `[version.plan@2]`.
  */
 export function readCommand(args: readonly string[]): StandinCommand {
     const [kind, ...rest] = args;
@@ -38,7 +38,7 @@
         setValue(settings, argument);
     }
     if (kind === undefined || listen === undefined) {
-        throw createUsageFailure("A stand-in needs its kind and --listen.");
+        throw createUsageFailure("KIND and --listen are required.");
     }
     return { kind, listen, settings };
 }
@@ -46,7 +46,7 @@
 function setValue(settings: Section, argument: string): void {
     const separator = argument.indexOf("=");
     if (separator < 1) {
-        throw createUsageFailure(`"${argument}" is no setting.`);
+        throw createUsageFailure(`"${argument}" is not a setting of the form KEY=VALUE.`);
     }
     const value = argument.slice(separator + 1);
     const [first, name, ...rest] = argument.slice(0, separator).split(".");
@@ -54,15 +54,15 @@
         settings[first] = value;
         return;
     }
-    const group = getSection(settings, first);
+    const group = getOrCreateSection(settings, first);
     if (rest.length === 0) {
         group[name] = value;
         return;
     }
-    getSection(group, name)[rest.join(".")] = value;
+    getOrCreateSection(group, name)[rest.join(".")] = value;
 }
 
-function getSection(parent: Section, name: string): Section {
+function getOrCreateSection(parent: Section, name: string): Section {
     const section = (parent[name] ?? {}) as Section;
     parent[name] = section;
     return section;
@@ -72,6 +72,6 @@
     return new Failure({
         kind: "invalid-input",
         message,
-        remedy: "Write KIND --listen IP-NUMBER:PORT [--settings FILE] [KEY=VALUE ...].",
+        remedy: "Use KIND --listen IP-ADDRESS:PORT [--settings FILE] [KEY=VALUE ...].",
     });
 }
--- a/src/standins/standin.ts
+++ b/src/standins/standin.ts
@@ -1,5 +1,5 @@
 /**
- * The kinds of stand-ins.
+ * Creates stand-ins by their kind.
  */
 import { Failure } from "../common/index.js";
 import type { Address } from "./address.js";
@@ -13,9 +13,9 @@
 
 /** A stand-in of any kind. */
 export interface Standin {
-    /** Listens; returns the address in use. */
+    /** Starts listening and returns the address in use. */
     start(): Promise<Address>;
-    /** Stops listening. */
+    /** Stops listening and closes all connections. */
     stop(): Promise<void>;
 }
 
@@ -32,10 +32,10 @@
 ]);
 
 /**
- * Makes a stand-in.
- * @param kind - One of the kinds.
- * @param listen - Where it will listen.
- * @param settings - Its conditions at the start.
+ * Creates a stand-in.
+ * @param kind - Kind of the stand-in, such as `engine`.
+ * @param listen - Address to listen at.
+ * @param settings - Initial conditions.
  */
 export function createStandin(kind: string, listen: Address, settings: object = {}): Standin {
     const constructor = constructors.get(kind);
--- a/src/standins/standinServer.ts
+++ b/src/standins/standinServer.ts
@@ -1,5 +1,5 @@
 /**
- * The HTTP server that all stand-ins share: test controls, outage and delay.
+ * HTTP server that all stand-ins share. It adds control routes for tests, outages and delays.
  */
 import Router from "@koa/router";
 import Koa from "koa";
@@ -14,12 +14,12 @@
 import type { Address } from "./address.js";
 import type { CommonConditions, TlsFiles } from "./conditions.js";
 
-/** After this long a stop closes connections that are still at work. */
+/** Time after which `stop` closes connections whose answers are still in progress. */
 const stopTimeoutMilliseconds = 1000;
 const idleSweepMilliseconds = 20;
 const controlPaths: readonly string[] = ["/faults", "/journal"];
 
-/** What a stand-in brings to its server. */
+/** Options of a stand-in's server. */
 export interface StandinServerOptions {
     readonly listen: Address;
     readonly getConditions: () => CommonConditions;
@@ -27,10 +27,10 @@
     readonly getJournal: () => readonly unknown[];
     /** Adds the stand-in's own routes. */
     readonly addRoutes: (router: Router) => void;
-    /** Answers whatever no route matches. */
+    /** Handles requests that match no route. */
     readonly fallback?: Koa.Middleware;
-    /** Marks paths that outage and delay pass over, such as controls of the test. */
-    readonly isControl?: (context: Koa.Context) => boolean;
+    /** Returns whether a request is exempt from outage and delay, such as one that a test sends to control the stand-in. */
+    readonly isControlRequest?: (context: Koa.Context) => boolean;
 }
 
 /** Serves one stand-in over HTTP. */
@@ -43,10 +43,10 @@
         this.#options = options;
         const application = new Koa();
         application.silent = true;
-        application.use(answerFailures);
+        application.use(handleErrors);
         application.use((context, next) => this.#applyConditions(context, next));
         const router = new Router();
-        this.#addControls(router);
+        this.#addControlRoutes(router);
         options.addRoutes(router);
         application.use(router.routes());
         if (options.fallback !== undefined) {
@@ -59,7 +59,7 @@
         this.#tlsServer = tls && createMutualTlsServer(tls, listener);
     }
 
-    /** Listens; returns the address with the port in use. */
+    /** Starts listening and returns the address with the port in use. */
     async start(): Promise<Address> {
         const { host } = this.#options.listen;
         const port = await listen(this.#server, this.#options.listen);
@@ -70,13 +70,13 @@
         return { host, port };
     }
 
-    /** Stops listening, lets answers under way end within a bound, and closes all connections. */
+    /** Stops listening, waits for answers in progress up to a timeout, and closes all connections. */
     async stop(): Promise<void> {
         await Promise.all([this.#server, this.#tlsServer].map(server => server && stopServer(server)));
     }
 
     async #applyConditions(context: Koa.Context, next: Koa.Next): Promise<void> {
-        if (controlPaths.includes(context.path) || this.#options.isControl?.(context) === true) {
+        if (controlPaths.includes(context.path) || this.#options.isControlRequest?.(context) === true) {
             return next();
         }
         const { outage, delayMilliseconds } = this.#options.getConditions();
@@ -85,7 +85,7 @@
             return;
         }
         if (outage === "answer") {
-            answerProblem(context, 503, "outage", "The service is away. Try again later.");
+            sendProblem(context, 503, "outage", "The service is unavailable. Try again later.");
             return;
         }
         if (delayMilliseconds > 0) {
@@ -94,14 +94,14 @@
         return next();
     }
 
-    #addControls(router: Router): void {
+    #addControlRoutes(router: Router): void {
         router.get("/faults", context => {
             context.body = this.#options.getConditions();
         });
         router.post("/faults", async context => {
             const changed = await this.#options.changeConditions(await readJson(context) as object);
             if (changed.isErr()) {
-                answerProblem(context, 400, changed.error.kind, changed.error.message);
+                sendProblem(context, 400, changed.error.kind, changed.error.message);
                 return;
             }
             context.body = this.#options.getConditions();
@@ -113,30 +113,30 @@
     }
 }
 
-/** Reads the JSON body of a request; answers 400 to anything else. */
+/** Reads the JSON body of a request. Any other body is answered with 400. */
 export async function readJson(context: Koa.Context): Promise<unknown> {
     try {
         return await json(context.req);
     }
     catch {
-        return context.throw(400, "The body is no JSON. Send a JSON object.");
+        return context.throw(400, "The body is not JSON. Send a JSON object.");
     }
 }
 
 /** Answers with a problem document. */
-export function answerProblem(context: Koa.Context, status: number, type: string, detail: string): void {
+export function sendProblem(context: Koa.Context, status: number, type: string, detail: string): void {
     context.status = status;
     context.body = { type, status, title: type, detail };
     context.type = "application/problem+json";
 }
 
-/** Closes the connection without an answer, as a broken network does. */
+/** Closes the connection without an answer, as a network failure does. */
 export function dropConnection(context: Koa.Context): void {
     context.respond = false;
     context.req.socket.destroy();
 }
 
-/** Listens; returns the port in use. */
+/** Starts listening and returns the port in use. */
 function listen(server: Server, { host, port }: Address): Promise<number> {
     return new Promise((resolve, reject) => {
         server.once("error", reject);
@@ -144,7 +144,7 @@
     });
 }
 
-/** Lets answers under way end within a bound, and closes all connections. */
+/** Waits for answers in progress up to a timeout and closes all connections. */
 async function stopServer(server: Server): Promise<void> {
     const closed = new Promise<void>(resolve => server.close(() => resolve()));
     const sweepTimer = setInterval(() => server.closeIdleConnections(), idleSweepMilliseconds);
@@ -164,12 +164,12 @@
     }, listener);
 }
 
-async function answerFailures(context: Koa.Context, next: Koa.Next): Promise<void> {
+async function handleErrors(context: Koa.Context, next: Koa.Next): Promise<void> {
     try {
         await next();
     }
     catch (error) {
         const status = error instanceof Error && "status" in error ? Number(error.status) : 500;
-        answerProblem(context, status, "bad-request", error instanceof Error ? error.message : String(error));
+        sendProblem(context, status, "bad-request", error instanceof Error ? error.message : String(error));
     }
 }
--- a/src/standins/tokenBucket.ts
+++ b/src/standins/tokenBucket.ts
@@ -1,32 +1,32 @@
 /**
- * The rate limit of the platform's services.
+ * Rate limit of the platform's services.
  */
 import type { Clock } from "../common/index.js";
 
-/** Allows so many actions a second, and a burst of a quarter of that. */
+/** Allows a number of actions per second, with bursts of up to a quarter of that number. */
 export class TokenBucket {
     readonly #clock: Clock;
     readonly #getRate: () => number;
     #tokens: number;
-    #filledAt: number;
+    #refilledAt: number;
 
     /**
-     * @param clock - Tells the time.
-     * @param getRate - Gives the actions that are allowed a second; asked each time.
+     * @param clock - Time source.
+     * @param getRate - Returns the number of actions allowed per second. Called at each use, as the rate may change.
      */
     constructor(clock: Clock, getRate: () => number) {
         this.#clock = clock;
         this.#getRate = getRate;
         this.#tokens = this.#getBurst();
-        this.#filledAt = clock.monotonic();
+        this.#refilledAt = clock.monotonic();
     }
 
-    /** Takes one action's worth; returns whether the action is allowed. */
-    take(): boolean {
+    /** Takes a token if one is available. Returns whether the action is allowed. */
+    tryTake(): boolean {
         const now = this.#clock.monotonic();
-        const filled = this.#tokens + (now - this.#filledAt) / 1000 * this.#getRate();
-        this.#tokens = Math.min(this.#getBurst(), filled);
-        this.#filledAt = now;
+        const refilledTokens = this.#tokens + (now - this.#refilledAt) / 1000 * this.#getRate();
+        this.#tokens = Math.min(this.#getBurst(), refilledTokens);
+        this.#refilledAt = now;
         if (this.#tokens < 1) {
             return false;
         }
--- a/src/standins/vmList.ts
+++ b/src/standins/vmList.ts
@@ -8,8 +8,8 @@
 import { systemClock } from "../common/index.js";
 import type { Vm } from "../world/index.js";
 import type { Address } from "./address.js";
-import { amount, commonConditions, Conditions } from "./conditions.js";
-import { answerProblem, readJson, StandinServer } from "./standinServer.js";
+import { commonConditions, Conditions, nonNegativeNumber } from "./conditions.js";
+import { readJson, sendProblem, StandinServer } from "./standinServer.js";
 
 const vmSchema = z.object({
     id: z.string(),
@@ -25,9 +25,9 @@
 
 const schema = z.strictObject({
     ...commonConditions,
-    /** How far the answers lag behind the truth. */
-    lagMilliseconds: amount.default(0),
-    /** VMs at the start, by identifier. */
+    /** How far the answers lag behind the current state. */
+    lagMilliseconds: nonNegativeNumber.default(0),
+    /** Initial VMs by identifier. */
     vm: z.record(z.string(), vmSchema.omit({ id: true })).default({}),
 });
 
@@ -36,12 +36,15 @@
     readonly vms: ReadonlyMap<string, Vm>;
 }
 
-/** A VM list whose answers lag. `PUT` and `DELETE /vms/{id}` and `POST /vms/{id}/leaving` change the truth. */
+/**
+ * A VM list whose answers lag behind its current state. `PUT` and `DELETE /vms/{id}` and `POST /vms/{id}/leaving` change
+ * the current state.
+ */
 export class VmList {
     readonly #conditions: Conditions<z.infer<typeof schema>>;
     readonly #server: StandinServer;
     readonly #journal: object[] = [];
-    /** The first one counts as true for ever, so that a list is full from its start. */
+    /** The first snapshot is visible whatever the lag, so that the list is complete from the start. */
     #snapshots: Snapshot[];
 
     constructor(listen: Address, settings: object = {}) {
@@ -57,26 +60,26 @@
             changeConditions: change => this.#conditions.change(change),
             getJournal: () => this.#journal,
             addRoutes: router => this.#addRoutes(router),
-            isControl: context => context.method !== "GET",
+            isControlRequest: context => context.method !== "GET",
         });
     }
 
-    /** Listens; returns the address in use. */
+    /** Starts listening and returns the address in use. */
     start(): Promise<Address> {
         return this.#server.start();
     }
 
-    /** Stops listening. */
+    /** Stops listening and closes all connections. */
     stop(): Promise<void> {
         return this.#server.stop();
     }
 
-    /** Adds a VM or replaces the one with its identifier. */
+    /** Adds a VM or replaces the VM with the same identifier. */
     set(vm: Vm): void {
         this.#addSnapshot("set", vm.id, new Map(this.#getCurrentVms()).set(vm.id, vm));
     }
 
-    /** Takes a VM away. */
+    /** Removes a VM. */
     remove(id: string): void {
         const vms = new Map(this.#getCurrentVms());
         vms.delete(id);
@@ -88,7 +91,7 @@
             const { time, vms } = this.#getVisibleSnapshot();
             const list = [...vms.values()];
             context.body = { time, vms: list };
-            // The time is left out: it changes although the list does not.
+            // The ETag does not include the time, which changes even when the list does not.
             context.etag = createHash("sha1").update(JSON.stringify(list)).digest("base64url");
             if (context.fresh) {
                 context.status = 304;
@@ -105,7 +108,7 @@
     async #put(context: Koa.Context, id: string): Promise<void> {
         const parsed = vmSchema.safeParse({ ...await readJson(context) as object, id });
         if (!parsed.success) {
-            answerProblem(context, 400, "bad-vm", z.prettifyError(parsed.error));
+            sendProblem(context, 400, "bad-vm", z.prettifyError(parsed.error));
             return;
         }
         this.set(parsed.data);
@@ -115,7 +118,7 @@
     #markLeaving(context: Koa.Context, id: string): void {
         const vm = this.#getCurrentVms().get(id);
         if (vm === undefined) {
-            answerProblem(context, 404, "no-vm", `There is no VM ${id}. Add it with PUT /vms/${id}.`);
+            sendProblem(context, 404, "no-vm", `There is no VM ${id}. Add it with PUT /vms/${id}.`);
             return;
         }
         this.set({ ...vm, state: "leaving" });
@@ -126,7 +129,7 @@
         return this.#snapshots[this.#snapshots.length - 1].vms;
     }
 
-    /** Returns the newest state that the lag lets through, and forgets the older ones. */
+    /** Returns the latest snapshot that is visible under the lag, and removes the earlier ones. */
     #getVisibleSnapshot(): Snapshot {
         const visibleAt = systemClock.wall() - this.#conditions.get().lagMilliseconds;
         let index = this.#snapshots.length - 1;
--- a/src/standins/weightStore.ts
+++ b/src/standins/weightStore.ts
@@ -6,16 +6,16 @@
 import { z } from "zod";
 import { systemClock } from "../common/index.js";
 import type { Address } from "./address.js";
-import { amount, commonConditions, Conditions, list } from "./conditions.js";
-import { answerProblem, StandinServer } from "./standinServer.js";
+import { commonConditions, Conditions, nonNegativeNumber, stringList } from "./conditions.js";
+import { sendProblem, StandinServer } from "./standinServer.js";
 import { TokenBucket } from "./tokenBucket.js";
 
 const schema = z.strictObject({
     ...commonConditions,
-    /** Versions whose weights it holds. */
-    versions: list.default([]),
-    bytes: amount.default(1_000_000_000),
-    readsPerSecond: amount.default(20),
+    /** Versions whose weights the store has. */
+    versions: stringList.default([]),
+    bytes: nonNegativeNumber.default(1_000_000_000),
+    readsPerSecond: nonNegativeNumber.default(20),
 });
 
 /** A weight store with a rate limit. */
@@ -37,12 +37,12 @@
         });
     }
 
-    /** Listens; returns the address in use. */
+    /** Starts listening and returns the address in use. */
     start(): Promise<Address> {
         return this.#server.start();
     }
 
-    /** Stops listening. */
+    /** Stops listening and closes all connections. */
     stop(): Promise<void> {
         return this.#server.stop();
     }
@@ -51,14 +51,14 @@
         router.get("/weights/:version", context => {
             const { version } = context.params;
             const { versions, bytes } = this.#conditions.get();
-            if (!this.#bucket.take()) {
+            if (!this.#bucket.tryTake()) {
                 context.set("Retry-After", "1");
-                answerProblem(context, 429, "rate-limit", "Too many reads a second. Come back later.");
+                sendProblem(context, 429, "rate-limit", "Too many reads per second. Try again later.");
                 return;
             }
             this.#journal.push({ version, time: systemClock.wall() });
             if (!versions.includes(version)) {
-                answerProblem(context, 404, "no-version", `There is no version ${version}. Upload its weights first.`);
+                sendProblem(context, 404, "no-version", `There is no version ${version}. Upload its weights first.`);
                 return;
             }
             context.body = { version, bytes, digest: createHash("sha256").update(version).digest("hex") };
--- a/test/standins/engine/modelEngine.test.ts
+++ b/test/standins/engine/modelEngine.test.ts
@@ -6,12 +6,12 @@
     formatAddress,
     getAnswerHash,
     ModelEngine,
-    type RunNote,
+    type RunJournalEntry,
 } from "../../../src/standins/index.js";
 import { call, callJson, getJournal, type Reply, setFaults, waitUntil } from "../../../src/testbench/index.js";
 import type { LoadReport } from "../../../src/world/index.js";
 
-interface Question {
+interface ChatOptions {
     readonly id: string;
     readonly version?: string;
     readonly content?: string;
@@ -46,8 +46,8 @@
         await engine.stop();
     });
 
-    function requestChat(question: Question): Promise<Reply> {
-        const { id, version = "plan@1", content = "hello", stream = false, tokens = 8, priority = 1 } = question;
+    function requestChat(options: ChatOptions): Promise<Reply> {
+        const { id, version = "plan@1", content = "hello", stream = false, tokens = 8, priority = 1 } = options;
         return call({
             address,
             path: "/v1/chat/completions",
@@ -55,18 +55,18 @@
             headers: {
                 "X-Request-Id": id,
                 "X-Priority": String(priority),
-                "X-Request-Class": question.requestClass ?? "plan",
+                "X-Request-Class": options.requestClass ?? "plan",
             },
             body: { model: version, messages: [{ role: "user", content }], max_tokens: tokens, stream },
         });
     }
 
-    async function requestText(question: Question): Promise<string> {
-        return (JSON.parse((await requestChat(question)).text) as Completion).choices[0].message.content;
+    async function requestText(options: ChatOptions): Promise<string> {
+        return (JSON.parse((await requestChat(options)).text) as Completion).choices[0].message.content;
     }
 
-    async function getJournalEntry(id: string): Promise<RunNote | undefined> {
-        return (await getJournal<RunNote>(address)).find(note => note.id === id);
+    async function getJournalEntry(id: string): Promise<RunJournalEntry | undefined> {
+        return (await getJournal<RunJournalEntry>(address)).find(entry => entry.id === id);
     }
 
     function sendOrder(fencingToken: number, versions: readonly string[]): Promise<Reply> {
@@ -78,15 +78,15 @@
     }
 
     describe("answers", () => {
-        it("name their request and version and are the same each time", async () => {
+        it("contain their request and version and are the same each time", async () => {
             const text = await requestText({ id: "r1" });
             expect(text.startsWith("answer r1 by plan@1:")).toEqual(true);
             expect(await requestText({ id: "r1" })).toEqual(text);
             expect((await getJournalEntry("r1"))?.answerHash).toEqual(getAnswerHash(text));
         });
 
-        // A version turns bad for one class of request while it serves; its callers get worse answers from then on.
-        it("get worse when a version turns bad", async () => {
+        // The quality of a version drops for one request class while it serves. Its callers get worse answers from then on.
+        it("get worse when the quality of a version drops", async () => {
             await setFaults(address, { version: "plan@2", quality: 0.1, class: "wear-tag" });
             const getQuality = async (requestClass: string): Promise<number> => {
                 const text = await requestText({ id: requestClass, version: "plan@2", requestClass });
@@ -102,7 +102,7 @@
             expect((await requestChat({ id: "r", version: "plan@1" })).status).toEqual(200);
         });
 
-        it("name the version that runs in truth", async () => {
+        it("report the version that actually runs", async () => {
             await setFaults(address, { runsInstead: { "plan@1": "plan@2" } });
             const reply = await requestChat({ id: "r" });
             expect(reply.headers["x-model-version"]).toEqual("plan@2");
@@ -111,7 +111,7 @@
     });
 
     describe("streams", () => {
-        it("are taken up again after an event", async () => {
+        it("are resumed after an event", async () => {
             const whole = (await requestChat({ id: "r", stream: true })).text;
             const rest = await call({ address, path: "/streams/r", headers: { "Last-Event-ID": "4" } });
             expect(rest.text.startsWith("id: 5\n")).toEqual(true);
@@ -119,7 +119,7 @@
             expect(whole.endsWith("data: [DONE]\n\n")).toEqual(true);
         });
 
-        it("are forgotten after their time", async () => {
+        it("are removed after their retention time", async () => {
             await setFaults(address, { keepMilliseconds: 0 });
             await requestChat({ id: "r", stream: true });
             await waitUntil(async () => (await call({ address, path: "/streams/r" })).status === 404, {
@@ -127,7 +127,8 @@
             });
         });
 
-        // The caller has left and its entry cancels: the engine stops, and whoever still reads sees the stream break off.
+        // The caller disconnects and its entry cancels the request. The engine stops, and a reader that is still connected
+        // receives an incomplete stream.
         it("break off when they are cancelled", async () => {
             const reply = requestChat({ id: "r", stream: true, tokens: 100_000 });
             await waitUntil(async () => (await getJournalEntry("r"))?.outcome === "running", {
@@ -143,7 +144,7 @@
     });
 
     describe("queue", () => {
-        it("admits the most urgent first, and refuses what finds it full", async () => {
+        it("admits the highest priority first and rejects requests while it is full", async () => {
             await setFaults(address, { maximumRunning: 1, maximumWaiting: 2, frozen: true });
             const replies = [requestChat({ id: "late", priority: 5 })];
             await waitUntil(() => getJournalEntry("late"), { description: "the first request" });
@@ -154,21 +155,21 @@
             expect((await getLoad()).waiting).toEqual(2);
             await setFaults(address, { frozen: false });
             await Promise.all(replies);
-            const ends = [
+            const times = [
                 (await getJournalEntry("urgent"))?.endedAt ?? 0,
                 (await getJournalEntry("late"))?.startedAt ?? 0,
             ];
-            expect(ends[0] <= ends[1]).toEqual(true);
+            expect(times[0] <= times[1]).toEqual(true);
             expect(await getJournalEntry("refused")).toEqual(undefined);
         });
 
-        it("refuses new work while the engine is leaving", async () => {
+        it("rejects new requests while the engine is leaving", async () => {
             await setFaults(address, { leaving: true });
             expect((await requestChat({ id: "r" })).status).toEqual(409);
             expect((await getLoad()).leaving).toEqual(true);
         });
 
-        it("reports a load that is a lie", async () => {
+        it("reports a false load", async () => {
             await setFaults(address, { lie: { running: 0, waiting: 7 } });
             expect((await getLoad()).waiting).toEqual(7);
         });
@@ -197,8 +198,8 @@
             expect(blocks).toEqual(expected);
         });
 
-        // Memory runs out: blocks leave, and of the events that tell so some never come.
-        it("gives blocks up in limited memory, with gaps in its events", async () => {
+        // The cache is full: blocks are evicted, and some of the events that report it are lost.
+        it("evicts blocks when it is full, with gaps in its events", async () => {
             await setFaults(address, { cacheBlocks: 2 });
             await requestChat({ id: "first", content });
             await requestChat({ id: "second", content: "y".repeat(1100) });
@@ -224,8 +225,9 @@
     });
 
     describe("orders", () => {
-        // A lease holder that was paused wakes up and sends an order that a newer holder has overtaken.
-        it("are refused with an old fence", async () => {
+        // A paused lease holder resumes and sends an order after a newer holder has sent one. Without the check the old order
+        // would undo the newer one.
+        it("are refused with an old fencing token", async () => {
             expect((await sendOrder(5, ["plan@3"])).status).toEqual(200);
             await waitUntil(async () => (await getLoad()).versions.includes("plan@3"), {
                 description: "plan@3 to be loaded",
@@ -235,8 +237,8 @@
             expect((await requestChat({ id: "r", version: "plan@1" })).status).toEqual(404);
         });
 
-        // The same late order meets an engine that does not look at the fence: it takes effect.
-        it("take effect with an old fence where the engine does not check", async () => {
+        // The same late order arrives at an engine that does not check the fencing token, and takes effect.
+        it("take effect with an old fencing token when the engine does not check it", async () => {
             await setFaults(address, { checksFencing: false });
             await sendOrder(5, ["plan@2"]);
             await sendOrder(4, ["plan@1"]);
@@ -245,7 +247,7 @@
             });
         });
 
-        it("are answered and ignored by a broken engine", async () => {
+        it("are answered but ignored by a faulty engine", async () => {
             await setFaults(address, { ignoreOrders: true });
             expect((await sendOrder(5, ["plan@3"])).status).toEqual(200);
             expect((await getLoad()).versions).toEqual(["plan@1", "plan@2"]);
--- a/test/standins/logService.test.ts
+++ b/test/standins/logService.test.ts
@@ -25,7 +25,7 @@
         return page.entries.map(entry => entry.record.id);
     }
 
-    it("keeps records in the order of their offsets", async () => {
+    it("returns records in the order of their offsets", async () => {
         await append("a");
         const { offset } = JSON.parse((await append("b")).text) as { offset: number; };
         expect(offset).toEqual(1);
@@ -40,7 +40,7 @@
         expect((await page).next).toEqual(1);
     });
 
-    // The connection breaks after the append took effect. The writer sees an error and can't tell whether to append again.
+    // The connection breaks after the append took effect. The writer gets an error and can't tell whether to append again.
     it("loses an acknowledgement after the append took effect", async () => {
         await setFaults(address, { lostAcknowledgements: 1 });
         await expect(append("a")).toBeRejected();
@@ -48,15 +48,15 @@
         expect(await readIds()).toEqual(["a", "b"]);
     });
 
-    // The connection breaks on the way to the log. The writer sees the same error, but nothing was appended.
+    // The connection breaks before the append reaches the log. The writer gets the same error, but nothing was appended.
     it("loses an append before it takes effect", async () => {
         await setFaults(address, { lostAppends: 1 });
         await expect(append("a")).toBeRejected();
         expect(await readIds()).toEqual([]);
     });
 
-    // A reader that was away for longer than the log keeps records asks for one that is gone.
-    it("says what is left when retention ran out", async () => {
+    // A reader that was disconnected for longer than the retention time requests a record that has expired.
+    it("reports the remaining offsets when a requested record has expired", async () => {
         await append("a");
         await append("b");
         await setFaults(address, { expireBefore: { stream: "config", offset: 1 } });
@@ -67,8 +67,8 @@
         expect((await call({ address, path: "/streams/config?from=1" })).status).toEqual(410);
     });
 
-    // Many writers append one by one and use up the log's rate; the last ones are told to come back.
-    it("refuses appends above its rate", async () => {
+    // Many writers append single records and exceed the log's rate limit. The last appends are rejected and must be retried.
+    it("rejects appends above its rate limit", async () => {
         await setFaults(address, { appendsPerSecond: 1 });
         const statuses = [];
         for (const id of ["a", "b", "c", "d"]) {
@@ -77,8 +77,8 @@
         expect(statuses).toInclude(429);
     });
 
-    // The service is away: first it answers so, then it doesn't answer at all.
-    it("has outages", async () => {
+    // The service is unavailable. It first answers with an error, then closes connections without an answer.
+    it("fails requests during an outage", async () => {
         await setFaults(address, { outage: "answer" });
         expect((await append("a")).status).toEqual(503);
         await setFaults(address, { outage: "drop" });
--- a/test/standins/plainService.test.ts
+++ b/test/standins/plainService.test.ts
@@ -19,12 +19,13 @@
         return call({ address, path: "/bookings", method: "POST", headers, body: {}, timeoutMilliseconds: 300 });
     }
 
-    async function getKeys(): Promise<readonly unknown[]> {
-        const notes = await getJournal<{ readonly key: string; readonly request: string; }>(address);
-        return notes.map(note => [note.key, note.request]);
+    async function getKeysAndRequests(): Promise<readonly unknown[]> {
+        const entries = await getJournal<{ readonly key: string; readonly request: string; }>(address);
+        return entries.map(entry => [entry.key, entry.request]);
     }
 
-    // The booking is made or not made, and in each case the caller sees nothing but a failed call.
+    // The connection breaks or hangs before or after the booking takes effect. In each case the caller sees only a failed call
+    // and can't tell whether the booking was made.
     const cases = [
         { fault: "dropAfterRun", ran: true },
         { fault: "hangAfterRun", ran: true },
@@ -32,18 +33,18 @@
         { fault: "hang", ran: false },
     ];
     for (const { fault, ran } of cases) {
-        it(`notes what took effect under ${fault}`, async () => {
+        it(`journals what took effect under ${fault}`, async () => {
             await setFaults(address, { [fault]: 1 });
             await expect(book("a")).toBeRejected();
             expect((await book("b")).status).toEqual(200);
-            const second = ["b", "request-b"];
-            expect(await getKeys()).toEqual(ran ? [["a", "request-a"], second] : [second]);
+            const secondEntry = ["b", "request-b"];
+            expect(await getKeysAndRequests()).toEqual(ran ? [["a", "request-a"], secondEntry] : [secondEntry]);
         });
     }
 
-    it("refuses calls while it is leaving", async () => {
+    it("rejects calls while it is leaving", async () => {
         await setFaults(address, { leaving: true });
         expect((await book("a")).status).toEqual(409);
-        expect(await getKeys()).toEqual([]);
+        expect(await getKeysAndRequests()).toEqual([]);
     });
 });
--- a/test/standins/platform.test.ts
+++ b/test/standins/platform.test.ts
@@ -23,8 +23,9 @@
 const vm = { address: "127.10.3.9", port: 80, role: "runner", failureDomain: "pasig-a" };
 
 describe("VmList", () => {
-    // A VM is told to leave, and for a while the list still shows it as live: callers are sent to a VM that goes away.
-    it("lags behind the truth", async () => {
+    // A VM is leaving, but the list lags and still shows it as live for a while. Callers are sent to a VM that is about to
+    // stop.
+    it("lags behind the current state", async () => {
         await withStandin("vm-list", { vm: { a: vm } }, async address => {
             await setFaults(address, { lagMilliseconds: 60_000 });
             await callJson({ address, path: "/vms/a/leaving", method: "POST" });
@@ -32,17 +33,18 @@
             expect(await getStates(address)).toEqual("a live");
             await setFaults(address, { lagMilliseconds: 1 });
             await waitUntil(async () => await getStates(address) === "a leaving, b live", {
-                description: "the list to follow",
+                description: "the list to show the changes",
             });
             await callJson({ address, path: "/vms/a", method: "DELETE" });
-            await waitUntil(async () => await getStates(address) === "b live", { description: "the VM to be gone" });
+            await waitUntil(async () => await getStates(address) === "b live", { description: "the VM to be removed" });
         });
     });
 });
 
 describe("WeightStore", () => {
-    // Many engines load a version at once; the store tells most of them to come back.
-    it("knows its versions and limits its rate", async () => {
+    // Many engines load a version at the same time and exceed the store's rate limit. Most of them are rejected and load the
+    // version later.
+    it("serves its versions and limits the rate of reads", async () => {
         await withStandin("weight-store", { versions: "plan@1", readsPerSecond: 8 }, async address => {
             const getStatus = async (version: string): Promise<number> =>
                 (await call({ address, path: `/weights/${version}` })).status;
@@ -68,7 +70,7 @@
         }))?.score;
     }
 
-    it("scores the true quality, and a cut-off answer with nothing", async () => {
+    it("scores the true quality, and a truncated answer with 0", async () => {
         await withStandin("rating", { noise: 0 }, async address => {
             expect(await rate(address, "answer r by plan@1: edge [quality 0.830]")).toEqual(0.83);
             expect(await rate(address, "answer r by plan@1: edge [qual")).toEqual(0);
--- a/test/standins/proxy/faultProxy.test.ts
+++ b/test/standins/proxy/faultProxy.test.ts
@@ -13,25 +13,28 @@
 describe("FaultProxy", () => {
     let target: Server;
     let proxy: FaultProxy;
-    let control: string;
+    let controlAddress: string;
     let route: Address;
-    /** Leads to the same target and stays well: what a test waits for on it has had time to happen on the first. */
+    /**
+     * Leads to the same target and has no faults. Once a later exchange on it is complete, bytes on the first route would have
+     * arrived as well.
+     */
     let otherRoute: Address;
-    let arrived = "";
+    let receivedByTarget = "";
 
     beforeEach(async () => {
-        arrived = "";
+        receivedByTarget = "";
         target = createServer(socket => {
             socket.on("error", () => undefined);
             socket.on("data", bytes => {
-                arrived += bytes.toString().replace("other", "");
+                receivedByTarget += bytes.toString().replace("other", "");
                 socket.write(bytes);
             });
         });
         await new Promise<void>(resolve => target.listen(0, "127.10.5.1", resolve));
         const { port } = target.address() as { readonly port: number; };
         proxy = new FaultProxy({ host: "127.10.5.2", port: 0 });
-        control = formatAddress(await proxy.start());
+        controlAddress = formatAddress(await proxy.start());
         route = await proxy.addRoute("echo", { host: "127.10.5.3", port: 0 }, { host: "127.10.5.1", port });
         otherRoute = await proxy.addRoute("other", { host: "127.10.5.4", port: 0 }, { host: "127.10.5.1", port });
     });
@@ -64,67 +67,67 @@
         await waitUntil(() => client.getReceived().endsWith(text), { description: `${text} to come back` });
     }
 
-    it("carries bytes both ways when nothing is wrong", async () => {
+    it("forwards bytes in both directions without faults", async () => {
         await exchange(open(), "hello");
     });
 
-    it("delivers late", async () => {
-        await setFaults(control, { route: "echo", delayMilliseconds: 50 });
+    it("delays bytes", async () => {
+        await setFaults(controlAddress, { route: "echo", delayMilliseconds: 50 });
         const start = performance.now();
         await exchange(open(), "hello");
         expect(performance.now() - start >= 100).toEqual(true);
     });
 
-    // A switch goes: open connections break and new ones are refused, until it is back.
+    // A network switch fails. Open connections break and new ones are refused until it works again.
     it("cuts a route and restores it", async () => {
         const client = open();
         await exchange(client, "hello");
-        await setFaults(control, { route: "echo", cut: true });
+        await setFaults(controlAddress, { route: "echo", cut: true });
         await waitUntil(client.isClosed, { description: "the open connection to break" });
         await waitUntil(open().isClosed, { description: "the new connection to be refused" });
-        await setFaults(control, { route: "echo", cut: false });
+        await setFaults(controlAddress, { route: "echo", cut: false });
         await exchange(open(), "again");
     });
 
-    // The path stalls: bytes wait and arrive in order once it is well again.
+    // The network path stalls. Bytes are held back and arrive in order after it recovers.
     it("holds bytes back while frozen", async () => {
         const client = open();
         await exchange(client, "a");
-        await setFaults(control, { route: "echo", freeze: true });
+        await setFaults(controlAddress, { route: "echo", freeze: true });
         client.socket.write("b");
         client.socket.write("c");
         await exchange(openOther(), "other");
-        expect([arrived, client.getReceived()]).toEqual(["a", "a"]);
-        await setFaults(control, { route: "echo", freeze: false });
+        expect([receivedByTarget, client.getReceived()]).toEqual(["a", "a"]);
+        await setFaults(controlAddress, { route: "echo", freeze: false });
         await waitUntil(() => client.getReceived() === "abc", { description: "the held bytes" });
     });
 
-    // One direction is lost, as with a broken firewall rule: the target works, and its answers never arrive.
+    // One direction is lost, as with a wrong firewall rule. The target receives bytes, but its answers never arrive.
     it("drops one direction", async () => {
-        await setFaults(control, { route: "echo", oneWay: "from-target" });
+        await setFaults(controlAddress, { route: "echo", oneWay: "from-target" });
         const client = open();
         client.socket.write("hello");
-        await waitUntil(() => arrived === "hello", { description: "the target to receive" });
+        await waitUntil(() => receivedByTarget === "hello", { description: "the target to receive" });
         await exchange(openOther(), "other");
         expect(client.getReceived()).toEqual("");
-        await setFaults(control, { route: "echo", oneWay: "none" });
-        await waitUntil(client.isClosed, { description: "the connection with a hole to break" });
+        await setFaults(controlAddress, { route: "echo", oneWay: "none" });
+        await waitUntil(client.isClosed, { description: "the connection with a gap to break" });
     });
 
-    // The other side is gone without a word: the connection stays open and nothing arrives.
-    it("swallows everything while half open", async () => {
-        await setFaults(control, { route: "echo", halfOpen: true });
+    // The peer disappears without closing the connection. The connection stays open and no bytes arrive.
+    it("drops all bytes while half open", async () => {
+        await setFaults(controlAddress, { route: "echo", halfOpen: true });
         const client = open();
         client.socket.write("hello");
         await exchange(openOther(), "other");
-        expect([arrived, client.isClosed()]).toEqual(["", false]);
+        expect([receivedByTarget, client.isClosed()]).toEqual(["", false]);
     });
 
-    // The connection breaks in the middle of an answer: the caller holds a part of it.
-    it("breaks a connection after so many bytes", async () => {
+    // The connection breaks in the middle of an answer. The caller has received only a part of it.
+    it("breaks a connection after a number of bytes", async () => {
         const existing = open();
         await exchange(existing, "before");
-        await setFaults(control, { route: "echo", cutAfterBytes: 3 });
+        await setFaults(controlAddress, { route: "echo", cutAfterBytes: 3 });
         for (const client of [existing, open()]) {
             client.socket.write("hello");
             await waitUntil(client.isClosed, { description: "the connection to break" });
@@ -132,7 +135,9 @@
         }
     });
 
-    it("names its routes when one is unknown", async () => {
-        await expect(setFaults(control, { route: "missing", cut: true })).toBeRejectedWith("Take one of echo, other");
+    it("lists its routes when the requested route is unknown", async () => {
+        await expect(setFaults(controlAddress, { route: "missing", cut: true })).toBeRejectedWith(
+            "Take one of echo, other",
+        );
     });
 });
--- a/test/standins/proxy/resetSocket.test.ts
+++ b/test/standins/proxy/resetSocket.test.ts
@@ -7,12 +7,12 @@
 const timeoutMilliseconds = 2_000;
 const cleanups: (() => void)[] = [];
 
-/** Opens a connection whose far side reads nothing; returns the near side. */
+/** Opens a connection whose server side reads nothing. Returns the client side. */
 async function openConnection(): Promise<Socket> {
     const server = createServer({ allowHalfOpen: true }, socket => {
         socket.pause();
         socket.on("error", () => {
-            // The reset that is tested.
+            // The reset under test is received as an error.
         });
         cleanups.push(() => socket.destroy());
     });
@@ -24,7 +24,7 @@
     return socket;
 }
 
-/** Tells whether a socket closes within a bound, and without an error. */
+/** Returns whether a socket closes before the timeout and without an error. */
 function closesCleanly(socket: Socket): Promise<boolean> {
     return new Promise(resolve => {
         const timer = setTimeout(() => resolve(false), timeoutMilliseconds);
@@ -51,9 +51,9 @@
         expect(await closed).toEqual(true);
     });
 
-    // A connection is broken just as its end goes out. The handle was never closed, and the process that ran the proxy spun in its own
-    // exit: a run of tests that had passed did not end.
-    it("closes a connection whose end is on its way", async () => {
+    // A connection is reset while its FIN is being sent. Without the deferred reset the handle is never closed, and the process that
+    // runs the proxy loops at exit: a test run in which all tests passed does not end.
+    it("closes a connection whose FIN is being sent", async () => {
         const socket = await openConnection();
         const closed = closesCleanly(socket);
         socket.write("a few bytes");
@@ -62,7 +62,7 @@
         expect(await closed).toEqual(true);
     });
 
-    it("closes a connection whose bytes nobody takes", async () => {
+    it("closes a connection whose peer reads nothing", async () => {
         const socket = await openConnection();
         const closed = closesCleanly(socket);
         socket.write(Buffer.alloc(20_000_000));
