--- a/src/measure/admissionPolicies.ts
+++ b/src/measure/admissionPolicies.ts
@@ -1,5 +1,5 @@
 /**
- * Ways to let requests in that are measured side by side: the product's and two simple ones.
+ * Admission policies that are compared with each other: the product's and two simple ones.
  */
 import type { Clock, RandomSource } from "../common/index.js";
 import {
@@ -11,27 +11,27 @@
 import type { EventQueue } from "./eventQueue.js";
 
 /**
- * Names of the ways. `no limit` lets everything in; `fixed limit` has as many places as the upstreams and keeps the
- * rest in one line until it is their turn or their deadline has passed.
+ * Names of the admission policies. `no limit` admits every request. `fixed limit` has as many slots as the upstreams;
+ * it queues the other requests in order of arrival until a slot is free or their deadline has passed.
  */
 export type AdmissionName = "no limit" | "fixed limit" | "rattanlock";
 
-/** All ways, in the order of the tables. */
+/** All admission policies, in the order of the tables. */
 export const admissionNames: readonly AdmissionName[] = ["no limit", "fixed limit", "rattanlock"];
 
-/** What becomes of a request at the door. */
+/** Receive the decision on a request: exactly one of them is called. */
 export interface AdmissionCallbacks {
     readonly admit: (ticket: { readonly priority: number; readonly release: (end: Release) => void; }) => void;
-    /** With when to come back, where the way says so. */
+    /** Receives the time after which to retry, where the policy gives one. */
     readonly refuse: (retryAfterMilliseconds: number | undefined) => void;
 }
 
-/** One entry's way to let requests in. */
+/** Admission control of one entry. */
 export interface Admission {
-    readonly offer: (request: AdmissionRequest, verdict: AdmissionCallbacks) => void;
+    readonly offer: (request: AdmissionRequest, callbacks: AdmissionCallbacks) => void;
 }
 
-/** What a way is made from. */
+/** Options of an admission policy. */
 export interface AdmissionOptions {
     readonly queue: EventQueue;
     readonly clock: Clock;
@@ -40,12 +40,12 @@
     readonly limits?: Partial<LimitOptions>;
 }
 
-/** Makes one entry's way to let requests in. */
+/** Creates the admission control of one entry. */
 export function createAdmission(name: AdmissionName, options: AdmissionOptions): Admission {
     switch (name) {
         case "no limit":
             return {
-                offer: (request, verdict) => verdict.admit({ priority: request.priority, release: () => {} }),
+                offer: (request, callbacks) => callbacks.admit({ priority: request.priority, release: () => {} }),
             };
         case "fixed limit":
             return createFixedLimit(options);
@@ -57,27 +57,27 @@
 function createFixedLimit(options: AdmissionOptions): Admission {
     const waiting: (() => void)[] = [];
     let freeSlots = Math.round(options.capacity);
-    const admit = (request: AdmissionRequest, verdict: AdmissionCallbacks): void => {
+    const admit = (request: AdmissionRequest, callbacks: AdmissionCallbacks): void => {
         freeSlots -= 1;
         const release = (): void => {
             freeSlots += 1;
             waiting.shift()?.();
         };
-        verdict.admit({ priority: request.priority, release });
+        callbacks.admit({ priority: request.priority, release });
     };
     return {
-        offer: (request, verdict) => {
+        offer: (request, callbacks) => {
             if (freeSlots > 0) {
-                admit(request, verdict);
+                admit(request, callbacks);
                 return;
             }
-            const next = (): void => admit(request, verdict);
+            const next = (): void => admit(request, callbacks);
             waiting.push(next);
             options.queue.schedule(request.deadlineMilliseconds, () => {
                 const index = waiting.indexOf(next);
                 if (index >= 0) {
                     waiting.splice(index, 1);
-                    verdict.refuse(undefined);
+                    callbacks.refuse(undefined);
                 }
             });
         },
@@ -93,11 +93,11 @@
     });
     controller.setCapacity(options.capacity);
     return {
-        offer: (request, verdict) =>
+        offer: (request, callbacks) =>
             controller.offer(request, result =>
                 result.match(
-                    ticket => verdict.admit(ticket),
-                    failure => verdict.refuse(failure.retryAfterMilliseconds),
+                    ticket => callbacks.admit(ticket),
+                    failure => callbacks.refuse(failure.retryAfterMilliseconds),
                 )),
     };
 }
--- a/src/measure/capacity/billSubjects.ts
+++ b/src/measure/capacity/billSubjects.ts
@@ -1,5 +1,5 @@
 /**
- * Bills for docs/CAPACITY.md: an entry's own during an outage of the log, and the copies that it keeps for others.
+ * Bills for docs/CAPACITY.md: an entry's own bills during an outage of the log, and its replicas of others' bills.
  */
 import { type Bill, BillReplicaStore, BillWriter } from "../../bills/index.js";
 import { ManualClock } from "../../common/index.js";
@@ -8,9 +8,9 @@
 const wallStart = Date.UTC(2026, 0, 1);
 
 /**
- * Builds a writer whose bills all have their copy and wait for a log that is away. Without the copies, the timers of
- * those who wait for them would be counted too, which an outage does not keep.
- * @param count - How many bills.
+ * Builds a writer whose bills all have a replica and wait for an unavailable log. Without replicas, the timers of
+ * callers that wait for one would be counted too, although they do not remain during an outage.
+ * @param count - The number of bills.
  */
 export async function buildWaitingBills(count: number): Promise<BillWriter> {
     const writer = new BillWriter({
@@ -27,8 +27,8 @@
 }
 
 /**
- * Builds a keeper of copies.
- * @param count - How many bills.
+ * Builds a replica store with the bills of another entry.
+ * @param count - The number of bills.
  */
 export function buildBillReplicas(count: number): BillReplicaStore {
     const replica = new BillReplicaStore({
--- a/src/measure/capacity/heap.ts
+++ b/src/measure/capacity/heap.ts
@@ -1,5 +1,5 @@
 /**
- * Measures what objects keep of the heap and how long work takes.
+ * Measures the memory that objects retain and the time that work takes.
  */
 import { performance } from "node:perf_hooks";
 import { setFlagsFromString } from "node:v8";
@@ -10,7 +10,10 @@
 const collectGarbage = runInNewContext("gc") as () => void;
 const collections = 3;
 
-/** What only timers or settled promises still hold is let go first. */
+/**
+ * Returns the bytes in use after garbage collection. Each collection waits for a turn of the event loop first, so that
+ * objects which only timers or settled promises still hold are released.
+ */
 async function getHeapAfterCollection(): Promise<number> {
     for (let count = 0; count < collections; count += 1) {
         await new Promise(resolve => setImmediate(resolve));
@@ -21,16 +24,16 @@
 }
 
 /**
- * Measures the bytes that an object of each size keeps once it has settled.
+ * Measures the bytes that an object of each size retains after its pending work is done.
  * @param sizes - The sizes.
- * @param build - Builds the object.
+ * @param build - Builds the object, or a promise of it, for a size.
  */
 export async function measureHeap(
     sizes: readonly number[],
     build: (size: number) => unknown,
 ): Promise<readonly Point[]> {
     const points: Point[] = [];
-    // The first object of a kind pays for compiled code and shapes that the later ones share.
+    // The first object also allocates compiled code and hidden classes, which the later ones share.
     keepAlive(await build(sizes[0]));
     for (const size of sizes) {
         points.push({ size, value: await measureRetained(size, build) });
@@ -39,8 +42,11 @@
 }
 
 /**
- * Stands in a function of its own: in a loop, the frame goes on holding the object before until the next one is built.
- * It would then be freed between the two looks at the heap, and each figure be too small by the one before.
+ * Measures the bytes that one object retains.
+ *
+ * This must be a separate function. In a loop, the stack frame would hold the previous object until the next one is
+ * built. The previous object would be freed between the two heap readings, and each figure would be too small by its
+ * size.
  */
 async function measureRetained(size: number, build: (size: number) => unknown): Promise<number> {
     const before = await getHeapAfterCollection();
@@ -53,8 +59,8 @@
 /**
  * Measures the milliseconds of processor time that a piece of work takes at each size.
  * @param sizes - The sizes.
- * @param prepare - Makes the work ready, and returns it as a function that does it once.
- * @param repeats - How often it is done for one figure.
+ * @param prepare - Prepares the work for a size and returns a function that does it once.
+ * @param repeats - The number of repetitions that are averaged, after as many for warm-up.
  */
 export function measureTime(
     sizes: readonly number[],
@@ -76,9 +82,9 @@
     return points;
 }
 
-/** Keeps an object alive up to this place. */
+/** Keeps an object reachable up to this call. */
 function keepAlive(retained: unknown): void {
     if (retained === undefined) {
-        throw new Error("A measured object must be kept.");
+        throw new Error("The measured object is undefined; it must stay reachable until it has been measured.");
     }
 }
--- a/src/measure/capacity/measureCapacity.ts
+++ b/src/measure/capacity/measureCapacity.ts
@@ -1,5 +1,5 @@
 /**
- * Measures the slopes from which docs/CAPACITY.md is worked out.
+ * Measures the slopes from which the figures in docs/CAPACITY.md are computed.
  */
 import type { Report, ReportRow } from "../report.js";
 import { fitSlope } from "./slope.js";
@@ -7,7 +7,7 @@
 
 /**
  * Measures all slopes in this process.
- * @param log - Writes progress.
+ * @param log - Logs a line of progress.
  */
 export async function measureCapacity(log: (line: string) => void): Promise<Report> {
     const rows: ReportRow[] = [];
--- a/src/measure/capacity/measureControl.ts
+++ b/src/measure/capacity/measureControl.ts
@@ -1,6 +1,6 @@
 /**
- * Measures what control costs a running entry without any callers: processor time by the number of upstreams that it
- * polls and by the number of entries that it talks to.
+ * Measures the cost of control for a running entry without callers: processor time by the number of upstreams that it
+ * polls and by the number of entries that it exchanges data with.
  */
 import { setTimeout as sleep } from "node:timers/promises";
 import { callJson, metroManila, ProcessGroup, Site } from "../../testbench/index.js";
@@ -8,15 +8,16 @@
 import { fitSlope, type Point, type Slope } from "./slope.js";
 
 /**
- * By then the code is compiled, and an entry no longer collects for the partitions that it took on while it was alone.
+ * After this time the code is compiled, and an entry is no longer the collector of partitions that it took over while
+ * it was the only one.
  */
 const warmUpMilliseconds = 75_000;
 const measuredMilliseconds = 60_000;
-/** Sites that are watched at a time; more would take processor time from each other. */
+/** Number of sites that run concurrently. More would compete for processor time. */
 const sitesAtATime = 2;
-/** The period of gossip between 350 nodes. */
+/** Gossip interval between 350 nodes, in milliseconds. */
 const targetGossipInterval = "2100";
-/** As the settings' defaults have it. */
+/** Equals the defaults of the settings. */
 const timing = {
     gossip_interval_ms: "500",
     load_interval_ms: "500",
@@ -48,7 +49,7 @@
 }
 
 interface ControlCost {
-    /** The mean of the site's entries, one of which holds the lease. */
+    /** Mean over the site's entries, one of which holds the lease. */
     readonly processorPermille: number;
     readonly minPermille: number;
     readonly maxPermille: number;
@@ -57,8 +58,8 @@
 }
 
 /**
- * Measures control at rest.
- * @param log - Writes progress.
+ * Measures the cost of control at rest.
+ * @param log - Logs a line of progress.
  */
 export async function measureControl(log: (line: string) => void): Promise<Report> {
     const costs = new Map<ControlCase, ControlCost>();
--- a/src/measure/capacity/memberSubjects.ts
+++ b/src/measure/capacity/memberSubjects.ts
@@ -1,5 +1,5 @@
 /**
- * Members for docs/CAPACITY.md: what a node's list of all of them costs.
+ * Members for docs/CAPACITY.md: the cost of a node's list of all members.
  */
 import { ManualClock, RandomSource } from "../../common/index.js";
 import { Journal } from "../../events/index.js";
@@ -9,18 +9,18 @@
 const wallStart = Date.UTC(2026, 0, 1);
 const domainCount = 17;
 const regionCount = 8;
-/** Longer than the list of members is kept. */
+/** Longer than the lifetime of the cached list of members. */
 const cacheExpiryMilliseconds = 500;
 
-/** A node that has heard of others. */
+/** A node that has received the records of other nodes. */
 export interface Node {
     readonly clock: ManualClock;
     readonly membership: Membership;
 }
 
 /**
- * Builds a node that has heard of others.
- * @param count - How many others.
+ * Builds a node that has received the records of other nodes.
+ * @param count - The number of other nodes.
  */
 export function buildNode(count: number): Node {
     const clock = new ManualClock(wallStart);
@@ -57,8 +57,8 @@
 }
 
 /**
- * Prepares the list of members to be formed anew, as several parts of an entry ask for each second.
- * @param count - How many others.
+ * Returns a function that rebuilds the list of members, which several parts of an entry request every second.
+ * @param count - The number of other nodes.
  */
 export function prepareMembers(count: number): () => void {
     const { clock, membership } = buildNode(count);
--- a/src/measure/capacity/slope.ts
+++ b/src/measure/capacity/slope.ts
@@ -1,14 +1,14 @@
 /**
- * Straight lines through measured points.
+ * Linear regression over measured points.
  */
 
-/** A measured point. */
+/** A value measured at a size. */
 export interface Point {
     readonly size: number;
     readonly value: number;
 }
 
-/** A line with the standard error of its slope. */
+/** A fitted line, with the standard error of its slope. */
 export interface Slope {
     readonly intercept: number;
     readonly slope: number;
--- a/src/measure/capacity/subjects.ts
+++ b/src/measure/capacity/subjects.ts
@@ -1,5 +1,5 @@
 /**
- * What is measured for docs/CAPACITY.md: each kind of state and work of control, by the number that it grows with.
+ * The subjects measured for docs/CAPACITY.md: each kind of state and work of control, by the size that it grows with.
  */
 import { ClaimFold, claimsFormat, claimsKind, createPinKey, createRunKey } from "../../claims/index.js";
 import { ManualClock, RandomSource } from "../../common/index.js";
@@ -20,10 +20,10 @@
 const changesInRecord = 500;
 const wallStart = Date.UTC(2026, 0, 1);
 
-/** A subject with its points. */
+/** A kind of state or work whose growth is measured. */
 export interface Subject {
     readonly name: string;
-    /** What it grows with. */
+    /** The item by whose number it grows. */
     readonly per: string;
     readonly unit: "bytes" | "milliseconds";
     readonly measure: () => readonly Point[] | Promise<readonly Point[]>;
@@ -150,7 +150,7 @@
     let offset = 0;
     for (const changes of splitChanges(createChanges(workspaces))) {
         const record = createPublishRecord({ author: "operator", reason: "", basedOn: offset, changes }, "operator");
-        fold.apply(toEntry(offset, record));
+        fold.apply(toLogEntry(offset, record));
         offset += 1;
     }
     for (let index = 0; index < workspaces; index += 1) {
@@ -185,21 +185,21 @@
     return parts;
 }
 
-/** One change folded, and the settings of the 20 busiest workspaces worked out anew. */
+/** Returns a function that folds one change and recomputes the effective settings of the 20 busiest workspaces. */
 function prepareChange(workspaces: number): () => void {
     const fold = buildConfiguration(workspaces);
     return () => {
         const offset = fold.getOffset();
         const changes = [{ section: `workspace.w${offset % workspaces}`, key: "share", value: String(1 + offset % 9) }];
         const record = createPublishRecord({ author: "operator", reason: "", basedOn: offset, changes }, "operator");
-        fold.apply(toEntry(offset, record));
+        fold.apply(toLogEntry(offset, record));
         for (let index = 0; index < 20; index += 1) {
             fold.getConfiguration().getEffective({ workspace: `w${index}` });
         }
     };
 }
 
-function toEntry(offset: number, record: LogRecord): LogEntry {
+function toLogEntry(offset: number, record: LogRecord): LogEntry {
     return { offset, time: wallStart + offset, record };
 }
 
@@ -245,7 +245,7 @@
     return new Evidence({ clock: new ManualClock(wallStart) });
 }
 
-/** Evidence of an hour in which every version answered in every class. */
+/** Builds the evidence of one hour in which every version answered in every class. */
 function buildEvidence(versions: number): Evidence {
     const clock = new ManualClock(wallStart);
     const evidence = new Evidence({ clock });
@@ -278,7 +278,7 @@
             ? createRunKey("workspace", `key-${index}`)
             : createPinKey("workspace", `s-${index}`);
         const operation = { kind: "claim", id: `request-${index}/claim`, key, value: `request-${index}` };
-        fold.apply(toEntry(index, {
+        fold.apply(toLogEntry(index, {
             id: `record-${index}`,
             kind: claimsKind,
             format: claimsFormat,
--- a/src/measure/cost/costEnvironment.ts
+++ b/src/measure/cost/costEnvironment.ts
@@ -1,23 +1,23 @@
 /**
- * A world of seeded draws for the cost measurement: versions with true qualities that only the oracle knows, classes
- * of request, and events that change them.
+ * The simulated environment of the cost measurement, drawn from a seed: versions with true qualities that only the
+ * oracle reads, request classes, and events that change them.
  */
 import { RandomSource } from "../../common/index.js";
 import type { ModelVersion } from "../../world/index.js";
 
-/** How long a run lasts. */
+/** Duration of a run. */
 export const runMilliseconds = 3_600_000;
-/** Mean time between two requests. */
+/** Time between two requests, in milliseconds. */
 export const requestInterval = 50;
 
-/** When one version turns bad in the class `deceivingClass`. */
+/** When the quality of one version drops in the class `degradingClass`. */
 export const degradedAt = 0.15 * runMilliseconds;
-/** The class in which a version looks good early and then turns bad. */
+/** The class in which one version has a high quality at first and a low one later. */
 export const degradingClass = "deceiving";
-/** When two prices change. */
+/** When the prices of two versions change. */
 export const priceChangeAt = 0.5 * runMilliseconds;
 const newClassAt = 0.6 * runMilliseconds;
-/** When the rating service is away: ten minutes. */
+/** When the rating service is unavailable: for ten minutes. */
 export const outage = { from: 0.3 * runMilliseconds, until: 0.3 * runMilliseconds + 600_000 } as const;
 
 const inputPrices = [0.05, 0.1, 0.15, 0.3, 0.5, 0.8, 1.2, 2, 3, 5, 8];
@@ -26,11 +26,11 @@
 const priceIncreaseVersion = 4;
 const priceDecreaseVersion = 7;
 const answerDeviation = 0.15;
-/** Part of an answer's variance that comes from the request being hard for every version. */
+/** Share of the variance of answers that is due to the difficulty of the request, which is common to all versions. */
 const sharedVariance = 0.5;
 const ratingNoise = 0.05;
 
-/** One class of request. */
+/** A request class. */
 export interface CostClass {
     readonly name: string;
     readonly targetQuality: number;
@@ -42,7 +42,7 @@
     readonly firstSeenAt: number;
 }
 
-/** The classes of all runs, modelled on the two users' workloads. */
+/** The request classes of all runs, modelled on the two users' workloads. */
 export const costClasses: readonly CostClass[] = [
     createClass("wear-tags", { inputTokens: 400, outputTokens: 20, qualityOffset: 0.22, weight: 3 }),
     createClass("kitchen-queries", { inputTokens: 600, outputTokens: 150, qualityOffset: 0.12, weight: 3 }),
@@ -67,7 +67,7 @@
     };
 }
 
-/** The versions of one seed and their true qualities over time. */
+/** Simulates the versions of one seed and their true qualities over time. */
 export class CostEnvironment {
     readonly #initialVersions: readonly ModelVersion[];
     readonly #repricedVersions: readonly ModelVersion[];
@@ -86,12 +86,15 @@
         );
     }
 
-    /** Gets the versions at their prices of a time. */
+    /** Returns the versions with their prices at a time. */
     getVersions(time: number): readonly ModelVersion[] {
         return time < priceChangeAt ? this.#initialVersions : this.#repricedVersions;
     }
 
-    /** Gets the part of the run in which qualities, prices and ratings stay as they are; a key for the oracle. */
+    /**
+     * Returns the number of the phase at a time. Within a phase, qualities, prices and the availability of ratings are
+     * constant, so the oracle caches its plans by phase.
+     */
     getPhase(time: number): number {
         const limits = [degradedAt, outage.from, outage.until, priceChangeAt];
         return limits.filter(limit => time >= limit).length;
@@ -99,7 +102,7 @@
 
     /**
      * Draws the true quality of every version's answer to one request.
-     * @param classIndex - The class.
+     * @param classIndex - The index of the request class.
      */
     drawAnswers(classIndex: number, time: number, random: RandomSource): readonly number[] {
         const difficulty = random.nextNormal();
@@ -121,7 +124,7 @@
     return clamp(quality + ratingNoise * random.nextNormal());
 }
 
-/** Tells whether the rating service answers. */
+/** Returns whether the rating service is unavailable at a time. */
 export function isRatingUnavailable(time: number): boolean {
     return time >= outage.from && time < outage.until;
 }
--- a/src/measure/cost/costExcess.ts
+++ b/src/measure/cost/costExcess.ts
@@ -1,15 +1,15 @@
 /**
- * Tells where the money goes that the product spends beyond the oracle: each request's excess is booked under the first
- * cause that applies to it.
+ * Attributes the product's cost beyond the oracle's to causes: each request's excess is counted under the first cause
+ * that applies to it.
  */
 import type { Plan } from "../../decisions/model/index.js";
 import { costClasses, degradedAt, degradingClass, outage, priceChangeAt } from "./costEnvironment.js";
 
-/** How long after an event what is spent too much is put down to it. */
+/** How long after an event excess cost is attributed to it. */
 const reactionMilliseconds = 180_000;
 const startUpMilliseconds = 300_000;
 
-/** Causes in the order in which they are weighed. */
+/** Causes, in the order in which they are checked. */
 export const excessCauses = [
     "start-up (first five minutes)",
     "class first seen (first five minutes)",
@@ -34,28 +34,28 @@
     readonly acceptScore: number | undefined;
 }
 
-/** What is known of a request when its excess is booked. */
+/** The data of a request from which the cause of its excess is determined. */
 export interface ExcessInput {
     readonly classIndex: number;
     readonly time: number;
     readonly plan: Plan;
     readonly steps: readonly ChosenStep[];
     readonly oracleSteps: readonly ChosenStep[];
-    /** Cost beyond the oracle's. */
+    /** Cost beyond the oracle's; negative if the request was cheaper. */
     readonly excess: number;
 }
 
-/** Sums of excess cost by cause. */
+/** Sums excess cost by cause. */
 export class CostExcess {
     readonly #excessByCause = new Map<ExcessCause, number>();
 
-    /** Books a request. */
+    /** Adds a request's excess to its cause. */
     add(input: ExcessInput): void {
         const cause = getCause(input);
         this.#excessByCause.set(cause, this.get(cause) + input.excess);
     }
 
-    /** Gets the cost beyond the oracle's that a cause accounts for. */
+    /** Returns the excess cost of a cause. */
     get(cause: ExcessCause): number {
         return this.#excessByCause.get(cause) ?? 0;
     }
--- a/src/measure/cost/costRun.ts
+++ b/src/measure/cost/costRun.ts
@@ -1,6 +1,6 @@
 /**
- * One run of the cost measurement: the same requests, answers and ratings for every way of choosing. The chooser runs
- * in four entries that share their evidence with a delay; ratings are late, partial and noisy.
+ * One run of the cost measurement: every strategy gets the same requests, answers and ratings. The model chooser runs
+ * in four entries that share their evidence with a delay. Ratings are late, partial and noisy.
  */
 import { ManualClock, RandomSource } from "../../common/index.js";
 import { Evidence, ModelChooser, type Plan } from "../../decisions/model/index.js";
@@ -19,24 +19,24 @@
 
 const entryCount = 4;
 const gossipMilliseconds = 5000;
-/** Share of final answers that are rated at all, afterwards. */
+/** Share of final answers that are rated afterwards. */
 const sampledShare = 0.3;
-/** Share of answers that are rated in time to decide about escalation. */
+/** Share of answers that are rated in time for the decision on escalation. */
 const ratedShare = 0.95;
 const meanRatingDelay = 20_000;
 const confidence = 0.95;
-/** Parts of a run that are reported one by one, to tell learning from what follows. */
+/** Number of periods of a run that are reported separately, to distinguish the learning phase from the rest. */
 export const periodCount = 6;
-/** Until an entry has noticed that the rating service is away or back. */
+/** Time until an entry detects that the rating service is unavailable or available again. */
 const detectionMilliseconds = 2000;
 
-/** Ways of choosing that are compared. */
+/** Strategies that are compared. */
 export const costStrategies = ["rattanlock", "oracle", "always-best", "always-cheapest", "fixed cascade"] as const;
 
-/** One of the ways. */
+/** One of the strategies. */
 export type CostStrategy = typeof costStrategies[number];
 
-/** What one way did in one class. */
+/** Totals of one strategy in one request class. */
 export interface ClassResult {
     requests: number;
     cost: number;
@@ -58,7 +58,7 @@
     readonly first?: { readonly version: string; readonly score: number; };
 }
 
-/** Runs all ways over the same draws. */
+/** Runs all strategies on the same random draws. */
 export class CostRun {
     readonly #environment: CostEnvironment;
     readonly #oracle: Oracle;
@@ -68,14 +68,14 @@
     readonly #publishedSequences: number[] = new Array<number>(entryCount).fill(0);
     readonly #delayedRatings = new Map<number, DelayedRating[]>();
     readonly results = new Map<CostStrategy, ClassResult[]>();
-    /** The same by period, all classes together. */
+    /** The results by period, over all classes. */
     readonly periods = new Map<CostStrategy, ClassResult[]>();
-    /** Rattanlock's results by period, then by class: the target has to be met early and late. */
+    /** The results of `rattanlock` by period and class, since the target must be met early and late in a run. */
     readonly periodClasses: readonly ClassResult[][] = Array.from(
         { length: periodCount },
         () => costClasses.map(createResult),
     );
-    /** What rattanlock spends beyond the oracle, by cause. */
+    /** Cost of `rattanlock` beyond the oracle's, by cause. */
     readonly excess = new CostExcess();
     exploringCount = 0;
     cascadeCount = 0;
@@ -89,13 +89,13 @@
             const random = new RandomSource(seed * 101 + index);
             return { evidence, chooser: new ModelChooser({ evidence, random, clock: this.#clock, ratedShare }) };
         });
-        for (const way of costStrategies) {
-            this.periods.set(way, Array.from({ length: periodCount }, createResult));
-            this.results.set(way, costClasses.map(createResult));
+        for (const strategy of costStrategies) {
+            this.periods.set(strategy, Array.from({ length: periodCount }, createResult));
+            this.results.set(strategy, costClasses.map(createResult));
         }
     }
 
-    /** Runs from the first to the last request. */
+    /** Runs all requests. */
     run(): void {
         let nextGossip = gossipMilliseconds;
         for (let time = 0; time < runMilliseconds; time += requestInterval) {
@@ -133,15 +133,15 @@
             "fixed cascade": pair(0, last, 0.7),
         };
         const costs = new Map<CostStrategy, number>();
-        for (const way of costStrategies) {
+        for (const strategy of costStrategies) {
             costs.set(
-                way,
+                strategy,
                 this.#answer({
-                    strategy: way,
+                    strategy,
                     classIndex,
                     time,
                     size,
-                    steps: steps[way],
+                    steps: steps[strategy],
                     answers,
                     ratings,
                     isRatedInTime,
@@ -163,7 +163,7 @@
     }
 
     #chosenEntry: Entry | undefined;
-    /** Whether the plan was chosen to learn; its answers are then all sent to be rated. */
+    /** Whether the plan was chosen for exploration. All its answers are then sent to the rating service. */
     #isExploring = false;
 
     #createRequest(requestClass: CostClass, time: number, size: number) {
--- a/src/measure/cost/measureCost.ts
+++ b/src/measure/cost/measureCost.ts
@@ -1,4 +1,4 @@
-/** Measures the cost at the quality target against simple ways and an oracle. */
+/** Measures the cost at the quality target and compares it with simple strategies and an oracle. */
 import type { SeededRequest } from "../measurement.js";
 import { formatSummary, type Report } from "../report.js";
 import { costClasses } from "./costEnvironment.js";
@@ -8,7 +8,7 @@
 import { measurePlanning } from "./measurePlanning.js";
 
 const defaultSeedCount = 12;
-/** A class counts as met if its mean true quality is at least the target less so many standard errors. */
+/** The target counts as met if the mean true quality of a class is at most this many standard errors below it. */
 const allowedStandardErrors = 2;
 
 /** Runs the cost measurement over several seeds. */
@@ -27,7 +27,7 @@
         tables: [
             {
                 title: "Over all classes",
-                rows: costStrategies.map(way => ({ name: way, figures: describeStrategy(runs, way) })),
+                rows: costStrategies.map(strategy => ({ name: strategy, figures: describeStrategy(runs, strategy) })),
             },
             {
                 title: "By class, rattanlock",
--- a/src/measure/cost/measureDecision.ts
+++ b/src/measure/cost/measureDecision.ts
@@ -1,4 +1,4 @@
-/** Measures what one decision costs, at 11 versions and 20 classes with evidence of eight entries. */
+/** Measures the time of one decision with 11 versions, 20 classes and the evidence of eight entries. */
 import { performance } from "node:perf_hooks";
 import { RandomSource, systemClock } from "../../common/index.js";
 import { Evidence, ModelChooser } from "../../decisions/model/index.js";
@@ -11,7 +11,7 @@
 const decisionCount = 400_000;
 const changesPerDecision = 0.3;
 
-/** Times decisions while new ratings keep changing the evidence, so that the forming of plans is counted too. */
+/** Times decisions while new ratings keep changing the evidence, so that replanning is included. */
 export function measureDecision(seed: number): ReportRow {
     const random = new RandomSource(seed);
     const versions = new CostEnvironment(seed).getVersions(0);
--- a/src/measure/cost/measurePlanning.ts
+++ b/src/measure/cost/measurePlanning.ts
@@ -1,4 +1,4 @@
-/** Measures for how long the event loop is held up while the plans of a class are formed anew. */
+/** Measures how long the event loop is blocked while the plans of a class are recomputed. */
 import { performance } from "node:perf_hooks";
 import { RandomSource, systemClock } from "../../common/index.js";
 import { Evidence, ModelChooser } from "../../decisions/model/index.js";
@@ -11,12 +11,15 @@
 const roundCount = 40;
 /** The first rounds run while the code is still being compiled. */
 const warmUpRounds = 5;
-/** Long enough for plans to be formed anew. */
+/** Long enough for plans to be recomputed in each round. */
 const roundMilliseconds = 10_000;
-/** Some of them form tries, too. */
+/** Some of the decisions also plan an exploration. */
 const decisionsPerRound = 30;
 
-/** Times the slowest step or decision of each class in rounds before which the counts of all versions and entries changed. */
+/**
+ * Times the slowest step or decision of each class and round. Before each round, the counts of all versions and entries
+ * change.
+ */
 export function measurePlanning(seed: number): readonly ReportRow[] {
     const random = new RandomSource(seed);
     const versions = new CostEnvironment(seed).getVersions(0);
@@ -24,7 +27,7 @@
     const clock = { wall: () => systemClock.wall(), monotonic: () => time };
     const evidence = new Evidence({ clock });
     const others = Array.from({ length: entryCount - 1 }, () => new Evidence({ clock }));
-    const rate = (requestClass: string, age: number) => {
+    const addRatings = (requestClass: string, age: number) => {
         for (const target of [evidence, ...others]) {
             for (const { id } of versions) {
                 const answeredAt = systemClock.wall() - age * random.nextExponential(1);
@@ -32,7 +35,7 @@
             }
         }
     };
-    const share = () => {
+    const mergeEvidence = () => {
         for (const [index, other] of others.entries()) {
             evidence.merge(`entry-${index}`, other.exportOwn());
         }
@@ -40,10 +43,10 @@
     const classes = Array.from({ length: classCount }, (...[, index]) => `class-${index}`);
     for (const requestClass of classes) {
         for (let rating = 0; rating < ratingsPerClass / versions.length; rating += 1) {
-            rate(requestClass, 600_000);
+            addRatings(requestClass, 600_000);
         }
     }
-    share();
+    mergeEvidence();
     const steps: (() => void)[] = [];
     const schedule = (step: () => void) => steps.push(step);
     let chooser = new ModelChooser({ evidence, random, clock, schedule });
@@ -56,9 +59,9 @@
     for (let round = 0; round < roundCount; round += 1) {
         time += roundMilliseconds;
         for (const requestClass of classes) {
-            rate(requestClass, 1000);
+            addRatings(requestClass, 1000);
         }
-        share();
+        mergeEvidence();
         for (const requestClass of classes) {
             let slowest = decide(requestClass);
             for (let step = steps.shift(); step !== undefined; step = steps.shift()) {
--- a/src/measure/cost/oracle.ts
+++ b/src/measure/cost/oracle.ts
@@ -1,6 +1,6 @@
 /**
- * The oracle of the cost measurement: it knows the true quality of every plan and takes the cheapest that meets the
- * target.
+ * The oracle of the cost measurement: it computes the true quality of every plan and chooses the cheapest that meets
+ * the target.
  */
 import { RandomSource } from "../../common/index.js";
 import { getPrice, type ModelVersion } from "../../world/index.js";
@@ -9,14 +9,14 @@
 const drawCount = 6000;
 const thresholds = Array.from({ length: 23 }, (...[, index]) => 0.4 + 0.025 * index);
 
-/** A plan by indexes of versions. `acceptScore` is 0 for a single version. */
+/** A plan, with versions given by index. `acceptScore` is 0 for a plan with a single version. */
 export interface OraclePlan {
     readonly first: number;
     readonly second: number;
     readonly acceptScore: number;
 }
 
-/** Finds the cheapest plan with the true quality at or above the target. */
+/** Finds the cheapest plan whose true quality meets the target. */
 export class Oracle {
     readonly #environment: CostEnvironment;
     readonly #ratedShare: number;
@@ -28,7 +28,7 @@
         this.#ratedShare = ratedShare;
     }
 
-    /** Gets the best plan for a class at a time. */
+    /** Returns the best plan for a class at a time. */
     getPlan(classIndex: number, time: number): OraclePlan {
         const key = `${classIndex}/${this.#environment.getPhase(time)}`;
         let plan = this.#plans.get(key);
--- a/src/measure/decisionCost.ts
+++ b/src/measure/decisionCost.ts
@@ -1,5 +1,5 @@
 /**
- * What one choice of a runner costs the entry: time and memory, at today's and at the target's size.
+ * Measures the time and memory that an entry spends on one choice of a runner, by the number of runners.
  */
 import { performance } from "node:perf_hooks";
 import { setFlagsFromString } from "node:v8";
@@ -18,18 +18,21 @@
 const choicesPerHeapSample = 200;
 const heapSamples = 21;
 
-/** Cost of a choice with a number of runners. */
+/** Cost of one choice at a given number of runners. */
 export interface DecisionCost {
     readonly runners: number;
     readonly medianMicroseconds: number;
     readonly microseconds99: number;
-    /** Bytes allocated for one choice, the request's end included. */
+    /** Bytes allocated for one choice, including the end of the request. */
     readonly bytes: number;
-    /** Bytes that the chooser keeps. */
+    /** Bytes that the chooser retains. */
     readonly keptBytes: number;
 }
 
-/** Measures the cost of a choice, from `choose` to `finish`. */
+/**
+ * Measures the cost of a choice, from `choose` to `finish`.
+ * @param runners - The number of runners.
+ */
 export function measureDecisionCost(runners: number, seed: number): DecisionCost {
     const collectGarbage = getGarbageCollector();
     const vms = createVms(runners);
@@ -91,7 +94,7 @@
     }));
 }
 
-/** As many entries as the target has for this many runners. */
+/** Creates the entries. The caller passes one for six runners, as at the target size. */
 function createEntries(count: number): readonly Vm[] {
     return createVms(count).map((vm, index) => ({ ...vm, id: `entry-${index}`, role: "entry" }));
 }
@@ -110,7 +113,7 @@
     return chooser;
 }
 
-/** Requests whose prompts the runners hold in part, so that the table of prefixes is searched to the end. */
+/** Creates requests whose prompts are partly cached by the runners, so that the prefix table is searched to the end. */
 function createRequests(seed: number): readonly CostRequest[] {
     const random = new RandomSource(seed);
     return getRange(500).map(index => ({
@@ -121,7 +124,7 @@
     }));
 }
 
-/** Node gives out its garbage collector only under this flag. */
+/** Returns Node's garbage collector, which Node exposes only under this flag. */
 function getGarbageCollector(): () => void {
     setFlagsFromString("--expose-gc");
     return runInNewContext("gc") as () => void;
--- a/src/measure/entry/measureEntry.ts
+++ b/src/measure/entry/measureEntry.ts
@@ -1,5 +1,5 @@
 /**
- * Measures what an entry adds and what it can carry, with real processes on loopback addresses.
+ * Measures the latency that an entry adds and its maximum throughput, with real processes on loopback addresses.
  */
 import {
     Caller,
@@ -28,8 +28,8 @@
 }
 
 /**
- * Measures one entry before fast engines.
- * @param log - Writes progress.
+ * Measures one entry in front of fast engines.
+ * @param log - Logs a line of progress.
  */
 export async function measureEntry(log: (line: string) => void): Promise<Report> {
     const group = new ProcessGroup();
@@ -86,7 +86,7 @@
         }
     }
 
-    /** Asks the entry and a runner in turn, so that both meet the same moments of the machine. */
+    /** Alternates between the entry and a runner, so that the machine's load affects both equally. */
     async compareLatency(): Promise<readonly ReportRow[]> {
         const through: number[] = [];
         const direct: number[] = [];
--- a/src/measure/eventQueue.ts
+++ b/src/measure/eventQueue.ts
@@ -1,11 +1,11 @@
 /**
- * A queue of future events for measurements: the decisions run over seeded draws, on a clock that is moved by hand.
+ * Event queue for discrete-event simulations: the decisions run on seeded random draws and a manual clock.
  */
 import { ManualClock } from "../common/index.js";
 
 interface FutureEvent {
     readonly time: number;
-    /** Keeps events of one moment in the order in which they were added. */
+    /** Breaks ties: events with the same time run in the order in which they were added. */
     readonly order: number;
     readonly run: () => void;
     isCancelled: boolean;
@@ -18,16 +18,16 @@
     readonly #heap: FutureEvent[] = [];
     #nextOrder = 0;
 
-    /** Returns the present time in milliseconds. */
+    /** Returns the current time in milliseconds. */
     now(): number {
         return this.clock.monotonic();
     }
 
     /**
-     * Runs a function later.
-     * @param milliseconds - From now.
-     * @param run - What to run.
-     * @returns Cancels it.
+     * Schedules a function.
+     * @param milliseconds - The delay from now.
+     * @param run - The function to run.
+     * @returns A function that cancels it.
      */
     schedule(milliseconds: number, run: () => void): () => void {
         const event = { time: this.now() + Math.max(0, milliseconds), order: this.#nextOrder, run, isCancelled: false };
@@ -39,7 +39,7 @@
     }
 
     /**
-     * Runs the events up to a time.
+     * Runs the events up to a time and sets the clock to it.
      * @param end - The time, in milliseconds.
      */
     runUntil(end: number): void {
--- a/src/measure/exposure/exposureCase.ts
+++ b/src/measure/exposure/exposureCase.ts
@@ -1,41 +1,41 @@
-/** The cases of the exposure measurement: how a version turns bad, and how ratings arrive. */
+/** The cases of the exposure measurement: how a version degrades and how its ratings arrive. */
 
 import type { RolloutPolicy } from "../../decisions/exposure/index.js";
 
-/** Chances of an answer, by what it may suffer from. */
+/** Probabilities that an answer is bad, failed or slow. */
 export interface AnswerChances {
     readonly bad: number;
     readonly failed: number;
     readonly slow: number;
 }
 
-/** Answers of a version that is as it should be. */
+/** Probabilities of a good version. */
 export const goodChances: AnswerChances = { bad: 0.03, failed: 0.005, slow: 0.05 };
 
-/** Where a roll-out stands when the candidate turns bad. */
+/** The state of a roll-out when the candidate degrades. */
 export type RolloutMoment = "first stage" | "mid roll-out" | "after full roll-out";
 
 /** One case. */
 export interface ExposureCase {
     readonly name: string;
     readonly moment: RolloutMoment;
-    /** Answers of the candidate once it is bad. */
+    /** Probabilities of the candidate after it has degraded. */
     readonly chances: AnswerChances;
-    /** The only class in which it turns bad; `undefined`: in all. */
+    /** The only class in which it degrades; `undefined` for all classes. */
     readonly onlyClass?: string;
-    /** How long after the start of the run it turns bad, in milliseconds. */
+    /** Time from the start of the run until it degrades, in milliseconds. */
     readonly degradesAt: number;
     readonly meanRatingDelay: number;
-    /** Share of good and of bad answers that are rated. */
+    /** Share of good answers that are rated; `ratedShareOfBad` is the share of bad ones. */
     readonly ratedShare: number;
     readonly ratedShareOfBad: number;
-    /** What differs from the default policy. */
+    /** Overrides of the default policy. */
     readonly policy?: Partial<RolloutPolicy>;
 }
 
 const badRatings: AnswerChances = { ...goodChances, bad: 0.3 };
 
-/** As if the hour after the roll-out in which a version is watched more closely were over. */
+/** Simulates that the guard period is over, the hour after the roll-out in which a version is checked more strictly. */
 const withoutGuard: Partial<RolloutPolicy> = { guardMilliseconds: 0 };
 
 /** All cases with a bad candidate. */
@@ -69,7 +69,7 @@
     }),
 ];
 
-/** A candidate that is as good as the baseline. */
+/** The case of a candidate that is as good as the baseline. */
 export const goodCase: ExposureCase = createCase("good", { chances: goodChances });
 
 function createCase(name: string, options: Partial<ExposureCase>): ExposureCase {
--- a/src/measure/exposure/exposureRun.ts
+++ b/src/measure/exposure/exposureRun.ts
@@ -12,10 +12,10 @@
     stages,
 } from "./exposureSite.js";
 
-/** Mean time between two requests of the whole site. */
+/** Time between two requests to the whole site, in milliseconds. */
 export const requestInterval = 50;
 const evaluationInterval = 1000;
-/** Answers of the baseline and, where it has been exposed before, of the candidate, before the run begins. */
+/** Length of the history before the run: answers of the baseline and, if it was exposed before, of the candidate. */
 const historyMilliseconds = 1_800_000;
 const historyAnswers = 18_000;
 const midHistoryAnswers = 800;
@@ -23,16 +23,19 @@
 const badScore = 0.25;
 const scoreDeviation = 0.08;
 
-/** Ways of rolling out that are compared. */
+/** Roll-out strategies that are compared. */
 export type ExposureStrategy = "shared" | "each entry alone";
 
-/** What a run did. */
+/** Result of a run. */
 export interface ExposureResult {
-    /** Callers given a bad, failed or slow answer beyond what they would have been given by the baseline's chances. */
+    /**
+     * Callers that received a bad or failed answer from the degraded candidate. Slow answers count in cases that make
+     * them more likely than with the baseline.
+     */
     readonly harmed: number;
-    /** Callers that the candidate answered after it turned bad. */
+    /** Callers that the candidate answered after it had degraded. */
     readonly exposed: number;
-    /** Milliseconds from turning bad until the last answer of the candidate; `undefined` if it wasn't halted. */
+    /** Milliseconds from the degradation until the last answer of the candidate; `undefined` if it was not halted. */
     readonly detectedAfter: number | undefined;
     readonly halted: boolean;
     readonly finished: boolean;
@@ -46,9 +49,9 @@
     readonly strategy: ExposureStrategy;
     readonly durationMilliseconds: number;
     readonly policy?: Partial<RolloutPolicy>;
-    /** Time between two exchanges of counts, in milliseconds; a second by default. */
+    /** Time between two exchanges of counts, in milliseconds; one second by default. */
     readonly gossipInterval?: number;
-    /** Whether the run ends at the first halt everywhere. */
+    /** Whether the run ends when all entries have halted the candidate. */
     readonly endsAtHalt: boolean;
 }
 
@@ -77,11 +80,11 @@
         this.#site = new ExposureSite({ seed, hash, sharesState: options.strategy === "shared", policy });
     }
 
-    /** Runs to the end. */
+    /** Runs the simulation and returns its result. */
     run(): ExposureResult {
         const site = this.#site;
         const { moment, degradesAt } = this.#options.exposureCase;
-        this.#prepare();
+        this.#advanceClockPastHistory();
         site.startRollout(moment === "first stage" ? 0 : moment === "mid roll-out" ? 2 : "finished");
         this.#addHistory(baseline, historyAnswers);
         if (moment !== "first stage") {
@@ -110,8 +113,8 @@
         return { harmed: this.#harmedCount, exposed: this.#exposedCount, detectedAfter, halted, finished };
     }
 
-    /** Moves the clock ahead of the history, so that its times aren't negative. */
-    #prepare(): void {
+    /** Moves the clock forward by the length of the history, so that the history's times are not negative. */
+    #advanceClockPastHistory(): void {
         this.#site.clock.advance(historyMilliseconds);
     }
 
@@ -151,7 +154,10 @@
         return this.#site.random.next() < share && stages.length > 0 ? candidate : baseline;
     }
 
-    /** Draws an answer and its rating, and counts them. */
+    /**
+     * Draws an answer and its rating, and adds them to the entry's evidence.
+     * @returns Whether the caller was harmed.
+     */
     #answer(input: {
         entry: ExposureEntry;
         version: string;
--- a/src/measure/exposure/exposureSite.ts
+++ b/src/measure/exposure/exposureSite.ts
@@ -1,6 +1,6 @@
 /**
- * Eight entries with their decisions, and what travels between them: counts by gossip, halts at once, records through
- * the log, each with a delay.
+ * Eight simulated entries with their decisions, and the messages between them: counts by gossip, halts by an immediate
+ * push, and records through the log. Each has a delay.
  */
 import { ManualClock, RandomSource } from "../../common/index.js";
 import { RolloutFold, rolloutRecordKinds } from "../../control/index.js";
@@ -36,7 +36,7 @@
     readonly fold: RolloutFold;
     readonly router: RolloutRouter;
     readonly evaluator: RolloutEvaluator;
-    /** Sequence of its counts that the others have been sent. */
+    /** Sequence number up to which its counts have been sent to the other entries. */
     publishedSequence: number;
 }
 
@@ -44,12 +44,12 @@
 export interface ExposureSiteOptions {
     readonly seed: number;
     readonly hash: CallerHash;
-    /** Whether entries share what they see and decide. */
+    /** Whether the entries share their evidence and decisions. */
     readonly sharesState: boolean;
     readonly policy?: Partial<RolloutPolicy>;
 }
 
-/** The entries of one run. */
+/** Simulates the entries of one run. */
 export class ExposureSite {
     readonly clock = new ManualClock(1_800_000_000_000);
     readonly random: RandomSource;
@@ -87,7 +87,7 @@
         }
     }
 
-    /** Starts the roll-out and advances it to a stage at once, or through all of them. */
+    /** Starts the roll-out and advances it at once to a stage, or through all stages to its end. */
     startRollout(stage: number | "finished"): void {
         const body = {
             rollout: rolloutId,
@@ -108,7 +108,7 @@
         }
     }
 
-    /** Delivers what has arrived. */
+    /** Delivers all messages that are due. */
     deliver(): void {
         const now = this.clock.wall();
         const due = this.#pendingDeliveries.filter(({ at }) => at <= now);
@@ -145,7 +145,7 @@
         }
     }
 
-    /** Lets every entry judge; the first one holds the lease. */
+    /** Evaluates the roll-out at every entry. The first entry holds the lease and writes the records. */
     evaluate(): void {
         const names = this.entries.map(({ name }) => name);
         for (const [index, entry] of this.entries.entries()) {
--- a/src/measure/exposure/knownRatesTest.ts
+++ b/src/measure/exposure/knownRatesTest.ts
@@ -1,11 +1,11 @@
-/** A sequential probability ratio test that knows both rates: the least that any test needs. */
+/** A sequential probability ratio test with both rates known: a lower bound on the samples that any test needs. */
 import type { RandomSource } from "../../common/index.js";
 
 /**
- * Draws the number of samples until the test says bad.
+ * Draws the number of samples until the test classifies the version as bad.
  * @param good - Rate of bad answers of a good version.
- * @param bad - Rate of bad answers of the bad version, which is the one that is drawn.
- * @param falseAlarmProbability - The test's error for good versions.
+ * @param bad - Rate of bad answers of the bad version, from which the samples are drawn.
+ * @param falseAlarmProbability - The probability that the test classifies a good version as bad.
  */
 export function drawSampleCount(
     good: number,
@@ -17,10 +17,10 @@
 }
 
 /**
- * Draws the number of answers until a test that knows the chances of each outcome says bad.
- * @param good - Chance of each outcome with a good version.
- * @param bad - Chance of each outcome with the bad version, which is the one that is drawn.
- * @param falseAlarmProbability - The test's error for good versions.
+ * Draws the number of answers until a test that knows the probability of each outcome classifies the version as bad.
+ * @param good - Probability of each outcome with a good version.
+ * @param bad - Probability of each outcome with the bad version, from which the outcomes are drawn.
+ * @param falseAlarmProbability - The probability that the test classifies a good version as bad.
  */
 export function drawAnswerCount(
     good: readonly number[],
--- a/src/measure/exposure/measureExposure.ts
+++ b/src/measure/exposure/measureExposure.ts
@@ -11,13 +11,13 @@
 const defaultSeedCount = 12;
 const goodRollouts = 300;
 const goodDuration = 900_000;
-/** Good roll-outs exchange counts less often, for the sake of the measurement's own time. */
+/** Good roll-outs exchange counts less often, to shorten the measurement. */
 const goodGossipInterval = 2000;
 const badDuration = 900_000;
 const knownRatesDraws = 4000;
 const delayedDraws = 1000;
 const falseHaltProbability = 0.01;
-/** When an operator notices by himself and stops a roll-out that goes by percentages alone. */
+/** Time until an operator notices the fault and stops a roll-out that advances by percentages alone. */
 const operatorReactionMilliseconds = 600_000;
 
 /** Runs the exposure measurement. */
@@ -40,7 +40,7 @@
 function describeCase(exposureCase: ExposureCase, seeds: readonly number[], hash: CallerHash): ReportRow {
     const shared = seeds.map(seed => runCase(exposureCase, "shared", seed, hash));
     const alone = seeds.map(seed => runCase(exposureCase, "each entry alone", seed, hash));
-    const known = getKnownRates(exposureCase, seeds[0]);
+    const knownRates = getKnownRates(exposureCase, seeds[0]);
     const harmed = shared.map(result => result.harmed);
     return {
         name: exposureCase.name,
@@ -48,8 +48,8 @@
             "rattanlock": formatSummary(harmed, 1),
             "each entry alone": formatSummary(alone.map(result => result.harmed), 1),
             "percentage only": Math.round(getPercentageOnly(exposureCase)),
-            "2 x known rates": (2 * known).toFixed(1),
-            "times known rates": (summarize(harmed).mean / known).toFixed(2),
+            "2 x known rates": (2 * knownRates).toFixed(1),
+            "times known rates": (summarize(harmed).mean / knownRates).toFixed(2),
             "known rates, same ratings": getKnownRatesOfRatings(exposureCase, seeds[0]).toFixed(1),
             "known rates, same delays": getKnownRatesDelayed(exposureCase, seeds[0]).toFixed(1),
             "halted": `${shared.filter(result => result.halted).length} of ${seeds.length}`,
@@ -68,7 +68,7 @@
     return new ExposureRun(options).run();
 }
 
-/** Gets the callers given a bad answer until a test that knows both rates has decided, with no delay of any kind. */
+/** Returns the number of callers given a bad answer until a test that knows both rates concludes, without any delay. */
 function getKnownRates(exposureCase: ExposureCase, seed: number): number {
     const { chances, onlyClass, ratedShare } = exposureCase;
     const random = new RandomSource(seed);
@@ -79,13 +79,13 @@
         samples += drawSampleCount(goodChances[kind], chances[kind], falseHaltProbability, random);
     }
     const inClass = samples / knownRatesDraws / share * chances[kind];
-    // The test also knows which class is bad; callers of other classes get what the baseline would have given them.
+    // The test also knows which class is bad. Callers of the two other classes get bad answers at the baseline's rate.
     return onlyClass === undefined ? inClass : inClass + 2 * samples / knownRatesDraws / share * goodChances[kind];
 }
 
 /**
- * Gets the callers given a bad answer until a test has decided that gets the same ratings as the router, without any
- * delay, and knows the chance of each answer to be rated good, rated bad or not rated.
+ * Returns the number of callers given a bad answer until a test concludes that receives the same ratings as the router,
+ * without any delay, and knows the probability of each answer to be rated good, rated bad or not rated.
  */
 function getKnownRatesOfRatings(exposureCase: ExposureCase, seed: number): number {
     const { chances, onlyClass, ratedShare, ratedShareOfBad } = exposureCase;
@@ -106,8 +106,8 @@
 }
 
 /**
- * Gets the callers given a bad answer until a test that knows both rates has decided, where it sees ratings as late as
- * the router does, and the candidate gets the stage's whole share meanwhile.
+ * Returns the number of callers given a bad answer until a test that knows both rates concludes. The test receives
+ * ratings as late as the router, and the candidate gets the whole share of the stage in the meantime.
  */
 function getKnownRatesDelayed(exposureCase: ExposureCase, seed: number): number {
     const { chances, ratedShare, meanRatingDelay } = exposureCase;
@@ -119,7 +119,7 @@
         const samples = Math.round(drawSampleCount(goodChances[kind], chances[kind], falseHaltProbability, random));
         const arrivals: number[] = [];
         const ratedShareOfKind = kind === "bad" ? ratedShare : 1;
-        // Twice as many arrivals as needed, so that late ones of early answers take their turn.
+        // More than twice as many arrivals as needed, so that late ratings of early answers are counted in order.
         for (let time = 0; arrivals.length < 2 * samples + 2000; time += interval) {
             if (random.next() < ratedShareOfKind) {
                 arrivals.push(time + (kind === "bad" ? random.nextExponential(meanRatingDelay) : 0));
@@ -147,7 +147,7 @@
     return share * operatorReactionMilliseconds / requestInterval * harm;
 }
 
-/** Counts the halts of good versions; apart from the cases, since it takes long. */
+/** Counts the halts of good versions. This is a separate measurement because it takes long. */
 export async function measureFalseHalts(request: SeededRequest): Promise<Report> {
     const hash = await createCallerHash();
     const count = request.seedCount ?? goodRollouts;
--- a/src/measure/gossipTraffic.ts
+++ b/src/measure/gossipTraffic.ts
@@ -1,8 +1,9 @@
 /**
- * What gossip costs a node, by the number of nodes: bytes a second, processor time, and how long news takes.
+ * Measures the cost of gossip for a node, by the number of nodes: bytes per second, processor time, and the time until
+ * an update reaches all nodes.
  *
- * Nodes exchange in one process over a network in memory; messages are encoded and decoded as they would be on the
- * wire. What gRPC and the connections add is not in these figures.
+ * All nodes run in one process and exchange over an in-memory network. Messages are encoded and decoded as on the wire.
+ * The overhead of gRPC and of the connections is not included.
  */
 import { ManualClock, RandomSource } from "../common/index.js";
 import { Journal } from "../events/index.js";
@@ -18,21 +19,21 @@
 const maxPeriods = 60;
 const changedValueBytes = 100;
 
-/** What a number of nodes costs each of them. */
+/** Cost of gossip for each node at a given number of nodes. */
 export interface GossipCost {
     readonly nodes: number;
     readonly periodMilliseconds: number;
-    /** Bytes sent and received by a node in a second when nothing changes: the mean and the greatest. */
+    /** Bytes that a node sends and receives per second while nothing changes: mean and maximum over the nodes. */
     readonly idleBytesPerSecond: number;
     readonly idleGreatestBytesPerSecond: number;
-    /** The same while every node changes a value of 100 bytes in each period. */
+    /** The same while every node changes a 100-byte value in each period. */
     readonly busyBytesPerSecond: number;
     readonly busyGreatestBytesPerSecond: number;
-    /** Processor time of a node for a second of idle gossip, in milliseconds. */
+    /** Processor time of a node for one second of idle gossip, in milliseconds. */
     readonly idleProcessorMilliseconds: number;
-    /** Time until all nodes know a change that was not urgent. */
+    /** Time until all nodes have received a change that was not urgent. */
     readonly spreadMilliseconds: number;
-    /** Share of the nodes that an urgent change reached without an exchange. */
+    /** Share of the nodes that received an urgent change by push, without an exchange. */
     readonly pushedShare: number;
 }
 
@@ -94,7 +95,7 @@
 
 /**
  * Measures gossip at several numbers of nodes.
- * @param seed - Decides who talks to whom.
+ * @param seed - Seed of the random choice of peers.
  */
 export async function measureGossip(seed: number): Promise<readonly GossipCost[]> {
     const costs: GossipCost[] = [];
@@ -105,7 +106,7 @@
 }
 
 /**
- * Writes the figures as a table.
+ * Formats the figures as a Markdown table.
  * @param costs - The figures.
  */
 export function formatGossip(costs: readonly GossipCost[]): string {
@@ -181,7 +182,7 @@
         }
         await runPeriod(nodes);
     }
-    throw new Error(`${nodes.length} nodes did not settle in ${maxPeriods} periods.`);
+    throw new Error(`${nodes.length} nodes did not converge within ${maxPeriods} gossip periods.`);
 }
 
 async function countBytes(
--- a/src/measure/limits.ts
+++ b/src/measure/limits.ts
@@ -1,5 +1,5 @@
 /**
- * The measurement `limits`: which requests are let in at all, against no limit and a fixed limit with a line.
+ * The measurement `limits`: compares the product's admission control with no limit and with a fixed limit and a queue.
  */
 import { type AdmissionName, admissionNames } from "./admissionPolicies.js";
 import type { LimitsRecord } from "./limitsRecord.js";
@@ -9,7 +9,7 @@
 const seedsPerRun = 10;
 const quietPrefix = "quiet-";
 
-/** Two loud workspaces, the first with twice the share of the second, beside eight quiet ones. */
+/** Creates two loud workspaces, the first with twice the share of the second, and eight quiet ones. */
 function createWorkspaces(load: number): readonly WorkspaceLoad[] {
     const quietLoad = 0.02;
     const quietCount = 8;
@@ -36,7 +36,7 @@
     { name: "0.8, thirty seconds 3 times slower", workspaces: createWorkspaces(0.8), brownOut: 3 },
 ];
 
-/** One line of the result. */
+/** Figures of one admission policy in one scenario. */
 export interface LimitsResult {
     readonly scenario: string;
     readonly admission: AdmissionName;
@@ -67,7 +67,7 @@
     { name: "peak asks / capacity", digits: 2, get: run => run.getPeakAttempts() },
 ];
 
-/** Runs all scenarios with all ways to let requests in. */
+/** Runs all scenarios with all admission policies. */
 export function measureLimits(firstSeed: number, seeds = seedsPerRun): readonly LimitsResult[] {
     const results: LimitsResult[] = [];
     for (const scenario of limitsScenarios) {
@@ -81,7 +81,7 @@
     return results;
 }
 
-/** Writes the result as a table. */
+/** Formats the results as a Markdown table. */
 export function formatLimits(results: readonly LimitsResult[]): string {
     const rows = results.map(({ scenario, admission, figures }) => [
         scenario,
--- a/src/measure/limitsRecord.ts
+++ b/src/measure/limitsRecord.ts
@@ -1,37 +1,37 @@
 /**
- * What a run of the measurement `limits` saw, and the figures drawn from it.
+ * Records the requests of one run of the measurement `limits` and computes its figures.
  */
 import { limitsTimes } from "./limitsTrial.js";
 import { getQuantile, getRange } from "./statistics.js";
 
-/** An answer that was given. */
+/** An answered attempt. */
 export interface RecordedAnswer {
     readonly workspace: string;
     readonly priority: number;
     readonly attemptedAt: number;
     readonly firstTokenAt: number;
-    /** From the caller's first ask, refused returns included. */
+    /** Milliseconds from the caller's first attempt to the first token, including refused attempts. */
     readonly sinceFirstAttempt: number;
     readonly isInTime: boolean;
 }
 
-/** A refusal that was given. */
+/** A refused attempt. */
 export interface RecordedRefusal {
     readonly workspace: string;
     readonly priority: number;
     readonly at: number;
-    /** How long the caller waited for it. */
+    /** How long the caller waited for the refusal. */
     readonly waitMilliseconds: number;
 }
 
-/** Part of the usual goodput that counts as recovered. */
+/** Share of the goodput before the brown-out that counts as recovered. */
 const recoveredShare = 0.9;
 const recoveryWindowSeconds = 5;
 
-/** Names a workspace, or all whose names begin so. */
+/** The name of a workspace, or a prefix that stands for all workspaces whose names start with it. */
 type WorkspacePrefix = string;
 
-/** Record of one run. */
+/** Records one run. */
 export class LimitsRecord {
     readonly #capacityPerSecond: number;
     readonly #answers: RecordedAnswer[] = [];
@@ -44,7 +44,7 @@
         this.#capacityPerSecond = capacityPerSecond;
     }
 
-    /** Notes a caller's first ask. */
+    /** Records a caller's first attempt. */
     addRequest(workspace: string, now: number): void {
         this.#requests[Math.floor(now / 1_000)] += 1;
         if (isMeasured(now)) {
@@ -52,28 +52,28 @@
         }
     }
 
-    /** Notes an ask, the first or a return. */
+    /** Records an attempt: the first one or a retry. */
     addAttempt(now: number): void {
         this.#attempts[Math.floor(now / 1_000)] += 1;
     }
 
-    /** Notes an answer. */
+    /** Records an answer. */
     addAnswer(answer: RecordedAnswer): void {
         this.#answers.push(answer);
     }
 
-    /** Notes a refusal. */
+    /** Records a refusal. */
     addRefusal(refusal: RecordedRefusal): void {
         this.#refusals.push(refusal);
     }
 
-    /** Returns the answers in time between two seconds, as a part of the capacity. */
+    /** Returns the rate of answers in time between two seconds of the run, as a share of the capacity. */
     getGoodput(from: number, to: number): number {
         const good = this.#answers.filter(answer => answer.isInTime && isBetween(answer.firstTokenAt, from, to));
         return good.length / this.#capacityPerSecond / (to - from);
     }
 
-    /** Returns a quantile of the time to the first token of workspaces' answers, from each ask that was let in. */
+    /** Returns a quantile of the workspaces' time to first token in milliseconds, from the admitted attempt on. */
     getFirstToken(workspaces: WorkspacePrefix, share: number): number {
         const workspaceAnswers = this.#answers.filter(answer =>
             answer.workspace.startsWith(workspaces) && isMeasured(answer.attemptedAt)
@@ -81,7 +81,7 @@
         return getQuantile(workspaceAnswers.map(answer => answer.firstTokenAt - answer.attemptedAt), share);
     }
 
-    /** Returns the part of workspaces' requests that were answered in time in the end. */
+    /** Returns the share of the workspaces' requests that were finally answered in time. */
     getServedShare(workspaces: WorkspacePrefix): number {
         const workspaceAnswers = this.#answers.filter(answer =>
             answer.workspace.startsWith(workspaces) && answer.isInTime && isMeasured(answer.attemptedAt)
@@ -93,50 +93,53 @@
         return workspaceAnswers.length / Math.max(1, requested);
     }
 
-    /** Returns the part of a workspace's asks of a priority that were refused. */
+    /** Returns the share of a workspace's attempts of one priority that were refused. */
     getRefusedShare(workspace: string, priority: number): number {
-        const isOwn = (item: { readonly workspace: string; readonly priority: number; }): boolean =>
+        const isCounted = (item: { readonly workspace: string; readonly priority: number; }): boolean =>
             item.workspace === workspace && item.priority === priority;
-        const refused = this.#refusals.filter(refusal => isOwn(refusal) && isMeasured(refusal.at)).length;
-        const answered = this.#answers.filter(answer => isOwn(answer) && isMeasured(answer.attemptedAt)).length;
+        const refused = this.#refusals.filter(refusal => isCounted(refusal) && isMeasured(refusal.at)).length;
+        const answered = this.#answers.filter(answer => isCounted(answer) && isMeasured(answer.attemptedAt)).length;
         return refused / Math.max(1, refused + answered);
     }
 
-    /** Returns how many answers two workspaces got, as a ratio. */
+    /** Returns the ratio of the answers that two workspaces received. */
     getRatio(workspace: string, other: string): number {
         const count = (name: string): number =>
             this.#answers.filter(answer => answer.workspace === name && isMeasured(answer.attemptedAt)).length;
         return count(workspace) / Math.max(1, count(other));
     }
 
-    /** Returns a quantile of the time that a refusal took. */
+    /** Returns a quantile of the time until a refusal, in milliseconds. */
     getRefusalTime(share: number): number {
         const measured = this.#refusals.filter(refusal => isMeasured(refusal.at));
         return getQuantile(measured.map(refusal => refusal.waitMilliseconds), share);
     }
 
-    /** Returns the part of refusals that took more than 50 ms. */
+    /** Returns the share of refusals that took more than 50 ms. */
     getLateRefusals(): number {
         const measured = this.#refusals.filter(refusal => isMeasured(refusal.at));
         return measured.filter(refusal => refusal.waitMilliseconds > 50).length / Math.max(1, measured.length);
     }
 
-    /** Returns how many asks there were for each first ask. */
+    /** Returns the number of attempts per request. */
     getAttemptsPerRequest(): number {
         return sum(this.#attempts, limitsTimes.measureFrom, limitsTimes.end)
             / sum(this.#requests, limitsTimes.measureFrom, limitsTimes.end);
     }
 
-    /** Returns the greatest number of asks in a second, as a part of the capacity. */
+    /** Returns the maximum number of attempts in a second, as a multiple of the capacity. */
     getPeakAttempts(): number {
         return Math.max(...this.#attempts.slice(limitsTimes.measureFrom, limitsTimes.end)) / this.#capacityPerSecond;
     }
 
-    /** Returns the seconds from the end of the brown-out until five seconds in a row give the usual goodput. */
+    /**
+     * Returns the seconds from the end of the brown-out until the goodput over five seconds in a row has recovered.
+     * @returns The time to the end of the run if the goodput does not recover.
+     */
     getRecoverySeconds(): number {
-        const usual = this.getGoodput(limitsTimes.measureFrom, limitsTimes.brownOutFrom);
+        const goodputBefore = this.getGoodput(limitsTimes.measureFrom, limitsTimes.brownOutFrom);
         for (let at = limitsTimes.brownOutTo; at < limitsTimes.end - recoveryWindowSeconds; at += 1) {
-            if (this.getGoodput(at, at + recoveryWindowSeconds) >= recoveredShare * usual) {
+            if (this.getGoodput(at, at + recoveryWindowSeconds) >= recoveredShare * goodputBefore) {
                 return at - limitsTimes.brownOutTo;
             }
         }
--- a/src/measure/limitsTrial.ts
+++ b/src/measure/limitsTrial.ts
@@ -1,5 +1,5 @@
 /**
- * One seeded run of entries that let requests of several workspaces in or refuse them, for the measurement `limits`.
+ * One seeded run of entries that admit or refuse requests of several workspaces, for the measurement `limits`.
  */
 import { RandomSource } from "../common/index.js";
 import { type LimitOptions, type Release, RetryBudget } from "../decisions/limits/index.js";
@@ -20,26 +20,26 @@
 const maxRetries = 4;
 const maxUpstreams = 3;
 
-/** Seconds of a run, from its start. */
+/** Times of a run, in seconds from its start. */
 export const limitsTimes = { measureFrom: 20, brownOutFrom: 50, brownOutTo: 80, end: 140 };
 
-/** A workspace's callers. */
+/** The load that a workspace's callers generate. */
 export interface WorkspaceLoad {
     readonly name: string;
     readonly share: number;
-    /** First asks, as a part of the capacity. */
+    /** Rate of first attempts, as a share of the capacity. */
     readonly load: number;
-    /** Part of its requests of the lowest priority; the others have the usual one. */
+    /** Share of its requests with the lowest priority; the others have the default priority. */
     readonly lowPriorityShare: number;
-    /** Part of its callers that come back when it suits them, whatever they were told. */
+    /** Share of its callers that retry early and ignore the given retry time. */
     readonly earlyRetryShare: number;
 }
 
-/** What happens in a scenario. */
+/** One scenario. */
 export interface LimitsScenario {
     readonly name: string;
     readonly workspaces: readonly WorkspaceLoad[];
-    /** How many times slower all runners are between `brownOutFrom` and `brownOutTo`; 1 for none. */
+    /** Factor by which all runners are slower between `brownOutFrom` and `brownOutTo`; 1 for no brown-out. */
     readonly brownOut: number;
 }
 
@@ -53,7 +53,7 @@
     retries: number;
 }
 
-/** Runs one scenario with one way to let requests in. */
+/** Runs one scenario with one admission policy. */
 export class LimitsTrial {
     readonly #scenario: LimitsScenario;
     readonly #queue = new EventQueue();
@@ -93,12 +93,12 @@
                 limits: options.limits,
             })
         );
-        const hold = getFullLoadServiceTime(this.#runners[0].options, 0, meanOutputTokens);
-        this.#capacityPerSecond = 1_000 * runners * runnerCapacity / hold;
+        const serviceTimeMilliseconds = getFullLoadServiceTime(this.#runners[0].options, 0, meanOutputTokens);
+        this.#capacityPerSecond = 1_000 * runners * runnerCapacity / serviceTimeMilliseconds;
         this.#record = new LimitsRecord(this.#capacityPerSecond);
     }
 
-    /** Runs it and returns what was recorded. */
+    /** Runs the trial and returns its record. */
     run(): LimitsRecord {
         this.#scheduleReports();
         for (const workspace of this.#scenario.workspaces) {
@@ -178,7 +178,9 @@
         this.#queue.schedule(this.#random.nextExponential(mean), arrive);
     }
 
-    /** The caller picks an entry; a caller that comes back may pick another one, which knows nothing of it. */
+    /**
+     * Sends the request to a random entry. A retry may reach another entry, which has no state of the earlier attempts.
+     */
     #attempt(request: TrialRequest): void {
         const attemptedAt = this.#queue.now();
         const entry = this.#random.nextInteger(entries);
@@ -266,8 +268,10 @@
             return;
         }
         request.retries += 1;
-        const backOff = 500 * 2 ** (request.retries - 1) * (0.75 + this.#random.next() / 2);
-        const wait = request.retriesEarly ? 200 + this.#random.next() * 800 : retryAfterMilliseconds ?? backOff;
+        const backoffMilliseconds = 500 * 2 ** (request.retries - 1) * (0.75 + this.#random.next() / 2);
+        const wait = request.retriesEarly
+            ? 200 + this.#random.next() * 800
+            : retryAfterMilliseconds ?? backoffMilliseconds;
         this.#queue.schedule(wait, () => this.#attempt(request));
     }
 }
--- a/src/measure/load.ts
+++ b/src/measure/load.ts
@@ -1,5 +1,5 @@
 /**
- * The measurement `load`: which runner gets a request, against random, round robin and least in-flight.
+ * The measurement `load`: compares the product's choice of a runner with random, round robin and least in-flight.
  */
 import { type DecisionCost, measureDecisionCost } from "./decisionCost.js";
 import { type LoadFigures, type LoadScenario, LoadTrial } from "./loadTrial.js";
@@ -8,10 +8,10 @@
 
 const seedsPerRun = 10;
 
-/** Seeds below this are for tuning; seeds for reporting start here unless given. */
+/** The default first seed of a reported measurement. Seeds below it are for tuning. */
 export const firstReportingSeed = 1_000;
 
-/** More questions a second than any subset asks for: each runner is asked in each round. */
+/** More polls per second than any subset needs, so that each runner is polled in each round. */
 const unlimitedPollsPerSecond = 1_000;
 const unequalShapes = [
     { capacity: 4, slowness: 1.5 },
@@ -46,14 +46,14 @@
     { name: "half a failure domain falls silent, 0.7", load: 0.7, runnerFailure: { runners: [0, 4], fault: "silent" } },
 ];
 
-/** One line of the result. */
+/** Figures of one policy in one scenario. */
 export interface LoadResult {
     readonly scenario: string;
     readonly policy: PolicyName;
     readonly figures: Readonly<Record<keyof LoadFigures, Spread>>;
 }
 
-/** Runs all scenarios with all ways to choose. */
+/** Runs all scenarios with all placement policies. */
 export function measureLoad(firstSeed: number, seeds = seedsPerRun): readonly LoadResult[] {
     const results: LoadResult[] = [];
     for (const scenario of loadScenarios) {
@@ -68,12 +68,12 @@
     return results;
 }
 
-/** Measures what a choice costs at today's size, at the target's, and between. */
+/** Measures the cost of a choice at the current size, at the target size, and in between. */
 export function measureCosts(seed: number): readonly DecisionCost[] {
     return [13, 210, 2_100].map(runners => measureDecisionCost(runners, seed));
 }
 
-/** Writes what a choice costs as a table. */
+/** Formats the costs of a choice as a Markdown table. */
 export function formatCosts(costs: readonly DecisionCost[]): string {
     const header = ["runners", "median microseconds", "99% microseconds", "bytes a choice", "kept KiB"];
     const rows = costs.map(cost => [
@@ -86,7 +86,7 @@
     return formatTable(header, rows);
 }
 
-/** Writes the result as a table. */
+/** Formats the results as a Markdown table. */
 export function formatLoad(results: readonly LoadResult[]): string {
     const header = ["scenario", "way", "first token median ms", "95% ms", "99% ms", "between tokens 95% ms"];
     const rows = results.map(({ scenario, policy, figures }) => [
--- a/src/measure/loadTrial.ts
+++ b/src/measure/loadTrial.ts
@@ -20,7 +20,7 @@
 const maxAttempts = 3;
 const deadlineMilliseconds = 8_000;
 const meanOutputTokens = 60;
-/** Blocks of the mean request of the workload, for the capacity. */
+/** Mean number of prompt blocks of a request in the workload; the nominal capacity is computed from it. */
 const meanBlocks = 32;
 const sessionShare = 0.6;
 const defaultSessions = 60;
@@ -28,48 +28,48 @@
 
 type CacheEvents = ReturnType<SimulatedRunner["takeCacheEvents"]>;
 
-/** What happens in a scenario. */
+/** One scenario. */
 export interface LoadScenario {
     readonly name: string;
-    /** Arrivals as a part of the nominal capacity. */
+    /** Rate of arrivals, as a share of the nominal capacity. */
     readonly load: number;
     readonly runners?: number;
-    /** Sessions at a time. */
+    /** Concurrent sessions. */
     readonly sessions?: number;
     /** Capacity and slowness of each runner. */
     readonly getRunnerShape?: (index: number) => { readonly capacity: number; readonly slowness: number; };
     readonly misreportingRunner?: number;
-    /** Bound on an entry's questions a second, over all runners. */
+    /** Limit on an entry's load polls per second, over all runners. */
     readonly pollsPerSecond?: number;
-    /** Blocks that each runner's prefix cache holds. */
+    /** Capacity of each runner's prefix cache, in blocks. */
     readonly cacheBlocks?: number;
-    /** Runners that fail in the middle of the measured time. */
+    /** Runners that fail after a third of the measured time. */
     readonly runnerFailure?: { readonly runners: readonly number[]; readonly fault: RunnerFault; };
 }
 
-/** What one run gave. */
+/** Figures of one run. */
 export interface LoadFigures {
     readonly firstTokenMedian: number;
     readonly firstToken95: number;
     readonly firstToken99: number;
     readonly betweenTokens95: number;
-    /** Answers whose first token came before the deadline, as a part of the nominal capacity. */
+    /** Answers whose first token arrived before the deadline, as a share of the nominal capacity. */
     readonly goodput: number;
-    /** Part of the requests that failed, were refused, or whose first token came too late. */
+    /** Share of the requests that failed, were refused, or whose first token arrived too late. */
     readonly lost: number;
     readonly cachedShare: number;
 }
 
-/** Runs one scenario with one way to choose. */
+/** Runs one scenario with one placement policy. */
 export class LoadTrial {
     readonly #scenario: LoadScenario;
     readonly #queue = new EventQueue();
     readonly #random: RandomSource;
-    /** Of its own, so that a way that asks more often does not see another workload. */
+    /** Separate random source for polls, so that a policy that polls more often still gets the same workload. */
     readonly #pollRandom: RandomSource;
     readonly #runners: readonly SimulatedRunner[];
     readonly #policies: readonly Policy[];
-    /** Batches of cache events of each runner, in their order. */
+    /** Batches of cache events by runner, in order. */
     readonly #cacheEvents: CacheEvents[][];
     readonly #firstTokens: number[] = [];
     readonly #betweenTokens: number[] = [];
@@ -102,7 +102,7 @@
         );
     }
 
-    /** Runs it and returns the figures. */
+    /** Runs the trial and returns its figures. */
     run(): LoadFigures {
         this.#schedulePolls();
         this.#scheduleRunnerFailure();
@@ -223,6 +223,7 @@
         };
         const cancelTimeout = this.#queue.schedule(deadlineMilliseconds, () => {
             if (firstTokenAt === undefined) {
+                // Three placeholders reach `maxAttempts`: after a timeout, no other runner is tried.
                 exclude.add("").add(" ").add("  ");
                 end("failed");
             }
@@ -272,7 +273,7 @@
         }
     }
 
-    /** Each report takes 50 to 450 ms, so entries see different and out-of-order pictures. */
+    /** Requests a load report. It arrives after 50 to 450 ms, so entries see different states, also out of order. */
     #requestLoadReport(policy: Policy, index: number): void {
         const report = this.#runners[index].getReport();
         if (report !== undefined) {
--- a/src/measure/main.ts
+++ b/src/measure/main.ts
@@ -15,7 +15,7 @@
 import { formatReport, type Report } from "./report.js";
 import { measureSite } from "./site/measureSite.js";
 
-/** Measurements by name; add a line here for each new one. */
+/** Measurements by the name given on the command line. */
 const measurements: Readonly<Record<string, Measurement>> = {
     capacity: async ({ log }) => toMeasurementResult(await measureCapacity(log)),
     control: async ({ log }) => toMeasurementResult(await measureControl(log)),
@@ -58,7 +58,7 @@
 });
 const measurement = measurements[positionals[0] ?? ""];
 if (measurement === undefined) {
-    console.error(`Give the name of a measurement: ${Object.keys(measurements).join(", ")}.`);
+    console.error(`Expected the name of a measurement: ${Object.keys(measurements).join(", ")}.`);
     process.exit(1);
 }
 const { results, text } = await measurement({
--- a/src/measure/measurement.ts
+++ b/src/measure/measurement.ts
@@ -1,27 +1,27 @@
 /**
- * What a measurement is asked for and what it gives.
+ * Requests and results of measurements.
  */
 
-/** What a measurement is asked for. */
+/** Parameters of a measurement. */
 export interface MeasurementRequest {
-    /** The first seed, or `undefined` for the measurement's own. */
+    /** The first seed, or `undefined` for the measurement's default. */
     readonly seed: number | undefined;
-    /** How many seeds, or `undefined` for the measurement's own number. */
+    /** The number of seeds, or `undefined` for the measurement's default. */
     readonly seedCount: number | undefined;
-    /** Writes progress. */
+    /** Logs a line of progress. */
     readonly log: (line: string) => void;
 }
 
-/** A request whose first seed is settled. */
+/** A measurement request whose first seed is set. */
 export interface SeededRequest extends MeasurementRequest {
     readonly seed: number;
 }
 
-/** What a measurement found. */
+/** The result of a measurement. */
 export interface MeasurementResult {
-    /** For programs. */
+    /** Machine-readable results, printed with `--json`. */
     readonly results: unknown;
-    /** For people. */
+    /** Human-readable tables. */
     readonly text: string;
 }
 
--- a/src/measure/orders.ts
+++ b/src/measure/orders.ts
@@ -1,8 +1,8 @@
 /**
- * What orders to engines cost: loads and time to bring a new version to the runners, moves when a failure domain is
- * lost, and the processor time of one decision.
+ * The measurement `orders`: the cost of orders to engines. It counts the loads and the time until a new version is on
+ * its runners, the loads after the loss of a failure domain, and the processor time of one decision.
  *
- * Loads take a drawn time; rounds follow each other as the order driver's do. No process runs.
+ * Load times are drawn at random, and rounds have the same interval as those of the order driver. No processes run.
  */
 import { RandomSource } from "../common/index.js";
 import { decideLoading, type LoadingRequest, type LoadingRunner } from "../decisions/index.js";
@@ -40,7 +40,7 @@
     readonly seconds: number;
 }
 
-/** A pool whose engines obey, each load after a time of its own. */
+/** A simulated pool whose engines follow all orders. Each load takes a random time. */
 class SimulatedPool {
     readonly #random: RandomSource;
     readonly #shape: Shape;
@@ -66,7 +66,7 @@
         };
     }
 
-    /** Goes on round by round until nothing is left to order. */
+    /** Runs rounds until no orders remain. */
     runUntilStable(): ConvergenceTotals {
         const start = this.#now;
         let loads = 0;
@@ -89,7 +89,7 @@
             this.request = { ...this.request, runners };
             this.#now += Math.max(minRoundSeconds, this.#shape.runners * roundSecondsByRunner);
         }
-        throw new Error(`${this.#shape.runners} runners did not settle in ${maxRounds} rounds.`);
+        throw new Error(`${this.#shape.runners} runners did not reach a stable placement within ${maxRounds} rounds.`);
     }
 
     #applyOrder(runner: LoadingRunner, versions: readonly string[], loads: string | undefined): LoadingRunner {
@@ -110,7 +110,7 @@
 
 /**
  * Measures orders at several sizes of pool.
- * @param request - The seed, and where to write progress.
+ * @param request - The seed and the progress log.
  */
 export function measureOrders({ seed, log }: SeededRequest): Report {
     const rows: ReportRow[] = [];
--- a/src/measure/placementPolicies.ts
+++ b/src/measure/placementPolicies.ts
@@ -1,5 +1,5 @@
 /**
- * Ways to choose a runner that are measured side by side: the product's and the simple ones.
+ * Placement policies that are compared with each other: the product's and simple ones.
  */
 import type { Clock, RandomSource } from "../common/index.js";
 import {
@@ -13,15 +13,18 @@
 import type { SimulatedRunner } from "./simulatedRunner.js";
 import { getRange } from "./statistics.js";
 
-/** As the settings' default has it. */
+/** Equals the default of the settings. */
 const defaultPollsPerSecond = 16;
-/** Time between two rounds of an entry that asks for load. */
+/** Time between two rounds of load polls of an entry. */
 export const pollRoundMilliseconds = 500;
 
-/** Names of the ways. `perfect` sees the true load and cache of all runners at every moment: nobody can. */
+/**
+ * Names of the policies. `perfect` reads the true load and cache of all runners at every moment. No real entry can do
+ * this; it is there for comparison.
+ */
 export type PolicyName = "random" | "round robin" | "least in-flight" | "rattanlock" | "perfect";
 
-/** All ways, in the order of the tables. */
+/** All policies, in the order of the tables. */
 export const policyNames: readonly PolicyName[] = [
     "random",
     "round robin",
@@ -30,25 +33,25 @@
     "perfect",
 ];
 
-/** What a request tells the way. */
+/** The data of a request that a policy chooses by. */
 export interface PolicyRequest {
     readonly blocks: readonly string[];
     readonly exclude: ReadonlySet<string>;
     readonly deadlineMilliseconds: number;
 }
 
-/** A chosen runner and where to report how it went. */
+/** A chosen runner, with callbacks for the progress of the request. */
 export interface PolicyChoice {
     readonly runner: number;
     readonly reportFirstToken: (milliseconds: number, loadHeader: string) => void;
-    readonly reportEnd: (reportEnd: WorkResult) => void;
+    readonly reportEnd: (result: WorkResult) => void;
 }
 
-/** One entry's way to choose. */
+/** Placement policy of one entry. */
 export interface Policy {
-    /** Returns nothing when it refuses the request. */
+    /** Returns `undefined` when it refuses the request. */
     readonly choose: (request: PolicyRequest) => PolicyChoice | undefined;
-    /** The runners that it asks for their load and cache events now. */
+    /** Returns the runners to poll now for their load and cache events. */
     readonly takePolls: () => readonly Poll[];
     readonly setListedVms: (vms: readonly Vm[]) => void;
     readonly addReport: (report: LoadReport) => void;
@@ -59,20 +62,20 @@
     ) => void;
 }
 
-/** What a way is made from. */
+/** Options of a placement policy. */
 export interface PolicyOptions {
     readonly runners: readonly SimulatedRunner[];
     readonly entry: number;
-    /** How many entries there are. */
+    /** The number of entries. */
     readonly entries: number;
     readonly clock: Clock;
     readonly random: RandomSource;
-    /** Bound on the entry's questions for load a second; the settings' default unless given. */
+    /** Limit on the entry's load polls per second; the default of the settings unless given. */
     readonly pollsPerSecond?: number;
     readonly placement?: Partial<PlacementOptions>;
 }
 
-/** Makes one entry's way to choose. */
+/** Creates the placement policy of one entry. */
 export function createPolicy(name: PolicyName, options: PolicyOptions): Policy {
     switch (name) {
         case "random":
@@ -88,7 +91,10 @@
     }
 }
 
-/** Makes a way that only picks among the runners that are listed and were not tried. */
+/**
+ * Creates a policy that picks among the runners that are listed and not excluded by earlier attempts.
+ * @param adjustCount - Receives the change of a runner's requests in flight.
+ */
 function createSimplePolicy(
     options: PolicyOptions,
     pick: (allowed: readonly number[], request: PolicyRequest) => number,
--- a/src/measure/report.ts
+++ b/src/measure/report.ts
@@ -3,7 +3,7 @@
 /** Figures of one case over all seeds. */
 export interface ReportRow {
     readonly name: string;
-    /** Figures by column. */
+    /** Figures by column title. */
     readonly figures: Readonly<Record<string, number | string>>;
 }
 
@@ -13,14 +13,14 @@
     readonly rows: readonly ReportRow[];
 }
 
-/** What a measurement found. */
+/** The report of a measurement. */
 export interface Report {
     readonly measurement: string;
     readonly seeds: readonly number[];
     readonly tables: readonly ReportTable[];
 }
 
-/** Mean, spread and range of a figure over several runs. */
+/** Mean, sample standard deviation and range of a figure over several runs. */
 export interface Summary {
     readonly mean: number;
     readonly deviation: number;
@@ -28,7 +28,7 @@
     readonly max: number;
 }
 
-/** Sums up a figure over several runs. */
+/** Summarizes a figure over several runs. */
 export function summarize(values: readonly number[]): Summary {
     let sum = 0;
     for (const value of values) {
@@ -43,14 +43,14 @@
     return { mean, deviation, min: Math.min(...values), max: Math.max(...values) };
 }
 
-/** Writes mean, deviation and range of a figure. */
+/** Formats mean, standard deviation and range of a figure as `mean ± deviation (min to max)`. */
 export function formatSummary(values: readonly number[], digits = 2): string {
     const { mean, deviation, min, max } = summarize(values);
     const range = `${min.toFixed(digits)} to ${max.toFixed(digits)}`;
     return `${mean.toFixed(digits)} ± ${deviation.toFixed(digits)} (${range})`;
 }
 
-/** Writes a report as Markdown tables. */
+/** Formats a report as Markdown tables. */
 export function formatReport(report: Report): string {
     const parts = [`# ${report.measurement}`];
     if (report.seeds.length > 0) {
--- a/src/measure/simulatedRunner.ts
+++ b/src/measure/simulatedRunner.ts
@@ -1,6 +1,6 @@
 /**
- * A small model of a model runner: continuous batching, a prefix cache in limited memory, a queue of its own, and load
- * reports. It is just enough to give the decisions something to decide about.
+ * A simplified simulation of a model runner: continuous batching, a prefix cache of limited size, a queue, and load
+ * reports. It models only what the decisions depend on.
  */
 import type { LoadReport, Vm } from "../world/index.js";
 import type { EventQueue } from "./eventQueue.js";
@@ -9,31 +9,31 @@
 const fixedTokens = 64;
 const connectionFailureMilliseconds = 3;
 
-/** What a request asks of a runner. */
+/** A request to a simulated runner. */
 export interface SimulatedRequest {
     readonly blocks: readonly string[];
     readonly outputTokens: number;
     readonly priority: number;
 }
 
-/** What a runner tells of a request. */
+/** Receive the progress of a request. */
 export interface AnswerCallbacks {
     readonly onFirstToken: (loadHeader: string) => void;
     readonly onEnd: (outcome: "ok" | "failed" | "refused") => void;
 }
 
-/** Properties of a runner. */
+/** Options of a simulated runner. */
 export interface SimulatedRunnerOptions {
     readonly vm: Vm;
     readonly queue: EventQueue;
     readonly version: string;
-    /** Requests at a time. */
+    /** Maximum number of requests that run concurrently. */
     readonly capacity: number;
-    /** How much slower than usual it is; 2 takes twice the time. */
+    /** Factor on all its times; 2 takes twice as long. */
     readonly slowness: number;
-    /** Whether it always reports that it has nothing to do. */
+    /** Whether it always reports that it is idle. */
     readonly reportsNoLoad: boolean;
-    /** Blocks that its prefix cache holds. */
+    /** Capacity of its prefix cache, in blocks. */
     readonly cacheBlocks: number;
     readonly prefillMillisecondsPerToken: number;
     readonly decodeMillisecondsPerToken: number;
@@ -41,28 +41,28 @@
 
 interface Job {
     readonly request: SimulatedRequest;
-    readonly answer: AnswerCallbacks;
+    readonly callbacks: AnswerCallbacks;
     isDone: boolean;
 }
 
-/** How a runner fails. `crashed` breaks connections at once, `silent` never answers. */
+/** How a runner fails. `crashed` breaks connections at once; `silent` accepts requests and never answers. */
 export type RunnerFault = "none" | "crashed" | "silent";
 
-/** Returns how long a request holds a place of a full runner that has none of its prompt cached. */
+/** Returns how long a request occupies a slot of a full runner that has none of its prompt cached, in milliseconds. */
 export function getFullLoadServiceTime(options: SimulatedRunnerOptions, blocks: number, outputTokens: number): number {
     const prefillMilliseconds = (fixedTokens + blocks * tokensPerBlock) * options.prefillMillisecondsPerToken * 1.5;
     return options.slowness * (prefillMilliseconds + outputTokens * options.decodeMillisecondsPerToken * 2);
 }
 
-/** A modelled runner. */
+/** A simulated runner. */
 export class SimulatedRunner {
     readonly options: SimulatedRunnerOptions;
-    /** Multiplies all its times; raised in a brown-out. */
+    /** Further factor on all its times; raised during a brown-out. */
     slowdown = 1;
     readonly #running = new Set<Job>();
     #waiting: Job[] = [];
     #fault: RunnerFault = "none";
-    /** The cached blocks, the one used longest ago first. */
+    /** Cached blocks, the least recently used first. */
     readonly #cache = new Set<string>();
     #cacheEvents: { readonly kind: "stored" | "removed"; readonly block: string; }[] = [];
 
@@ -70,12 +70,12 @@
         this.options = options;
     }
 
-    /** Returns the requests that it has. */
+    /** Returns the number of running and waiting requests. */
     getLoad(): number {
         return this.#running.size + this.#waiting.length;
     }
 
-    /** Returns how many of the blocks it has cached, from the first one on. */
+    /** Returns the number of leading blocks that are cached. */
     getCachedBlocks(blocks: readonly string[]): number {
         let count = 0;
         while (count < blocks.length && this.#cache.has(blocks[count])) {
@@ -84,22 +84,22 @@
         return count;
     }
 
-    /** Takes a request. */
-    start(request: SimulatedRequest, answer: AnswerCallbacks): void {
+    /** Starts or queues a request. */
+    start(request: SimulatedRequest, callbacks: AnswerCallbacks): void {
         const { queue, capacity } = this.options;
         if (this.#fault === "crashed") {
-            queue.schedule(connectionFailureMilliseconds, () => answer.onEnd("failed"));
+            queue.schedule(connectionFailureMilliseconds, () => callbacks.onEnd("failed"));
             return;
         }
         if (this.#waiting.length >= 2 * capacity) {
-            queue.schedule(1, () => answer.onEnd("refused"));
+            queue.schedule(1, () => callbacks.onEnd("refused"));
             return;
         }
-        this.#waiting.push({ request, answer, isDone: false });
+        this.#waiting.push({ request, callbacks, isDone: false });
         this.#startNext();
     }
 
-    /** Makes it fail, or work again with an empty cache. */
+    /** Makes the runner fail, or work again with an empty cache. */
     setFault(fault: RunnerFault): void {
         this.#fault = fault;
         const interruptedJobs = [...this.#running, ...this.#waiting];
@@ -109,12 +109,12 @@
         for (const job of interruptedJobs) {
             job.isDone = true;
             if (fault === "crashed") {
-                job.answer.onEnd("failed");
+                job.callbacks.onEnd("failed");
             }
         }
     }
 
-    /** Returns its load as it would report it now, or nothing when it does not answer. */
+    /** Returns the load that it reports now, or `undefined` when it does not answer. */
     getReport(): LoadReport | undefined {
         if (this.#fault !== "none") {
             return undefined;
@@ -131,7 +131,7 @@
         };
     }
 
-    /** Returns the changes of its cache since the last call. */
+    /** Returns the cache events since the last call. */
     takeCacheEvents(): readonly { readonly kind: "stored" | "removed"; readonly block: string; }[] {
         const taken = this.#cacheEvents;
         this.#cacheEvents = [];
@@ -175,7 +175,7 @@
         }
         const waiting = this.options.reportsNoLoad ? 0 : this.#waiting.length;
         const running = this.options.reportsNoLoad ? 0 : this.#running.size;
-        job.answer.onFirstToken(`${running}/${waiting}/${this.options.capacity}`);
+        job.callbacks.onFirstToken(`${running}/${waiting}/${this.options.capacity}`);
     }
 
     #end(job: Job): void {
@@ -184,7 +184,7 @@
         }
         job.isDone = true;
         this.#running.delete(job);
-        job.answer.onEnd("ok");
+        job.callbacks.onEnd("ok");
         this.#startNext();
     }
 
--- a/src/measure/site/measureSite.ts
+++ b/src/measure/site/measureSite.ts
@@ -1,5 +1,6 @@
 /**
- * Measures a whole site from outside: real entries before stand-ins, judged by the callers' own records alone.
+ * Measures a whole site from outside: real entries in front of stand-in servers. All figures come from the callers'
+ * records.
  */
 import { availableParallelism, loadavg } from "node:os";
 import { type LoadResult, type LoadRunOptions, runLoad } from "../../load/index.js";
@@ -9,16 +10,16 @@
 import { createSiteProfile } from "./siteProfile.js";
 
 const prefix = "127.64.200";
-/** Runners slow enough that they, and not this machine's processors, bound what the site can carry. */
+/** The runners are slow enough that they limit the site's throughput, not this machine's processors. */
 const runnerSettings = { stepMilliseconds: 30, maximumRunning: 8, maximumWaiting: 32 } as const;
-/** About three times what the runners can answer. */
+/** About three times the throughput of the runners. */
 const capacityRequestsPerSecond = 150;
 const runSeconds = 8;
-/** Seconds at the start that are left out, while connections open and estimates form. */
+/** Seconds at the start that are not counted, while connections are opened and the first estimates are made. */
 const warmupSeconds = 2;
 /**
- * Multiples of the capacity. Callers that come back after a refusal have waited longer than the target by then; the run
- * in which they do not come back shows how soon those are answered that are let in.
+ * Multiples of the capacity. A caller that retries after a refusal has already waited longer than the target for the
+ * first token. The run without retries shows the latency of the requests that are admitted at the first attempt.
  */
 const loads: readonly { readonly name: string; readonly multiple: number; readonly tries: number; }[] = [
     { name: "0.5 times capacity", multiple: 0.5, tries: 2 },
@@ -26,12 +27,12 @@
     { name: "2 times capacity", multiple: 2, tries: 2 },
     { name: "2 times capacity, one try", multiple: 2, tries: 1 },
 ];
-/** Longer than any answer takes, so that every whole answer counts. */
+/** Longer than any answer takes, so that every complete answer counts. */
 const unlimitedFirstTokenMilliseconds = 600_000;
 
 /**
- * Starts the Metro Manila site, finds its capacity, and sends shares and multiples of it.
- * @param request - The seed, and where to write progress.
+ * Starts the Metro Manila site, measures its capacity, and sends load at several multiples of it.
+ * @param request - The seed and the progress log.
  */
 export async function measureSite({ seed, log }: SeededRequest): Promise<Report> {
     const group = new ProcessGroup();
@@ -81,9 +82,10 @@
 }
 
 /**
- * Returns the whole answers a second that callers get, whenever they come, from a site that has more to do than it can.
- * Callers that send their next request when the last one is done would measure their own patience: each refusal keeps
- * one of them away for a second and more, while a place is free.
+ * Returns the complete answers per second from an overloaded site, however late they arrive.
+ *
+ * The load is open-loop. A closed loop, in which callers send the next request when the last one is done, would measure
+ * the callers' backoff instead: each refusal keeps a caller away for a second or more while a slot is free.
  */
 async function findCapacity(options: Omit<LoadRunOptions, "ratePerSecond">): Promise<number> {
     const { profile } = options;
@@ -128,7 +130,7 @@
     return { name, figures };
 }
 
-/** Says how busy the machine was: figures from a machine that others use are higher than the site's own. */
+/** Reports the load of the machine. Other programs on the machine raise the figures above the site's own. */
 function createCircumstances(capacity: number): ReportRow {
     return {
         name: "this run",
--- a/src/measure/site/siteProfile.ts
+++ b/src/measure/site/siteProfile.ts
@@ -1,10 +1,10 @@
 /**
- * The mix of work that the measurement of a site sends.
+ * The load profile for the measurement of a site.
  */
 import { type LoadProfile, parseLoadProfile } from "../../load/index.js";
 import { getApiKey } from "../../testbench/index.js";
 
-/** Label work of Metro Manila: long recipe sheets, kitchen conversations, short label wording and label prints. */
+/** The workload of Metro Manila: long recipe sheets, kitchen conversations, short label texts and label prints. */
 const sections = `
 [load]
 first_token_ms = 900
@@ -50,7 +50,7 @@
 path = /print
 `;
 
-/** Creates the profile. */
+/** Creates the load profile. */
 export function createSiteProfile(): LoadProfile {
     return parseLoadProfile(sections, "site profile")._unsafeUnwrap();
 }
--- a/src/measure/workload.ts
+++ b/src/measure/workload.ts
@@ -1,28 +1,28 @@
 /**
- * Seeded requests for the measurements: short questions, and sessions whose history grows from turn to turn.
+ * Seeded requests for the measurements: short questions, and sessions whose history grows with each turn.
  */
 import type { RandomSource } from "../common/index.js";
 import { getRange } from "./statistics.js";
 
-/** One drawn request. */
+/** A randomly drawn request. */
 export interface DrawnRequest {
     readonly blocks: readonly string[];
     readonly outputTokens: number;
     readonly entry: number;
 }
 
-/** Shape of the requests. */
+/** Options of a workload. */
 export interface WorkloadOptions {
     readonly entries: number;
-    /** Sessions at a time. */
+    /** Concurrent sessions. */
     readonly sessions: number;
-    /** Part of the requests that belong to sessions. */
+    /** Share of the requests that belong to sessions. */
     readonly sessionShare: number;
     readonly meanOutputTokens: number;
 }
 
 const turnsPerSession = 8;
-/** Callers keep an entry's address for a while; this part of the turns come to another. */
+/** Callers keep an entry's address for a while; this share of the turns goes to a randomly drawn entry instead. */
 const otherEntryShare = 0.2;
 const workspaces = 10;
 const commonBlocks = 4;
@@ -80,7 +80,7 @@
         return this.#random.nextInteger(this.#options.entries);
     }
 
-    /** The instructions that all requests of a workspace begin with. */
+    /** Draws a workspace and returns the blocks of the instructions that all its requests start with. */
     #drawCommonBlocks(): string[] {
         const workspace = this.#random.nextInteger(workspaces);
         return getRange(commonBlocks).map(index => `common-${workspace}-${index}`);
