--- a/deploy/launch.cjs
+++ b/deploy/launch.cjs
@@ -1,19 +1,21 @@
-// Runs the bundled program with V8's compiled code beside it.
+// Runs the bundled program with its V8 code cache.
 //
-// Callers that connect to a node whose program still loads would be turned away by the system, and each of them has few tries. So
-// the first thing that the launcher does is to listen; connections wait in the system's queue until the program takes them.
+// While the program of a node loads, the operating system would refuse the connections of callers, and each caller has only
+// a few attempts. Therefore the launcher first opens the listening socket. Connections wait in the system's accept queue
+// until the program accepts them.
 //
 // Usage: launch.cjs [HOST:PORT of callers]
 //
-// A signal to reload that arrives while the program loads would end the process, and callers would lose a node that has just
-// started; the settings are read after the loading anyway. The program takes the signal over.
+// A reload signal (SIGHUP) that arrives while the program loads would end the process, and callers would lose a node that
+// has just started. It can be ignored, since the settings are read after loading. The program later installs its own
+// handler.
 process.on("SIGHUP", () => undefined);
 const { readFileSync } = require("node:fs");
 const { createServer } = require("node:net");
 const { join } = require("node:path");
 const { loadBundle } = require("./loadBundle.cjs");
 
-/** Loads the program and hands it what is ready. The program takes the server over before any connection is accepted. */
+/** Loads the program and passes it the listening server, which it takes over before any connection is accepted. */
 function run(callerServer) {
     const folder = join(__dirname, "..", "target");
     const { program, script } = loadBundle(join(folder, "node.cjs"), readFileSync(join(folder, "node.cache")));
--- a/scripts/bundle.mjs
+++ b/scripts/bundle.mjs
@@ -1,4 +1,4 @@
-// Bundles the node's program into target/node.cjs and keeps its compiled code in target/node.cache.
+// Bundles the node's program into target/node.cjs and stores its V8 code cache in target/node.cache.
 import { build } from "esbuild";
 import { execFileSync } from "node:child_process";
 import { readFileSync } from "node:fs";
@@ -6,7 +6,7 @@
 
 const folder = join(import.meta.dirname, "..");
 const lean = join(import.meta.dirname, "lean");
-/** Modules that take the place of a package's main module in the bundle, since a start is paid for with callers' waiting. */
+/** Modules that replace a package's main module in the bundle. They load less code, since callers wait while a node starts. */
 const entries = {
     "@grpc/grpc-js": join(lean, "grpc.cjs"),
     "awilix": join(folder, "node_modules", "awilix", "lib", "awilix.browser.mjs"),
@@ -35,7 +35,7 @@
     logLevel: "warning",
     plugins: [leanEntries],
 });
-// V8 passes over code that was compiled under other flags, so it is compiled under those that nodes run with.
+// V8 rejects a code cache that was created with other flags, so the cache is created with the flags that nodes run with.
 const [, flags] = /^run = "node (.*?) ?deploy\/launch\.cjs/m.exec(
     readFileSync(join(folder, "deploy", "system.toml"), "utf8"),
 );
--- a/scripts/generateEvents.mjs
+++ b/scripts/generateEvents.mjs
@@ -1,4 +1,4 @@
-// Writes docs/EVENTS.md from the compiled catalogue.
+// Generates docs/EVENTS.md from the compiled catalogue of events.
 import { writeFileSync } from "node:fs";
 import { formatCatalogue } from "../dist/src/events/index.js";
 
--- a/scripts/generateSettings.mjs
+++ b/scripts/generateSettings.mjs
@@ -1,4 +1,4 @@
-// Writes docs/SETTINGS.md from the compiled schemas.
+// Generates docs/SETTINGS.md from the compiled settings schemas.
 import { writeFileSync } from "node:fs";
 import { treeSchema } from "../dist/src/configuration/index.js";
 import { entrySchema, formatReference, ledgerSchema, siteSchema } from "../dist/src/settings/index.js";
--- a/scripts/guards.mjs
+++ b/scripts/guards.mjs
@@ -1,5 +1,5 @@
-// Shows that the proofs can fail: switches off one guarding mechanism at a time on a scratch copy and runs its test,
-// which must fail then. Usage: node scripts/guards.mjs [PART_OF_A_NAME]. Not a part of CI, since it builds each time.
+// Checks that the proofs can fail: disables one guarding mechanism at a time in a scratch copy and runs its test, which must
+// then fail. Usage: node scripts/guards.mjs [PART_OF_A_NAME]. Not part of CI, since it rebuilds the code for each guard.
 import { spawnSync } from "node:child_process";
 import { cpSync, mkdtempSync, readFileSync, rmSync, symlinkSync, writeFileSync } from "node:fs";
 import { tmpdir } from "node:os";
@@ -21,14 +21,14 @@
     return spawnSync(program, args, { cwd: folder, encoding: "utf8", maxBuffer: 2 ** 28 });
 }
 
-/** Runs the whole file, or of a long file only the tests that the guard names. */
+/** Creates the arguments that run the guard's whole test file, or only the tests that match the guard's `only` pattern. */
 function createTestArguments({ test, only }) {
     return only === undefined
         ? ["scripts/runTests.mjs", test]
         : ["--test", `--test-name-pattern=${only}`, join("dist", "test", `${test}.test.js`)];
 }
 
-/** Switches a guard off, runs its test and returns the names of the tests that failed. */
+/** Disables a guard, runs its test and returns the names of the failed tests. */
 function tryWithout(folder, guard) {
     const path = join(folder, guard.file);
     const original = readFileSync(path, "utf8");
@@ -52,7 +52,7 @@
     const failures = [];
     for (const line of tested.stdout.split("\n")) {
         const match = /^ +not ok \d+ - (.*)$/.exec(line);
-        // A test that was passed over, or whose site did not start, says nothing about the guard.
+        // A test that was skipped, or whose site did not start, proves nothing about the guard.
         if (match && !match[1].includes("# SKIP")) {
             failures.push(match[1]);
         }
--- a/scripts/lean/grpc.cjs
+++ b/scripts/lean/grpc.cjs
@@ -1,8 +1,8 @@
-// gRPC, loaded when the first client or server is created: it and HTTP/2 are a third of the code that a node loads, and a node
-// that has just started serves callers before it talks to peers.
+// Loads gRPC when the first client or server is created. gRPC and HTTP/2 are a third of the code that a node loads, and a
+// starting node serves callers before it connects to peers.
 const load = () => require("@grpc/grpc-js");
 
-/** Stands for a client's constructor until a client is created. */
+/** Creates a stand-in for a client's constructor, which loads gRPC when the first client is created. */
 exports.makeGenericClientConstructor = (...definition) => {
     let Client;
     return function createClient(...options) {
--- a/scripts/lean/koa.cjs
+++ b/scripts/lean/koa.cjs
@@ -1,4 +1,5 @@
-// Koa, loaded when the first application is created: callers are served before anybody asks for addresses or metrics.
+// Loads Koa when the first application is created, since a starting node serves callers before addresses or metrics are
+// requested.
 module.exports = function createKoa(options) {
     const Koa = require("koa");
     return new Koa(options);
--- a/scripts/lean/undici.cjs
+++ b/scripts/lean/undici.cjs
@@ -1,7 +1,7 @@
-// The parts of undici that a node uses. The package's main module also loads fetch, WebSocket, caches and mocks, a
-// quarter of a start's processor time.
+// Exports the parts of undici that a node uses. The package's main module also loads fetch, WebSocket, caches and mocks,
+// which takes a quarter of the processor time of a start.
 const Dispatcher = require("undici/lib/dispatcher/dispatcher.js");
-// The main module adds the calls to its dispatchers in the same way.
+// The main module adds the API methods to its dispatchers in the same way.
 Dispatcher.prototype.request = require("undici/lib/api/api-request.js");
 
 exports.Pool = require("undici/lib/dispatcher/pool.js");
--- a/scripts/runTests.mjs
+++ b/scripts/runTests.mjs
@@ -1,14 +1,14 @@
-// Runs the compiled test files under Node's own test runner.
-// Arguments select files by a part of their path: `npm test -- log` runs only the files whose path holds "log".
+// Runs the compiled test files with Node's test runner.
+// Arguments select files by a part of their path: `npm test -- log` runs only the files whose path contains "log".
 import { spawnSync } from "node:child_process";
 import { existsSync, readdirSync, readFileSync } from "node:fs";
 import { join } from "node:path";
 import { run } from "node:test";
 
-/** Tests that are known to fail for a recorded reason; just their failures are passed over. */
+/** Lists tests that are known to fail for a recorded reason; only their failures are ignored. */
 const knownRedFile = "KNOWN-RED.txt";
 const concurrency = "3";
-/** A file that takes longer is ended and named as failed; the longest takes a minute and a half on a busy machine. */
+/** Timeout of a test file, after which it is ended and fails. The longest file takes 90 seconds on a busy machine. */
 const fileMilliseconds = 300_000;
 
 function findTestFiles(folder) {
@@ -42,7 +42,7 @@
 for (const line of knownRed) {
     console.log(`known red: ${line}`);
 }
-// The first field of a line is the test file, relative to test/ and without an extension; the second is the test's name.
+// The first field of a line is the test file, relative to test/ and without the extension; the second is the test's name.
 const redNames = new Map();
 for (const line of knownRed) {
     const [file, name] = line.split(";").map(field => field.trim());
@@ -56,17 +56,17 @@
     process.exit(1);
 }
 
-/** Runs files; the closing lines of the runner go to the output. */
+/** Runs test files and returns the exit code; the runner writes to this process's output. */
 function runFiles(paths) {
     const options = [`--test-concurrency=${concurrency}`, `--test-timeout=${fileMilliseconds}`];
     return spawnSync(process.execPath, ["--test", ...options, ...paths], { stdio: "inherit" }).status ?? 1;
 }
 
-/** Runs a file with known red tests, and passes over the failures of just these. */
+/** Runs a file that contains known red tests and ignores only their failures. */
 async function runRedFile(path, names) {
     let status = 0;
     for await (const { type, data } of run({ files: [path], timeout: fileMilliseconds })) {
-        // A suite, and the file, fail for what stands in them.
+        // A suite or file that fails only because of its subtests is not a failure of its own.
         if (type !== "test:fail" || data.details.error.failureType === "subtestsFailed") {
             continue;
         }
--- a/src/testbench/addressBlock.ts
+++ b/src/testbench/addressBlock.ts
@@ -1,11 +1,11 @@
 /**
- * Addresses for the processes of one test file.
+ * Allocates addresses for the processes of one test file.
  */
 
 const firstPort = 10_000;
 const portCount = 20_000;
 
-/** Hands out addresses of a loopback block; the port differs by test process, so that two runs can go side by side. */
+/** Allocates addresses of a loopback block. The port depends on the test process, so that two runs can run in parallel. */
 export class AddressBlock {
     readonly #prefix: string;
     readonly #port = firstPort + process.pid % portCount;
@@ -16,7 +16,7 @@
         this.#prefix = prefix;
     }
 
-    /** Returns the next address as `HOST:PORT`. */
+    /** Allocates the next address and returns it as `HOST:PORT`. */
     next(): string {
         this.#lastHostNumber += 1;
         return `${this.#prefix}.${this.#lastHostNumber}:${this.#port}`;
--- a/src/testbench/billingChecks.ts
+++ b/src/testbench/billingChecks.ts
@@ -1,6 +1,6 @@
 /**
- * Judges bills and answers from the records of those who cannot be mistaken: what callers got, byte for byte, what the
- * upstreams ran, and what stands in the log.
+ * Checks bills and answers against independent records: the bytes that callers received, the work that the upstreams
+ * ran, and the records in the log.
  */
 import type { Bill, BillLine } from "../bills/index.js";
 import type { ChatRecord, ServiceRecord } from "../caller/index.js";
@@ -9,7 +9,7 @@
 
 const costTolerance = 1e-9;
 
-/** Everything that bills are judged by. */
+/** Represents the records that bills are checked against. */
 export interface BillingRecords {
     readonly bills: ReadonlyMap<string, Bill>;
     readonly engineRuns: readonly EngineRun[];
@@ -19,8 +19,9 @@
 }
 
 /**
- * Finds what breaks the promises about bills, answers and refusals of a site.
- * @param records - All records; upstreams that were killed have none, so a site is judged only while they live.
+ * Finds violations of the guarantees about bills, answers and refusals of a site.
+ * @param records - All records. Upstreams that were killed have none, so a site is checked only while they run.
+ * @returns One message for each violation.
  */
 export function findBillingViolations(records: BillingRecords): readonly string[] {
     const runsByRequest = groupByRequest(records.engineRuns);
@@ -35,13 +36,13 @@
     }
     for (const call of records.calls) {
         if (call.status === 200 && !call.isReplayed && !records.bills.has(call.requestId ?? "")) {
-            violations.push(`The call ${call.requestId} was answered and has no bill.`);
+            violations.push(`The call ${call.requestId} was answered, but has no bill.`);
         }
     }
     return violations;
 }
 
-/** Returns the runs of each request. An engine knows a request's attempts as `REQUEST.STEP.ATTEMPT`. */
+/** Groups runs by request. An engine identifies a request's attempts as `REQUEST.STEP.ATTEMPT`. */
 function groupByRequest(runs: readonly EngineRun[]): ReadonlyMap<string, readonly EngineRun[]> {
     const byRequest = new Map<string, EngineRun[]>();
     for (const run of runs) {
@@ -51,7 +52,7 @@
     return byRequest;
 }
 
-/** A bill must stand for work that was done, line by line, and its total for its lines. */
+/** Checks that each line of a bill matches work that was done, and that the total is the sum of the lines. */
 function checkBill(
     bill: Bill,
     runs: readonly EngineRun[],
@@ -63,14 +64,14 @@
         total += line.cost;
         const isModel = line.version.includes("@");
         if (isModel && !runs.some(run => matchesLine(run, line))) {
-            violations.push(`The request ${bill.requestId} is billed for work of ${line.version} that no engine did.`);
+            violations.push(`The request ${bill.requestId} is billed for work of ${line.version} that no engine ran.`);
         }
         if (!isModel && !serviceRequestIds.has(bill.requestId)) {
-            violations.push(`The call ${bill.requestId} is billed and ran on no service.`);
+            violations.push(`The call ${bill.requestId} is billed, but ran on no service.`);
         }
     }
     if (bill.lines.length === 0 || Math.abs(total - bill.total) > costTolerance) {
-        violations.push(`The bill of ${bill.requestId} says ${bill.total}, and its lines ${total}.`);
+        violations.push(`The bill of ${bill.requestId} has the total ${bill.total}, but its lines add up to ${total}.`);
     }
     return violations;
 }
@@ -81,7 +82,7 @@
 
 function checkChat(chat: ChatRecord, runs: readonly EngineRun[], bill: Bill | undefined): string[] {
     if (chat.outcome === "not-run" && runs.length > 0) {
-        return [`The request ${chat.requestId} was called "not run" and ran on ${runs[0].runner}.`];
+        return [`The request ${chat.requestId} was reported as "not run", but ran on ${runs[0].runner}.`];
     }
     if (!chat.isComplete) {
         return [];
@@ -89,23 +90,25 @@
     const hash = getAnswerHash(chat.text);
     const run = runs.find(candidate => candidate.answerHash === hash);
     if (run === undefined) {
-        return [`The request ${chat.requestId} got an answer that no engine gave it: "${chat.text.slice(0, 60)}".`];
+        return [`The request ${chat.requestId} got an answer that no engine produced: "${chat.text.slice(0, 60)}".`];
     }
     const lastLine = bill?.lines.at(-1);
     if (lastLine === undefined) {
-        return [`The request ${chat.requestId} was answered and has no bill.`];
+        return [`The request ${chat.requestId} was answered, but has no bill.`];
     }
     return matchesLine(run, lastLine) && lastLine.outputTokens === chat.completionTokens
         ? []
         : [
-            `The request ${chat.requestId} got ${run.outputTokens} tokens of ${run.ran} and is billed `
+            `The request ${chat.requestId} got ${run.outputTokens} tokens of ${run.ran}, but is billed `
             + `${lastLine.outputTokens} of ${lastLine.version}.`,
         ];
 }
 
 /**
- * Returns the bills that stand for a request and differ from each other: a ledger would count whichever came first.
- * @param bills - Every bill in the log, repeats among them.
+ * Finds requests whose bills have different totals. The ledger counts only the first bill of a request, so its totals
+ * would depend on the order of the records.
+ * @param bills - Every bill in the log, including repeats.
+ * @returns One message for each conflicting bill.
  */
 export function findConflictingBills(bills: readonly Bill[]): readonly string[] {
     const totals = new Map<string, number>();
--- a/src/testbench/endWithParent.ts
+++ b/src/testbench/endWithParent.ts
@@ -1,5 +1,5 @@
 /**
- * Children of this process that must not outlive it.
+ * Ends child processes together with this process.
  */
 import type { ChildProcess } from "node:child_process";
 
@@ -11,12 +11,15 @@
 function killChildren(): void {
     for (const child of children) {
         child.kill("SIGKILL");
-        // One that is paused takes no other signal before it goes on.
+        // A child that was paused by SIGSTOP handles other signals only after SIGCONT.
         child.kill("SIGCONT");
     }
 }
 
-/** A test file that takes too long is ended by a signal, which by itself would leave its children running. */
+/**
+ * Exits on SIGTERM unless another handler is installed. A test file that exceeds its timeout is ended by SIGTERM; without
+ * an orderly exit the `exit` handler does not run and the children keep running.
+ */
 function exitUnlessHandled(): void {
     if (process.listenerCount("SIGTERM") === 0) {
         process.exit(sigtermExitCode);
@@ -24,8 +27,8 @@
 }
 
 /**
- * Has a child end with this process, also when a signal ends it.
- * @param child - The child.
+ * Kills a child process when this process exits, also when SIGTERM ends it.
+ * @param child - The child process.
  */
 export function endWithParent(child: ChildProcess): void {
     if (!hasInstalledHandlers) {
--- a/src/testbench/index.ts
+++ b/src/testbench/index.ts
@@ -1,4 +1,4 @@
-/** Tools that start real processes and wait for conditions, for tests, scenarios and the demo. */
+/** Utilities that start real processes and wait for conditions, for tests, scenarios and the demo. */
 export * from "../caller/index.js";
 export * from "./addressBlock.js";
 export * from "./billingChecks.js";
--- a/src/testbench/processGroup.ts
+++ b/src/testbench/processGroup.ts
@@ -1,15 +1,15 @@
 /**
- * The processes of one test or demo, which end together.
+ * Manages the processes of one test or demo, which end together.
  */
 import { fileURLToPath } from "node:url";
 import { type ProcessOptions, RunningProcess } from "./runningProcess.js";
 
 const standinProgram = fileURLToPath(new URL("../standins/main.js", import.meta.url));
 
-/** Settings of a stand-in as `key=value` arguments. */
+/** Settings of a stand-in, passed as `key=value` arguments. */
 export type StandinSettings = Readonly<Record<string, string | number | boolean>>;
 
-/** Starts processes and ends them all. */
+/** Represents a group of processes that are ended together. */
 export class ProcessGroup {
     readonly #processes: RunningProcess[] = [];
 
@@ -21,30 +21,30 @@
     }
 
     /**
-     * Starts a stand-in.
-     * @param kind - Its kind, such as `log`.
-     * @param listen - `HOST:PORT`; port 0 takes any free one.
-     * @param settings - Its conditions at the start.
+     * Starts a stand-in and waits until it is ready.
+     * @param kind - The kind of stand-in, such as `log`.
+     * @param listen - Listen address as `HOST:PORT`; port 0 selects a free port.
+     * @param settings - The stand-in's initial settings.
      */
     startStandin(kind: string, listen: string, settings: StandinSettings = {}): Promise<RunningProcess> {
         const pairs = Object.entries(settings).map(([key, value]) => `${key}=${value}`);
         return this.start({ program: standinProgram, args: [kind, "--listen", listen, ...pairs] });
     }
 
-    /** Returns all processes that were started. */
+    /** Returns all processes that were started, including those that have exited. */
     getAll(): readonly RunningProcess[] {
         return this.#processes;
     }
 
-    /** Ends all processes that still run, at once. */
+    /** Kills all processes that still run and waits until they have exited. */
     async killAll(): Promise<void> {
         await Promise.all(this.#processes.map(member => member.kill()));
     }
 }
 
 /**
- * Runs a piece of work with a group of processes that end with it, also when it fails.
- * @param work - The work.
+ * Runs a function with a process group and kills the group's processes when the function ends or fails.
+ * @param work - The function.
  */
 export async function withProcesses(work: (group: ProcessGroup) => Promise<void>): Promise<void> {
     const group = new ProcessGroup();
--- a/src/testbench/runningProcess.ts
+++ b/src/testbench/runningProcess.ts
@@ -1,5 +1,5 @@
 /**
- * A process of the site that a test or the demo started: its ready line, its events and its end.
+ * Starts a process of a site for a test or the demo, and tracks its ready line, its events and its exit.
  */
 import { type ChildProcess, spawn } from "node:child_process";
 import { createInterface } from "node:readline";
@@ -10,7 +10,7 @@
 const stopTimeoutMilliseconds = 30_000;
 const maxRetainedLines = 5000;
 
-/** What a process is started from. */
+/** Options for starting a process. */
 export interface ProcessOptions {
     /** Path of the compiled program. */
     readonly program: string;
@@ -18,7 +18,7 @@
     readonly env?: Readonly<Record<string, string>>;
 }
 
-/** A started process. */
+/** Represents a started process. */
 export class RunningProcess {
     readonly #child: ChildProcess;
     readonly #name: string;
@@ -47,7 +47,8 @@
 
     /**
      * Starts a process and waits for its line `ready KIND ADDRESS:PORT`.
-     * @param options - What to start.
+     * @param options - The program and its arguments.
+     * @throws When the process exits or writes no ready line within 20 seconds; the message contains its output.
      */
     static async start(options: ProcessOptions): Promise<RunningProcess> {
         const running = new RunningProcess(options);
@@ -56,39 +57,39 @@
         return running;
     }
 
-    /** Returns the address of the ready line. */
+    /** Returns the address from the ready line. */
     getAddress(): string {
         return this.#address;
     }
 
-    /** Returns the process identifier. */
+    /** Returns the process identifier, or 0 when the process could not be spawned. */
     getId(): number {
         return this.#child.pid ?? 0;
     }
 
-    /** Returns the events that the process wrote. */
+    /** Returns the events that the process has written. */
     getEvents(): readonly EventLine[] {
         return this.#events;
     }
 
-    /** Returns what the process wrote, the last lines of it. */
+    /** Returns the last lines of the process's output. */
     getOutput(): string {
         return this.#lines.join("\n");
     }
 
-    /** Returns whether the process has ended. */
+    /** Returns whether the process has exited. */
     hasExited(): boolean {
         return this.#hasExited;
     }
 
-    /** Returns the exit code; undefined while it runs and after a signal. */
+    /** Returns the exit code; undefined while the process runs, and when a signal ended it. */
     getExitCode(): number | undefined {
         return this.#exitCode;
     }
 
     /**
-     * Asks the process to stop and waits for its end.
-     * @returns The exit code; undefined when a signal ended it.
+     * Stops the process with SIGTERM and waits until it has exited. Sends SIGKILL after 30 seconds.
+     * @returns The exit code; undefined when a signal ended the process.
      */
     async stop(): Promise<number | undefined> {
         this.signal("SIGTERM");
@@ -98,23 +99,23 @@
         return code;
     }
 
-    /** Sends a signal and doesn't wait for what comes of it. */
+    /** Sends a signal without waiting for its effect. */
     signal(name: NodeJS.Signals): void {
         this.#child.kill(name);
     }
 
-    /** Ends the process at once and waits until it is gone. */
+    /** Kills the process with SIGKILL and waits until it has exited. */
     async kill(): Promise<void> {
         this.#child.kill("SIGKILL");
         await this.#exited;
     }
 
-    /** Pauses the process as a stalled VM does. */
+    /** Pauses the process with SIGSTOP, like a stalled VM. */
     freeze(): void {
         this.#child.kill("SIGSTOP");
     }
 
-    /** Lets a paused process go on. */
+    /** Resumes a paused process with SIGCONT. */
     wake(): void {
         this.#child.kill("SIGCONT");
     }
@@ -134,7 +135,7 @@
         });
         if (!await ready) {
             await this.kill();
-            throw new Error(`${this.#name} did not become ready. It wrote:\n${this.getOutput()}`);
+            throw new Error(`${this.#name} did not become ready. Output:\n${this.getOutput()}`);
         }
     }
 
--- a/src/testbench/site/catania.ts
+++ b/src/testbench/site/catania.ts
@@ -1,5 +1,5 @@
 /**
- * The Agenzia's site in Catania, as the demo runs it.
+ * Describes the Agenzia's site in Catania, as the demo runs it.
  */
 import type { SiteDescription, SiteVersion, SiteWorkspace } from "./siteDescription.js";
 
--- a/src/testbench/site/entryStatus.ts
+++ b/src/testbench/site/entryStatus.ts
@@ -1,14 +1,14 @@
 /**
- * What an entry tells operators, as far as tests look at it.
+ * Types of the status that an entry serves to operators, as far as tests read it.
  */
 
-/** The parts of an entry's status that tests look at. */
+/** Represents the parts of an entry's status that tests read. */
 export interface EntryStatus {
     readonly ready: boolean;
     readonly configurationOffset: number;
     readonly configurationAgeMilliseconds: number;
     readonly holdsLease: boolean;
-    /** The lease for roll-outs as the entry has folded it; empty before the first take. */
+    /** The lease for roll-outs as the entry has folded it; empty until the lease is first taken. */
     readonly lease: { readonly holder?: string; readonly fence?: number; };
     readonly members: readonly { readonly id: string; readonly state: string; }[];
     readonly upstreams: readonly { readonly id: string; }[];
--- a/src/testbench/site/metroManila.ts
+++ b/src/testbench/site/metroManila.ts
@@ -1,5 +1,5 @@
 /**
- * Dalisay's site in Metro Manila, as the demo and the proofs run it.
+ * Describes Dalisay's site in Metro Manila, as the demo and the proofs run it.
  */
 import type { SiteDescription, SiteVersion, SiteWorkspace } from "./siteDescription.js";
 
--- a/src/testbench/site/site.ts
+++ b/src/testbench/site/site.ts
@@ -1,9 +1,9 @@
 /**
- * A running site: the platform's and the upstreams' stand-ins, and real entries.
+ * Runs a site: stand-ins for the platform and the upstreams, and real entries.
  *
- * With links, every directed connection of an entry goes through a route of the fault-injecting proxy that is named
- * `FROM>TO`, such as `entry-1>log` or `entry-1>entry-2`; each entry then reads a VM list of its own, which shows it the
- * others at their routes.
+ * With proxied links, every directed connection of an entry goes through a route of the fault-injecting proxy. The route
+ * is named `FROM>TO`, such as `entry-1>log` or `entry-1>entry-2`. Each entry then reads its own VM list, which contains
+ * the addresses of the routes to the other VMs.
  */
 import { fileURLToPath } from "node:url";
 import type { Bill } from "../../bills/index.js";
@@ -22,21 +22,21 @@
 import { VmLists } from "./vmLists.js";
 
 const entryProgram = fileURLToPath(new URL("../../entry/main.js", import.meta.url));
-/** Last bytes of the addresses of each kind of process. */
+/** First value of the last address byte for each kind of process. */
 const lastBytes = { platform: 1, runners: 20, services: 80, entries: 100, links: 180 } as const;
 const peerPortOffset = 1;
 const operatorPortOffset = 2;
 const vmListPortOffset = 3;
 const linkPortOffset = 10;
 const firstPort = 10_000;
-/** A site uses this many ports at most; sites of test processes that start one after the other stay apart. */
+/** Maximum number of ports of a site. Sites of test processes with consecutive identifiers get separate port ranges. */
 const portsPerSite = 100;
 const siteCount = 200;
 
-/** The platform's stand-ins. */
+/** Kinds of the platform's stand-ins. */
 export type PlatformService = "log" | "vm-list" | "rating" | "weight-store" | "proxy";
 
-/** An entry of a site. */
+/** Represents an entry of a site. */
 export interface SiteEntry {
     readonly name: string;
     readonly failureDomain: string;
@@ -45,7 +45,7 @@
     readonly process: RunningProcess;
 }
 
-/** Starts a site and changes it. */
+/** Represents a running site. */
 export class Site {
     readonly #group: ProcessGroup;
     readonly #description: SiteDescription;
@@ -73,9 +73,9 @@
     }
 
     /**
-     * Starts a site and waits until every entry serves.
-     * @param group - Takes the processes.
-     * @param description - The site.
+     * Starts a site and waits until every entry is ready.
+     * @param group - The group that the processes are added to.
+     * @param description - The description of the site.
      */
     static async start(group: ProcessGroup, description: SiteDescription): Promise<Site> {
         const site = new Site(group, description);
@@ -91,7 +91,7 @@
         return site;
     }
 
-    /** Returns where a part of the platform listens. */
+    /** Returns the address of a platform service. */
     getPlatformAddress(service: PlatformService): string {
         const address = this.#platformAddresses.get(service);
         if (address === undefined) {
@@ -100,7 +100,7 @@
         return address;
     }
 
-    /** Returns the process of a part of the platform. */
+    /** Returns the process of a platform service. */
     getPlatformProcess(service: PlatformService): RunningProcess {
         const process = this.#platformProcesses.get(service);
         if (process === undefined) {
@@ -109,12 +109,12 @@
         return process;
     }
 
-    /** Returns the entries that were started, in the order of their names. */
+    /** Returns the entries that were started, in the order in which they were first started. */
     getEntries(): readonly SiteEntry[] {
         return [...this.#entries.values()];
     }
 
-    /** Returns an entry by its name. */
+    /** Returns the entry with a name, or throws when there is none. */
     getEntryOrThrow(name: string): SiteEntry {
         const entry = this.#entries.get(name);
         if (entry === undefined) {
@@ -123,12 +123,12 @@
         return entry;
     }
 
-    /** Returns the upstreams by name. */
+    /** Returns the processes of the upstreams by name. */
     getUpstreams(): ReadonlyMap<string, RunningProcess> {
         return this.#upstreams;
     }
 
-    /** Returns an upstream by its name. */
+    /** Returns the upstream with a name, or throws when there is none. */
     getUpstreamOrThrow(name: string): RunningProcess {
         const upstream = this.#upstreams.get(name);
         if (upstream === undefined) {
@@ -138,8 +138,8 @@
     }
 
     /**
-     * Starts an entry, also one that was killed before. It keeps its name and addresses.
-     * @param name - `entry-N`.
+     * Starts an entry. An entry that was killed before restarts with the same name and addresses.
+     * @param name - Name of the entry's VM, such as `entry-1`.
      */
     async startEntry(name: string): Promise<SiteEntry> {
         const vm = this.#vmLists.getVmOrThrow(name);
@@ -161,13 +161,14 @@
     }
 
     /**
-     * Replaces an entry by a new VM on the same address, on a site without links.
-     * @param name - The entry that goes, at once.
-     * @param id - The new VM's identifier.
+     * Kills an entry and replaces it by a new VM with the same address. The site must not have proxied links.
+     * @param name - The entry to replace.
+     * @param id - Identifier of the new VM.
+     * @throws When the site has proxied links.
      */
     async replaceEntry(name: string, id: string): Promise<SiteEntry> {
         if (this.#description.hasProxiedLinks === true) {
-            throw new Error("The site has links; replace entries on a site without them.");
+            throw new Error("The site has proxied links. Replace entries on a site without them.");
         }
         const vm = this.#vmLists.getVmOrThrow(name);
         await this.getEntryOrThrow(name).process.kill();
@@ -177,7 +178,7 @@
         return this.startEntry(id);
     }
 
-    /** Waits until all running entries serve and see each other. */
+    /** Waits until all running entries are ready and report each other as alive. */
     async waitUntilReady(): Promise<void> {
         const running = this.getEntries().filter(entry => !entry.process.hasExited());
         for (const entry of running) {
@@ -185,20 +186,20 @@
                 const status = await this.getStatus(entry.name);
                 const alive = status.members.filter(member => member.state === "alive").length;
                 return status.ready && alive >= running.length && status.upstreams.length > 0;
-            }, { description: `${entry.name} to serve` });
+            }, { description: `${entry.name} to be ready` });
         }
     }
 
-    /** Returns what an entry tells operators. */
+    /** Returns the status that an entry serves to operators. */
     getStatus(name: string): Promise<EntryStatus> {
         return callJson<EntryStatus>({ address: this.getEntryOrThrow(name).operatorAddress, path: "/status" });
     }
 
     /**
-     * Publishes changes of the tree without waiting for their being in force.
+     * Publishes changes of the tree without waiting until they are in force.
      * @param changes - The changes.
-     * @param author - Who publishes.
-     * @param basedOn - The offset up to which the author had read the stream; its end by default.
+     * @param author - Author of the publication.
+     * @param basedOn - The offset up to which the author has read the stream; the end of the stream by default.
      * @returns The record's offset.
      */
     async publish(changes: readonly Change[], author = "operator", basedOn?: number): Promise<number> {
@@ -218,22 +219,22 @@
     }
 
     /**
-     * Reads all that a stream holds.
+     * Reads all entries of a stream.
      * @param stream - The stream.
      */
     readStream(stream: StreamName): Promise<readonly LogEntry[]> {
         return this.#log.readStream(stream);
     }
 
-    /** Folds the stream of bills as the ledger does: one bill for each request. */
+    /** Folds the stream of bills as the ledger does, and returns one bill for each request. */
     readBills(): Promise<ReadonlyMap<string, Bill>> {
         return this.#log.readBills();
     }
 
     /**
      * Waits until entries have folded the config stream up to an offset.
-     * @param offset - The offset of the record.
-     * @param names - The entries; all running ones by default.
+     * @param offset - Offset of the record.
+     * @param names - Names of the entries; all running entries by default.
      */
     async waitUntilApplied(offset: number, names?: readonly string[]): Promise<void> {
         const entryNames = names
@@ -246,19 +247,19 @@
     }
 
     /**
-     * Switches faults of a directed link.
-     * @param from - `entry-N`.
-     * @param to - `log`, `rating`, an entry or an upstream.
-     * @param faults - Faults as the proxy knows them.
+     * Sets faults of a directed link.
+     * @param from - Name of the entry that uses the link.
+     * @param to - `log`, `rating`, or the name of an entry or upstream.
+     * @param faults - Faults in the proxy's format.
      */
     async setLinkFaults(from: string, to: string, faults: object): Promise<void> {
         await this.#links.setFaults(from, to, faults);
     }
 
     /**
-     * Changes what the VM lists say of a VM.
-     * @param id - The VM.
-     * @param state - `live`, `leaving`, or `gone` to take it off the lists.
+     * Changes the state of a VM on the VM lists.
+     * @param id - Identifier of the VM.
+     * @param state - `live`, `leaving`, or `gone` to remove the VM from the lists.
      */
     async setVmState(id: string, state: "live" | "leaving" | "gone"): Promise<void> {
         await this.#vmLists.setState(id, state);
--- a/src/testbench/site/siteDescription.ts
+++ b/src/testbench/site/siteDescription.ts
@@ -1,41 +1,42 @@
 /**
- * What a site of stand-ins and entries is made of.
+ * Types that describe a site of stand-ins and entries.
  */
 import type { VersionStatus } from "../../world/index.js";
 
-/** A version that the site's runners serve, with what it is like in truth. */
+/** Represents a version that the site's runners serve, with its expected and its true quality. */
 export interface SiteVersion {
     /** `MODEL@VERSION`, without dots. */
     readonly id: string;
     readonly status: VersionStatus;
     readonly inputPrice: number;
     readonly outputPrice: number;
-    /** What the operator expects. */
+    /** Quality that the operator expects. */
     readonly expectedQuality: number;
-    /** What is true, and where it differs by class. */
+    /** True quality of the version's answers. */
     readonly quality: number;
+    /** True quality of the request classes for which it differs. */
     readonly classQualities?: Readonly<Record<string, number>>;
 }
 
-/** A workspace of the site. */
+/** Represents a workspace of the site. */
 export interface SiteWorkspace {
     readonly name: string;
-    /** Keys of its section in the tree besides `keys`. */
+    /** Settings of the workspace's section in the tree, without `keys`. */
     readonly settings: Readonly<Record<string, string>>;
 }
 
-/** A pool of upstreams. */
+/** Represents a pool of upstreams. */
 export interface SitePool {
     readonly name: string;
     readonly count: number;
-    /** Conditions of each stand-in of the pool. */
+    /** Settings of each stand-in of the pool. */
     readonly settings?: Readonly<Record<string, string | number | boolean>>;
 }
 
-/** A site. */
+/** Describes a site. */
 export interface SiteDescription {
     readonly name: string;
-    /** The first three bytes of the loopback block that the site's processes listen in. */
+    /** First three bytes of the loopback addresses that the site's processes listen on. */
     readonly prefix: string;
     readonly failureDomains: readonly string[];
     readonly entryCount: number;
@@ -43,24 +44,24 @@
     readonly services: SitePool;
     readonly versions: readonly SiteVersion[];
     readonly workspaces: readonly SiteWorkspace[];
-    /** Further sections of the tree. */
+    /** Additional sections of the tree. */
     readonly sections?: Readonly<Record<string, Readonly<Record<string, string>>>>;
-    /** Sections of the entries' settings that differ from the defaults. */
+    /** Sections of the entries' settings that override the defaults. */
     readonly entrySettings?: Readonly<Record<string, Readonly<Record<string, string>>>>;
-    /** The same for single entries, by name; what stands here goes before `entrySettings`. */
+    /** Settings of single entries by name, which take precedence over `entrySettings`. */
     readonly perEntrySettings?: Readonly<Record<string, SiteDescription["entrySettings"]>>;
-    /** Conditions of the log at the start. */
+    /** Initial settings of the log stand-in. */
     readonly logSettings?: Readonly<Record<string, string | number | boolean>>;
-    /** Conditions of the rating service at the start. */
+    /** Initial settings of the rating service stand-in. */
     readonly ratingSettings?: Readonly<Record<string, string | number | boolean>>;
-    /** Variables of the entries' environment that differ; `DEBUG` shows which events they write. */
+    /** Environment variables to override for the entries; `DEBUG` selects the events that they write. */
     readonly entryEnvironment?: Readonly<Record<string, string>>;
     /** Whether each directed link of an entry goes through the fault-injecting proxy. */
     readonly hasProxiedLinks?: boolean;
 }
 
 /**
- * Returns the API key of a workspace in a test site.
+ * Returns the API key of a workspace on a test site.
  * @param workspace - Name of the workspace.
  */
 export function getApiKey(workspace: string): string {
--- a/src/testbench/site/siteFiles.ts
+++ b/src/testbench/site/siteFiles.ts
@@ -1,5 +1,5 @@
 /**
- * The settings that a site's processes start from.
+ * Creates the initial settings of a site's processes.
  */
 import { stringify } from "ini";
 import { createHash } from "node:crypto";
@@ -10,7 +10,7 @@
 import type { StandinSettings } from "../processGroup.js";
 import { getApiKey, type SiteDescription } from "./siteDescription.js";
 
-/** Addresses that an entry's settings name, each as `HOST:PORT`. */
+/** Represents the identity of an entry and the addresses in its settings, each as `HOST:PORT`. */
 export interface EntryAddresses {
     readonly name: string;
     readonly failureDomain: string;
@@ -24,7 +24,7 @@
     readonly weightStore: string;
 }
 
-/** Short times, so that tests and the demo need not wait. */
+/** Short intervals and timeouts, so that tests and the demo run fast. */
 const testTiming = {
     gossip_interval_ms: "100",
     lease_term_ms: "1500",
@@ -43,8 +43,8 @@
 
 /**
  * Writes the settings file of an entry and returns its path.
- * @param addresses - Where the entry and what it talks to listen.
- * @param overrides - Sections that differ from the defaults.
+ * @param addresses - Addresses of the entry and of the services that it uses.
+ * @param overrides - Sections that override the defaults.
  */
 export function writeEntrySettings(
     addresses: EntryAddresses,
@@ -74,8 +74,8 @@
 }
 
 /**
- * Returns the changes that make a site's tree out of an empty one.
- * @param description - The site.
+ * Creates the changes that build a site's tree from an empty tree.
+ * @param description - The description of the site.
  */
 export function createTreeChanges(description: SiteDescription): readonly Change[] {
     const changes: Change[] = [];
@@ -103,8 +103,8 @@
 }
 
 /**
- * Returns the conditions that a runner of a site starts with.
- * @param description - The site.
+ * Creates the initial settings of a site's runner.
+ * @param description - The description of the site.
  * @param name - Name of the runner.
  */
 export function createRunnerSettings(description: SiteDescription, name: string): StandinSettings {
--- a/src/testbench/site/siteLinks.ts
+++ b/src/testbench/site/siteLinks.ts
@@ -1,20 +1,20 @@
 /**
- * The directed links of a site: routes of the fault-injecting proxy, named `FROM>TO`.
+ * Manages the directed links of a site, which are routes of the fault-injecting proxy named `FROM>TO`.
  */
 import { callJson } from "../../caller/index.js";
 import { setFaults } from "../standinControl.js";
 
-/** What links are made from. */
+/** Options of the links. */
 export interface SiteLinksOptions {
-    /** Gets where the proxy is controlled. */
+    /** Returns the control address of the proxy. */
     readonly getProxyAddress: () => string;
-    /** The IP number that routes listen at. */
+    /** IP address that the routes listen on. */
     readonly host: string;
-    /** Routes listen above this port. */
+    /** The routes listen on the ports above this one. */
     readonly port: number;
 }
 
-/** Opens links and switches their faults. */
+/** Creates links and sets their faults. */
 export class SiteLinks {
     readonly #options: SiteLinksOptions;
     #count = 0;
@@ -24,11 +24,11 @@
     }
 
     /**
-     * Opens a link, unless it is open already.
-     * @param from - Who uses it.
-     * @param to - Whom it leads to.
-     * @param target - Where that one listens.
-     * @returns Where the link listens.
+     * Creates a link, unless it already exists.
+     * @param from - Name of the VM that uses the link.
+     * @param to - Name of the destination.
+     * @param target - Listen address of the destination.
+     * @returns The listen address of the link.
      */
     async add(from: string, to: string, target: string): Promise<string> {
         const { getProxyAddress, host, port } = this.#options;
@@ -49,10 +49,10 @@
     }
 
     /**
-     * Switches faults of a link.
-     * @param from - Who uses it.
-     * @param to - Whom it leads to.
-     * @param faults - Faults as the proxy knows them.
+     * Sets faults of a link.
+     * @param from - Name of the VM that uses the link.
+     * @param to - Name of the destination.
+     * @param faults - Faults in the proxy's format.
      */
     async setFaults(from: string, to: string, faults: object): Promise<void> {
         await setFaults(this.#options.getProxyAddress(), { route: getLinkName(from, to), ...faults });
--- a/src/testbench/site/siteLog.ts
+++ b/src/testbench/site/siteLog.ts
@@ -1,5 +1,5 @@
 /**
- * The log of a site, for tests: appends, and all that a stream holds.
+ * Gives tests access to the log of a site.
  */
 import { type Bill, Ledger } from "../../bills/index.js";
 import { callJson } from "../../caller/index.js";
@@ -7,11 +7,11 @@
 import { Journal } from "../../events/index.js";
 import type { LogEntry, LogPage, LogRecord, StreamName } from "../../log/index.js";
 
-/** Reads and writes a site's log. */
+/** Reads and appends to a site's log. */
 export class SiteLog {
     readonly #getAddress: () => string;
 
-    /** @param getAddress - Gives where the log listens. */
+    /** @param getAddress - Returns the listen address of the log. */
     constructor(getAddress: () => string) {
         this.#getAddress = getAddress;
     }
@@ -33,7 +33,7 @@
     }
 
     /**
-     * Reads all that a stream holds.
+     * Reads all entries of a stream.
      * @param stream - The stream.
      */
     async readStream(stream: StreamName): Promise<readonly LogEntry[]> {
@@ -51,7 +51,7 @@
         }
     }
 
-    /** Folds the stream of bills as the ledger does: one bill for each request. */
+    /** Folds the stream of bills as the ledger does, and returns one bill for each request. */
     async readBills(): Promise<ReadonlyMap<string, Bill>> {
         const journal = new Journal({ process: "judge", clock: systemClock, write: () => undefined });
         const ledger = new Ledger({ journal });
@@ -65,7 +65,7 @@
     }
 
     /**
-     * Returns the offset that the next record of a stream will get.
+     * Returns the offset of the next record that is appended to a stream.
      * @param stream - The stream.
      */
     async getEnd(stream: StreamName): Promise<number> {
--- a/src/testbench/site/vmLists.ts
+++ b/src/testbench/site/vmLists.ts
@@ -1,19 +1,19 @@
 /**
- * The VM lists of a site: the platform's, and on a site with links one for each entry, which shows it the others at
- * the links that lead to them.
+ * Manages the VM lists of a site: the platform's list, and on a site with proxied links one list for each entry, which
+ * contains the addresses of the links to the other VMs.
  */
 import { callJson } from "../../caller/index.js";
 import type { Vm } from "../../world/index.js";
 import type { SiteLinks } from "./siteLinks.js";
 
-/** What lists are made from. */
+/** Options of the VM lists. */
 export interface VmListsOptions {
-    /** Gets where the platform's list listens. */
+    /** Returns the address of the platform's list. */
     readonly getPlatformListAddress: () => string;
     readonly links: SiteLinks;
 }
 
-/** Keeps the VMs of a site and shows them on its lists. */
+/** Stores the VMs of a site and publishes them on its lists. */
 export class VmLists {
     readonly #options: VmListsOptions;
     readonly #vms = new Map<string, Vm>();
@@ -23,7 +23,7 @@
         this.#options = options;
     }
 
-    /** Returns a VM by its identifier. */
+    /** Returns the VM with an identifier, or throws when there is none. */
     getVmOrThrow(id: string): Vm {
         const vm = this.#vms.get(id);
         if (vm === undefined) {
@@ -38,9 +38,9 @@
     }
 
     /**
-     * Adds an entry's own list, with all VMs so far.
+     * Adds an entry's own list and fills it with all current VMs.
      * @param entry - Identifier of the entry.
-     * @param address - Where the list listens.
+     * @param address - Address of the list.
      */
     async addEntryList(entry: string, address: string): Promise<void> {
         this.#entryListAddresses.set(entry, address);
@@ -58,16 +58,16 @@
         }
     }
 
-    /** Removes a VM for good. */
+    /** Removes a VM from all lists and forgets it. */
     async remove(id: string): Promise<void> {
         await this.setState(id, "gone");
         this.#vms.delete(id);
     }
 
     /**
-     * Changes what the lists say of a VM.
-     * @param id - The VM.
-     * @param state - `live`, `leaving`, or `gone` to take it off the lists.
+     * Changes the state of a VM on all lists.
+     * @param id - Identifier of the VM.
+     * @param state - `live`, `leaving`, or `gone` to remove the VM from the lists.
      */
     async setState(id: string, state: "live" | "leaving" | "gone"): Promise<void> {
         if (state === "live") {
@@ -88,7 +88,7 @@
         }
         const target = `${vm.address}:${vm.role === "entry" ? vm.peerPort : vm.port}`;
         const linkAddress = splitAddress(await this.#options.links.add(entry, vm.id, target));
-        // An entry calls the others at their peer port only, so the port for callers stays as it is.
+        // An entry calls other entries only at their peer port, so the port for callers is not redirected.
         await putVm(
             listAddress,
             vm.role === "entry"
--- a/src/testbench/siteChecks.ts
+++ b/src/testbench/siteChecks.ts
@@ -1,37 +1,37 @@
 /**
- * Judges a site from the records of those who cannot be mistaken: the callers, the upstreams and the ledger.
+ * Checks a site against independent records: those of the callers, the upstreams and the ledger.
  */
 import type { ChatRecord, ServiceRecord } from "../caller/index.js";
 import type { Site } from "./site/index.js";
 import { getJournal } from "./standinControl.js";
 
-/** A call under an idempotency key, with what its caller was told. */
+/** Represents a call with an idempotency key and the response that its caller received. */
 export interface KeyedCall {
     readonly key: string;
     readonly record: ServiceRecord;
 }
 
-/** A run that a plain service counted. */
+/** Represents a run that a plain service recorded. */
 export interface ServiceRun {
     readonly key?: string;
     readonly request?: string;
 }
 
-/** Work that an engine took on. */
+/** Represents work that an engine accepted. */
 export interface EngineRun {
     readonly runner: string;
-    /** Identifier of the stream: the request's, and the attempt's. */
+    /** Identifier of the stream, which consists of the request's and the attempt's identifiers. */
     readonly id: string;
     readonly asked: string;
     readonly ran: string;
     readonly arrivedAt: number;
     readonly outcome: string;
     readonly outputTokens: number;
-    /** Hash of the text, once the run has ended. */
+    /** Hash of the answer's text; undefined until the run has ended. */
     readonly answerHash?: string;
 }
 
-/** Returns every run that the site's plain services counted. */
+/** Returns every run that the site's running plain services recorded. */
 export async function readServiceRuns(site: Site): Promise<readonly ServiceRun[]> {
     const runs: ServiceRun[] = [];
     for (const [name, upstream] of site.getUpstreams()) {
@@ -42,7 +42,7 @@
     return runs;
 }
 
-/** Returns all work that the site's engines took on. */
+/** Returns all work that the site's running engines accepted. */
 export async function readEngineRuns(site: Site): Promise<readonly EngineRun[]> {
     const runs: EngineRun[] = [];
     for (const [name, upstream] of site.getUpstreams()) {
@@ -63,10 +63,11 @@
 }
 
 /**
- * Finds what breaks the promises about calls that must not be repeated: a key that ran twice, and a refusal that said
- * "not run" of a request that ran.
- * @param runs - What the services counted.
- * @param calls - What the callers were told.
+ * Finds violations of the at-most-once guarantee: a key that ran twice, a refusal that reported "not run" for a request
+ * that ran, and an answered key that never ran.
+ * @param runs - The runs that the services recorded.
+ * @param calls - The responses that the callers received.
+ * @returns One message for each violation.
  */
 export function findRunViolations(runs: readonly ServiceRun[], calls: readonly KeyedCall[]): readonly string[] {
     const violations: string[] = [];
@@ -84,20 +85,21 @@
     const executedRequestIds = new Set(runs.map(run => run.request));
     for (const { key, record } of calls) {
         if (record.outcome === "not-run" && executedRequestIds.has(record.requestId)) {
-            violations.push(`The request ${record.requestId} with the key ${key} was called "not run" and ran.`);
+            violations.push(`The request ${record.requestId} with the key ${key} was reported as "not run", but ran.`);
         }
         if (record.status === 200 && counts.get(key) === undefined) {
-            violations.push(`The key ${key} was answered and never ran.`);
+            violations.push(`The key ${key} was answered, but never ran.`);
         }
     }
     return violations;
 }
 
 /**
- * Finds what breaks the promises about bills and answers: a whole answer without a bill, an answer that is another
- * request's, and tokens or versions that differ between what the caller got and what it is billed for.
+ * Finds violations of the guarantees about bills and answers: a complete answer without a bill, an answer that belongs
+ * to another request, and token counts or versions that differ between the answer and its bill.
  * @param site - The site, whose log holds the bills.
- * @param chats - What the callers got.
+ * @param chats - The responses that the callers received.
+ * @returns One message for each violation.
  */
 export async function findBillViolations(site: Site, chats: readonly ChatRecord[]): Promise<readonly string[]> {
     const violations: string[] = [];
@@ -109,16 +111,16 @@
         const bill = bills.get(chat.requestId ?? "");
         const lastLine = bill?.lines.at(-1);
         if (lastLine === undefined) {
-            violations.push(`The request ${chat.requestId} was answered and has no bill.`);
+            violations.push(`The request ${chat.requestId} was answered, but has no bill.`);
             continue;
         }
         if (lastLine.outputTokens !== chat.completionTokens) {
             violations.push(
-                `The request ${chat.requestId} is billed ${lastLine.outputTokens} of ${chat.completionTokens} tokens.`,
+                `The request ${chat.requestId} is billed ${lastLine.outputTokens}, but got ${chat.completionTokens} tokens.`,
             );
         }
         if (!chat.text.startsWith(`answer ${chat.requestId}.`) || !chat.text.includes(` by ${lastLine.version}:`)) {
-            violations.push(`The request ${chat.requestId} got the answer "${chat.text.slice(0, 60)}".`);
+            violations.push(`The request ${chat.requestId} got the wrong answer "${chat.text.slice(0, 60)}".`);
         }
     }
     return violations;
--- a/src/testbench/traffic.ts
+++ b/src/testbench/traffic.ts
@@ -1,5 +1,5 @@
 /**
- * Load of many callers at once, each of which keeps its own record.
+ * Generates load from many concurrent callers and records every response.
  */
 import { randomUUID } from "node:crypto";
 import { setTimeout as sleep } from "node:timers/promises";
@@ -7,39 +7,39 @@
 import type { KeyedCall } from "./siteChecks.js";
 
 const pauseMilliseconds = 10;
-/** A caller that is told to come back later waits this long at most, so that load goes on. */
+/** Limits the wait that a refusal's `Retry-After` asks for, so that load continues. */
 const maxWaitMilliseconds = 500;
 const sessionTurns = 3;
 const maxResumptions = 20;
 const resumptionPauseMilliseconds = 250;
 const maxPrintAttempts = 4;
 
-/** What the callers do. */
+/** Options of the traffic generator. */
 export interface TrafficOptions {
     readonly caller: Caller;
     readonly key: string;
     readonly model?: string;
-    /** The pool of the plain service. */
+    /** Pool of the plain service. */
     readonly pool: string;
     readonly chatCallers: number;
     readonly printCallers: number;
-    /** Gives `HOST:PORT` for the next request. */
+    /** Returns the entry's `HOST:PORT` for the next request. */
     readonly getEntry: () => Promise<string>;
-    /** Whether broken answers are taken up at the next entry. */
+    /** Whether callers resume interrupted answers at the next entry. */
     readonly resumesBrokenAnswers: boolean;
 }
 
-/** A chat completion with its circumstances. */
+/** Represents a chat completion with its entry, its session and its times. */
 export interface TrafficChat {
     readonly record: ChatRecord;
     readonly entry: string;
     readonly session: string | undefined;
-    /** Wall-clock milliseconds. */
+    /** Wall-clock milliseconds since the epoch. */
     readonly startedAt: number;
     readonly endedAt: number;
 }
 
-/** Sends work until it is stopped. */
+/** Sends requests until it is stopped. */
 export class Traffic {
     readonly #options: TrafficOptions;
     readonly #chats: TrafficChat[] = [];
@@ -61,7 +61,7 @@
         }
     }
 
-    /** Lets every caller finish its request. */
+    /** Stops the callers and waits until each has finished its request. */
     async stop(): Promise<void> {
         this.#isStopped = true;
         await Promise.all(this.#loops);
@@ -77,7 +77,7 @@
         return this.#prints;
     }
 
-    /** Every third caller holds conversations, half of which show the session token of the answer before. */
+    /** Sends chats one after another. Every third caller holds sessions, and half of those send the previous session token. */
     async #runChatCaller(index: number): Promise<void> {
         const holdsSessions = index % 3 === 2;
         while (!this.#isStopped) {
@@ -137,17 +137,18 @@
 }
 
 /**
- * Returns what callers met without having been told: connections that failed, answers that broke off, and outcomes
- * that nobody knows. A refusal that says "not run" and when to come back is no fault.
+ * Finds errors that were not reported to callers as a refusal: failed connections, interrupted answers and unknown
+ * outcomes. A refusal with the outcome "not-run" and a `Retry-After` is no error.
  * @param chats - The chat completions.
  * @param prints - The calls to plain services.
+ * @returns One message for each error.
  */
 export function findUnreportedErrors(chats: readonly TrafficChat[], prints: readonly KeyedCall[]): readonly string[] {
     const errors: string[] = [];
     for (const { record, entry, startedAt } of chats) {
         const isReported = record.outcome === "not-run" && record.retryAfterSeconds !== undefined;
         if (!record.isComplete && !isReported) {
-            errors.push(`A chat at ${entry} (began at ${startedAt}) ended with ${record.status} ${record.problem}.`);
+            errors.push(`A chat at ${entry} (started at ${startedAt}) ended with ${record.status} ${record.problem}.`);
         }
     }
     for (const { key, record } of prints) {
--- a/src/testbench/waitUntil.ts
+++ b/src/testbench/waitUntil.ts
@@ -1,24 +1,26 @@
 /**
- * Waiting for conditions, with a bound.
+ * Waits for conditions with a timeout.
  */
 import { setTimeout as sleep } from "node:timers/promises";
 
 const pollMilliseconds = 20;
 const defaultTimeoutMilliseconds = 20_000;
 
-/** How a wait ends without success. */
+/** Options of a wait: its timeout and the parts of the error message. */
 export interface WaitOptions {
-    /** What is waited for, for the error's message. */
+    /** The expected condition, used in the error message. */
     readonly description: string;
     readonly timeoutMilliseconds?: number;
-    /** Describes what was there in place of it, for the error's message. */
+    /** Describes the actual state, used in the error message. */
     readonly describeState?: () => string;
 }
 
 /**
- * Waits until a condition gives a value.
- * @param condition - Gives undefined or false until it holds; whatever else it gives is returned.
- * @param options - What is waited for, and how long.
+ * Polls a condition every 20 ms until it returns a value.
+ * @param condition - Returns undefined or false until it holds; any other value is returned.
+ * @param options - The description of the condition and the timeout.
+ * @returns The condition's value.
+ * @throws When the condition does not hold within the timeout.
  */
 export async function waitUntil<Value>(
     condition: () => Value | Promise<Value>,
@@ -34,5 +36,5 @@
         await sleep(pollMilliseconds);
     }
     const foundState = options.describeState === undefined ? "" : ` Found: ${options.describeState()}.`;
-    throw new Error(`Waited ${timeoutMilliseconds} ms in vain for ${description}.${foundState}`);
+    throw new Error(`Timed out after ${timeoutMilliseconds} ms waiting for ${description}.${foundState}`);
 }
--- a/test/proofs/atMostOnce.test.ts
+++ b/test/proofs/atMostOnce.test.ts
@@ -19,8 +19,9 @@
         expect(findRunViolations(await readServiceRuns(proof.site), calls)).toEqual([]);
     }
 
-    // A clerk presses the button twice, or a client gives up and asks the next address while the first entry still
-    // works. Without claims two entries would each print a label, and the two may differ.
+    // Guards against duplicate runs of concurrent requests with one key. A clerk presses the button twice, or a client times
+    // out and retries at the next address while the first entry still works. Without claims, two entries would each print
+    // a label, and the labels may differ.
     it("runs once when the same key comes in at all entries at the same time", async () => {
         const proof = getProof();
         const calls: KeyedCall[] = [];
@@ -35,9 +36,10 @@
         await expectNoViolations(proof, calls);
     });
 
-    // The log takes a claim and its acknowledgement gets lost on the way back. The entry does not know whether it
-    // holds the key. If it guessed "no", nobody would ever run the call; if it claimed anew under another name, it
-    // would find the key held by itself and the caller would never get an answer.
+    // Guards against calls that never run because the acknowledgement of a claim is lost. The log appends the claim, and the
+    // entry does not know whether it holds the key. If it assumed that it does not, no entry would ever run the call. If it
+    // claimed again with another identifier, it would find the key held by its own first claim, and the caller would never
+    // get an answer.
     it("runs once and is answered when acknowledgements of claims are lost", async () => {
         const proof = getProof();
         const calls: KeyedCall[] = [];
@@ -49,9 +51,10 @@
         await expectNoViolations(proof, calls);
     });
 
-    // The log is away. Nobody can know whether another entry has claimed a key, so nothing may run. The caller is
-    // told at once that nothing ran, and when to come back; after the outage its call runs once.
-    it("is refused truthfully while the log is away and runs once afterwards", async () => {
+    // Guards against duplicate runs during an outage of the log. No entry can find out whether another one has claimed a key,
+    // so nothing may run. The caller is refused at once with the outcome "not-run" and a `Retry-After`; after the outage its
+    // call runs once.
+    it("is refused as not run while the log is unavailable and runs once afterwards", async () => {
         const proof = getProof();
         const log = proof.site.getPlatformAddress("log");
         await setFaults(log, { outage: "drop" });
@@ -73,8 +76,9 @@
         await expectNoViolations(proof, calls);
     });
 
-    // The service runs the call, and the connection breaks before its answer arrives. The entry cannot know whether
-    // the label was printed. It must say "unknown" and never send the call again, to this instance or to another.
+    // Guards against a second run after a lost answer. The service runs the call, and the connection breaks before its answer
+    // arrives. The entry cannot know whether the label was printed. It must report the outcome "unknown" and never send the
+    // call again, neither to this instance nor to another.
     it("is not sent again when the service's answer is lost", async () => {
         const proof = getProof();
         const calls: KeyedCall[] = [];
@@ -97,10 +101,10 @@
         await expectNoViolations(proof, calls);
     });
 
-    // An entry claims a key and its VM stalls before the call goes out, for longer than its caller waits. The caller
-    // asks another entry. When the first VM wakes up it goes on where it was and sends the call. If the second entry
-    // had taken the key over, two labels would be printed.
-    it("runs at most once when the claimant is frozen after its claim and wakes up later", async () => {
+    // Guards against a second run after a stalled VM resumes. An entry claims a key, and its VM stalls before the call is sent,
+    // for longer than the caller's timeout. The caller retries at another entry. When the first VM resumes, its entry sends
+    // the call. If the second entry had taken over the key, two labels would be printed.
+    it("runs at most once when the claimant is paused after its claim and resumed later", async () => {
         const proof = getProof();
         const { site } = proof;
         const claimant = site.getEntryOrThrow("entry-1");
@@ -120,8 +124,8 @@
             claimant.process.wake();
             await site.waitUntilReady();
         }
-        // The call that was held back may run now, or break off because its connection aged meanwhile. Then nobody knows
-        // whether it ran, and the key stays taken: never a second run, and never "not run".
+        // The delayed call may run now, or fail because its connection has timed out meanwhile. In that case it is unknown
+        // whether it ran, and the key stays claimed: there must be no second run, and no outcome "not-run".
         const last = await printUntilRun(proof, "entry-3", "frozen");
         expect(last.every(call => call.record.outcome !== "not-run")).toEqual(true);
         expect([200, 409]).toEqual(expect.includes(last.at(-1)?.record.status ?? 0));
@@ -129,8 +133,8 @@
         await expectNoViolations(proof, calls);
     });
 
-    // An entry dies at any moment of its calls: before a claim is written, after it, while the service works, or
-    // before the answer goes out. Its callers ask the other entries with the same keys.
+    // Guards against duplicate runs after an entry crashes. The entry may crash at any time: before a claim is written, after
+    // it, while the service works, or before the answer is sent. Its callers retry at the other entries with the same keys.
     it("runs at most once when entries are killed at any moment", async () => {
         const proof = getProof();
         const calls: KeyedCall[] = [];
--- a/test/proofs/billing.test.ts
+++ b/test/proofs/billing.test.ts
@@ -30,17 +30,17 @@
 const ledgerAddress = `127.62.1.250:${10_000 + process.pid % 20_000}`;
 const stepMilliseconds = 5;
 const slowStepMilliseconds = 25;
-/** The shortest answers take longer at this pace than the time for which an entry waits for its caller. */
+/** With this step time even the shortest answers take longer than an entry waits for a disconnected caller to resume. */
 const verySlowStepMilliseconds = 100;
 const noFaults = { cut: false, delayMilliseconds: 0, cutAfterBytes: 0 };
 
-describe("Bills and whole answers", () => {
+describe("Bills and complete answers", () => {
     const getProof = useProofSite("127.62.1", {
         entrySettings: { timing: { bill_flush_ms: "1500", peer_timeout_ms: "400", resume_grace_ms: "300" } },
     });
 
-    // An entry sends the last byte of an answer and dies before its bills went to the log. Without a copy on another
-    // VM the work would never be billed, and nobody would notice but the ledger's reader.
+    // Guards against lost bills. An entry sends the last byte of an answer and crashes before it appends the bill to the log.
+    // Without a copy on another VM the work would never be billed, and only a reader of the ledger would notice.
     it("keeps the bills of an entry that is killed between the last byte and the append", async () => {
         const proof = getProof();
         const chats: ChatRecord[] = [];
@@ -65,8 +65,9 @@
         expect(chats.some(record => inLog.has(record.requestId ?? ""))).toEqual(false);
     });
 
-    // An entry dies in the middle of an answer. Its caller shows the resume token to another entry; it must get the
-    // rest of this very answer, and the request must be billed although the entry that took it is gone.
+    // Guards against lost answers and bills after a crash. An entry crashes in the middle of an answer. Its caller sends the
+    // resume token to another entry. The caller must get the rest of the same answer, and the request must be billed
+    // although the entry that accepted it no longer runs.
     it("lets a caller go on at another entry after the first one was killed in the middle", async () => {
         const proof = getProof();
         await setRunners(proof, { stepMilliseconds: slowStepMilliseconds });
@@ -76,7 +77,7 @@
         };
         const ask = () => chat(proof, "entry-1", { model: "label-large@3", onProgress });
         const pending = Array.from({ length: 8 }, ask);
-        await waitUntil(() => maxEventCount >= 3, { description: "a caller with a part of its answer" });
+        await waitUntil(() => maxEventCount >= 3, { description: "a caller to receive a part of its answer" });
         await proof.site.getEntryOrThrow("entry-1").process.kill();
         const broken = await Promise.all(pending);
         expect(broken.some(record => !record.isComplete && record.resumeToken !== undefined)).toEqual(true);
@@ -92,9 +93,10 @@
         await proof.site.waitUntilReady();
     });
 
-    // The connection between caller and entry breaks, and the entry still works on the answer when the caller asks
-    // another one for the rest. The first one gives the caller up a little later and must not cancel the answer under
-    // the second one's hands. Both may know the usage then; the request must still be billed once.
+    // Guards against cancelled streams and double bills when a caller changes entries. The connection between caller and entry
+    // breaks, and the caller resumes at another entry while the first one still reads the answer. The first entry times out
+    // a little later and must not cancel the stream that the second one reads. Both entries may receive the usage, but the
+    // request must be billed once.
     it("bills a stream once that is resumed elsewhere while the first entry still reads it", async () => {
         const proof = getProof();
         await setRunners(proof, { stepMilliseconds: slowStepMilliseconds });
@@ -112,8 +114,8 @@
         await expectBilledOnce(proof, chats);
     });
 
-    // The connection between an entry and a runner breaks in the middle of answers. The caller must not notice: the
-    // entry takes the stream up where it was.
+    // Guards against interrupted answers. The connection between an entry and a runner breaks in the middle of an answer. The
+    // entry must resume the stream after the last event that it received, so that the caller notices nothing.
     it("resumes streams whose connection to the runner breaks, so that callers notice nothing", async () => {
         const proof = getProof();
         await setRunnerLinks(proof, "entry-1", { cutAfterBytes: 4000 });
@@ -130,8 +132,9 @@
         await expectBilledOnce(proof, chats);
     });
 
-    // A cheap answer is rated, found wanting and thrown away, and a dearer model answers. Both did work, so one bill
-    // has a line for each; a caller never pays for an answer that no engine made.
+    // Guards against wrong bills of escalated requests. The rating of a cheap model's answer is too low, the answer is
+    // discarded, and a more expensive model answers. Both models did work, so the bill has one line for each. A caller must
+    // never pay for an answer that no engine produced.
     it("bills an escalated cascade with a line for each answer that was made", async () => {
         const proof = getProof();
         const chats: ChatRecord[] = [];
@@ -161,8 +164,8 @@
         }
     });
 
-    // The ledger's process dies while bills come in and starts again from its file. A bill that it counted twice, or
-    // passed over, would show in a depot's invoice.
+    // Guards against wrong totals after a crash of the ledger. The ledger crashes while it receives bills and restarts from its
+    // file. A bill that it counted twice or skipped would make a depot's invoice wrong.
     it("gives the same totals after the ledger was killed and started again under load", async () => {
         const proof = getProof();
         await withProcesses(async group => {
@@ -203,8 +206,8 @@
         });
     });
 
-    // Runners answer late, each link by another time, so that pieces of many answers come in mixed. A caller that got
-    // a piece of another's answer would read another kitchen's allergens.
+    // Guards against mixed-up answers. Each link has a different delay, so that chunks of many answers arrive interleaved. A
+    // caller that received a chunk of another caller's answer would read another kitchen's allergens.
     it("never mixes answers that come late and at the same time", async () => {
         const proof = getProof();
         for (const [index, entry] of entries.entries()) {
@@ -228,8 +231,8 @@
         }
     });
 
-    // A caller leaves and does not come back. The engine is told to stop and says what it has spent until then; that
-    // is billed, no more and no less.
+    // Guards against wrong bills of cancelled answers. A caller disconnects and does not resume. The entry cancels the answer at
+    // the engine, which reports its usage up to then. Exactly this usage must be billed.
     it("bills a cancelled answer for what the engine says that it took", async () => {
         const proof = getProof();
         await setRunners(proof, { stepMilliseconds: verySlowStepMilliseconds });
@@ -247,7 +250,8 @@
         await expectBilledOnce(proof, cancelledChats);
     });
 
-    // A caller gives up before the first token. The engine does not notice by itself and would work on for nobody.
+    // Guards against wasted engine time. A caller disconnects before the first token. The engine does not detect this by itself
+    // and would go on producing an answer that nobody reads.
     it("cancels and bills an answer whose caller leaves before its first token", async () => {
         const proof = getProof();
         const isCancelledRun = (run: EngineRun) => run.outcome === "cancelled" && run.outputTokens === 0;
@@ -271,9 +275,10 @@
         await expectBilledOnce(proof, []);
     });
 
-    // The log is away for longer than the age at which a configuration counts as old, while callers go on. Bills wait
-    // on two VMs each and must all be there once, when the log is back.
-    it("bills everything once after the log was away for a good while under load", async () => {
+    // Guards against lost or duplicate bills after a long outage of the log. The outage lasts longer than the maximum age of a
+    // configuration, and callers go on sending requests. Each bill is held on two VMs and must be appended once when the log
+    // is available again.
+    it("bills everything once after a long outage of the log under load", async () => {
         const proof = getProof();
         const log = proof.site.getPlatformAddress("log");
         const chats: ChatRecord[] = [];
@@ -283,7 +288,7 @@
                 chats.push(...await Promise.all(entries.map(entry => chat(proof, entry))));
                 return (await proof.site.getStatus("entry-1")).configurationAgeMilliseconds > 12_000;
             }, {
-                description: "an outage that is longer than a configuration may be old",
+                description: "the outage to exceed the maximum age of a configuration",
                 timeoutMilliseconds: 40_000,
             });
         }
@@ -295,7 +300,7 @@
         await expectBilledOnce(proof, chats, calls);
     });
 
-    /** Leaves an answer and takes it up elsewhere, so that both entries write its bill. */
+    /** Disconnects during an answer and resumes it at another entry, so that both entries write its bill. */
     async function leaveAndResume(first: string, second: string): Promise<ChatRecord> {
         const proof = getProof();
         const broken = await chat(proof, first, { disconnectAfterEvents: 2 });
@@ -313,8 +318,8 @@
 describe("The buffer of bills", () => {
     const getProof = useProofSite("127.62.3", { entrySettings: { limits: { kept_bills: "20" } } });
 
-    // The log stays away until the buffer of bills is full. Going on would mean work that is never billed, so new
-    // requests are refused before anything runs, and the callers are told that nothing ran and when to come back.
+    // Guards against work that is never billed. An outage of the log lasts until the buffer of bills is full. New requests must
+    // then be refused before anything runs, with the outcome "not-run" and a `Retry-After`.
     it("refuses new work truthfully at its bound and takes it again afterwards", async () => {
         const proof = getProof();
         const log = proof.site.getPlatformAddress("log");
@@ -337,7 +342,7 @@
             const record = await chat(proof, "entry-1");
             chats.push(record);
             return record.isComplete;
-        }, { description: "work to be taken again" });
+        }, { description: "new work to be accepted again" });
         await expectBilledOnce(proof, chats);
     });
 });
--- a/test/proofs/billingFixtures.ts
+++ b/test/proofs/billingFixtures.ts
@@ -15,7 +15,7 @@
 } from "../../src/testbench/index.js";
 import type { ProofSite } from "./fixtures.js";
 
-/** Asks for a chat completion at an entry, as the commissary. */
+/** Requests a chat completion from an entry for the workspace `commissary`. */
 export function chat(
     proof: ProofSite,
     entry: string,
@@ -31,7 +31,7 @@
     });
 }
 
-/** Asks again, as a caller does, while the site says that nothing ran and when to come back. */
+/** Requests a chat completion and retries it, as a caller does, while the outcome is "not-run". */
 export function chatUntilRun(
     proof: ProofSite,
     entry: string,
@@ -40,7 +40,7 @@
     return waitUntil(async () => {
         const record = await chat(proof, entry, overrides);
         return record.outcome === "not-run" ? undefined : record;
-    }, { description: `${entry} to take a request` });
+    }, { description: `${entry} to accept a request` });
 }
 
 /** Sets faults of an entry's links to all runners. */
@@ -52,7 +52,7 @@
     }
 }
 
-/** Sets conditions of all runners, such as a slower pace, so that a test can act in the middle of answers. */
+/** Changes settings of all runners, such as a longer step time, so that a test can act in the middle of answers. */
 export async function setRunners(proof: ProofSite, conditions: object): Promise<void> {
     for (const [name, upstream] of proof.site.getUpstreams()) {
         if (name.startsWith("runner")) {
@@ -61,7 +61,7 @@
     }
 }
 
-/** Returns every bill in the log, repeats among them. */
+/** Returns every bill in the log, including repeats. */
 export async function readAllBills(proof: ProofSite): Promise<readonly Bill[]> {
     const bills: Bill[] = [];
     for (const { record } of await proof.site.readStream("bills")) {
@@ -72,7 +72,7 @@
     return bills;
 }
 
-/** Waits until each whole answer has a bill in the log; what is missing at the bound is missing for good. */
+/** Waits until each complete answer has a bill in the log; a bill that is missing at the timeout counts as lost. */
 export async function waitForBills(
     proof: ProofSite,
     chats: readonly Pick<ChatRecord, "isComplete" | "requestId">[],
@@ -85,13 +85,13 @@
     await waitUntil(async () => {
         const bills = await proof.site.readBills();
         return answered.every(({ requestId }) => bills.has(requestId ?? ""));
-    }, { description: "a bill for every whole answer", timeoutMilliseconds: 30_000 });
+    }, { description: "a bill for every complete answer", timeoutMilliseconds: 30_000 });
 }
 
-/** What upstreams ran that have been stopped since. */
+/** Represents the runs of upstreams that have been stopped since. */
 export type StoppedUpstreamRuns = Pick<BillingRecords, "engineRuns" | "serviceRuns">;
 
-/** Expects that every promise about bills and answers held at a site. */
+/** Expects that a site has kept every guarantee about bills and answers. */
 export async function expectBilledOnce(
     proof: ProofSite,
     chats: readonly ChatRecord[],
@@ -110,5 +110,5 @@
     expect(findConflictingBills(await readAllBills(proof))).toEqual([]);
 }
 
-/** API key of the workspace that is steered by ratings. */
+/** API key of the workspace whose routing depends on ratings. */
 export const complianceKey = getApiKey("compliance");
--- a/test/proofs/configuration.test.ts
+++ b/test/proofs/configuration.test.ts
@@ -12,16 +12,17 @@
 const entries = ["entry-1", "entry-2", "entry-3"];
 const versions = ["label-large@3", "label-medium@2", "label-small@5"];
 
-describe("A configuration that was accepted", () => {
+describe("An accepted configuration", () => {
     const getProof = useProofSite("127.63.1", {
         entrySettings: { timing: { snapshot_interval_ms: "1000" } },
     });
 
     after(() => Promise.all(operators.map(operator => operator.close())));
 
-    // Two operators change the same price at the same moment, each from the tree that it sees. If both were taken, one
-    // change would be reverted without a word; if entries differed, callers would be billed by two prices.
-    it("is the first of two that race; the other author is told, on every entry alike", async () => {
+    // Guards against lost updates. Two operators change the same price at the same time, each based on the tree that it has
+    // read. If both changes were accepted, one would be reverted silently. If entries decided differently, callers would be
+    // billed at two prices.
+    it("is the first of two concurrent ones, on every entry; the other author receives a rejection", async () => {
         const proof = getProof();
         const first = await openOperator(proof, "first");
         const second = await openOperator(proof, "second");
@@ -43,8 +44,9 @@
         }
     });
 
-    // The log takes a publication and the acknowledgement gets lost. An operator's tool that took this for a failure
-    // would say "refused" of a change in force; one that published anew would see its own change beat it.
+    // Guards against wrong results after a lost acknowledgement. The log appends a publication, and the acknowledgement is
+    // lost. If the operator's tool treated this as a failure, it would report a change as rejected that is in force. If it
+    // published again, the new publication would be superseded by its own first one.
     it("is accepted once when the acknowledgement of its publication is lost", async () => {
         const proof = getProof();
         const operator = await openOperator(proof, "unlucky");
@@ -64,9 +66,10 @@
         }
     });
 
-    // A writer of snapshots was paused and appends an old state late; then the records before it expire. An entry that
-    // starts now finds nothing but the old state, and a withdrawn version would answer again.
-    it("is not taken back by a late snapshot, not even when the records have expired", async () => {
+    // Guards against a configuration that is reverted by an outdated snapshot. A snapshot writer is paused and appends an old
+    // state late, and then the records before it expire. An entry that starts now would find only the old state, and a
+    // withdrawn version would answer again.
+    it("is not reverted by a late snapshot, even when the records before it have expired", async () => {
         const proof = getProof();
         const { site } = proof;
         const withdrawal = { section: "version.label-small@5", key: "status", value: "withdrawn" };
@@ -89,8 +92,9 @@
         expect(await watch.stop()).toEqual([]);
     });
 
-    // VMs are replaced at any time and keep nothing. The state has to come back from the snapshot and the records
-    // after it, whether entries go one by one or all at the same moment, and from peers while the log is away.
+    // Guards against configuration that is lost when VMs are replaced. A new VM has no stored state. It must restore the state
+    // from the snapshot and the records after it, whether entries are replaced one by one or all at once, and from peers
+    // while the log is unavailable.
     it("is the same after all entries were replaced, one by one and all at once", async () => {
         const proof = getProof();
         const { site } = proof;
@@ -138,7 +142,7 @@
     return { section: "version.label-large@3", key: "input_price", value: price };
 }
 
-/** Returns the offsets, among the given ones, that an entry wrote an event about. */
+/** Returns those of the given offsets for which an entry wrote an event. */
 async function getEventOffsets(
     proof: ProofSite,
     entry: string,
@@ -175,7 +179,7 @@
     );
 }
 
-/** Waits until the log holds a snapshot that covers an offset, and returns the snapshot's own offset. */
+/** Waits until the log contains a snapshot that covers an offset, and returns the snapshot's own offset. */
 async function waitForSnapshotAfter(proof: ProofSite, offset: number): Promise<number> {
     return waitUntil(async () => {
         const { entries: records } = await callJson<LogPage>({
--- a/test/proofs/configurationCuts.test.ts
+++ b/test/proofs/configurationCuts.test.ts
@@ -8,7 +8,7 @@
 const entries = ["entry-1", "entry-2", "entry-3"];
 const maxAgeSeconds = 6;
 
-describe("An entry that is cut off", () => {
+describe("Configuration during network partitions", () => {
     const getProof = useProofSite("127.63.5", {
         workspaces: metroManila.workspaces.map(workspace => ({
             ...workspace,
@@ -16,9 +16,10 @@
         })),
     });
 
-    // A slow link, or one that is cut, between an entry and the log: callers of that entry would go on to meet a
-    // withdrawn version long after all others stopped. It learns from its peers then.
-    it("comes into force everywhere with the log healthy, slow, and away for a part of the entries", async () => {
+    // Guards against outdated configuration behind a slow or cut link to the log. Callers of such an entry would go on getting
+    // answers of a withdrawn version long after all other entries have stopped using it. The entry must receive the
+    // configuration from its peers.
+    it("comes into force everywhere with the log healthy, slow, and unreachable for some entries", async () => {
         const proof = getProof();
         const { site } = proof;
         await measurePropagation(proof, "log healthy");
@@ -30,16 +31,17 @@
             await site.setLinkFaults(entry, "log", { delayMilliseconds: 0 });
         }
         await site.setLinkFaults("entry-1", "log", { cut: true });
-        await measurePropagation(proof, "log away for one of three");
+        await measurePropagation(proof, "log unreachable for one of three");
         await site.setLinkFaults("entry-2", "log", { cut: true });
-        await measurePropagation(proof, "log away for two of three");
+        await measurePropagation(proof, "log unreachable for two of three");
         for (const entry of entries) {
             await site.setLinkFaults(entry, "log", { cut: false });
         }
     });
 
-    // Cut from the other entries alone, an entry has no news from them; the log still tells it everything.
-    it("comes into force on an entry that is cut from its peers alone", async () => {
+    // Guards against a dependency on peers. An entry that is cut off from the other entries gets no updates from them, but must
+    // still receive everything from the log.
+    it("comes into force on an entry that is cut off from its peers only", async () => {
         const proof = getProof();
         await setPeerLinks(proof, "entry-2", { cut: true });
         const offset = await proof.site.publish([createPrice("4.1")]);
@@ -48,9 +50,10 @@
         await proof.site.waitUntilReady();
     });
 
-    // Cut from the log and from its peers, an entry cannot know that a version was withdrawn. Without an end to its
-    // trust in what it has, its callers would get answers of a bad version for as long as the cut lasts.
-    it("keeps an entry that is cut from everything from taking new work, and only that one", async () => {
+    // Guards against the use of outdated configuration without a time limit. An entry that is cut off from the log and its
+    // peers cannot know that a version was withdrawn. Without a maximum age of its configuration, its callers would get
+    // answers of a bad version for as long as the cut lasts.
+    it("expires on an entry that is cut off from everything, which refuses new work while the others serve", async () => {
         const proof = getProof();
         const { site } = proof;
         const watch = new ConfigurationWatch(site, entries);
@@ -78,9 +81,9 @@
         expect(await watch.stop()).toEqual([]);
     });
 
-    // The platform's log is away for everybody, for longer than entries may go without a word from it. Nothing can be
-    // withdrawn meanwhile, so callers must not notice.
-    it("goes on serving while the log is away for everybody", async () => {
+    // Guards against refusals during an outage of the log. The log is unavailable to all entries for longer than the maximum
+    // age of a configuration. Nothing can be withdrawn during that time, so callers must not notice the outage.
+    it("stays in force while the log is unavailable to all entries", async () => {
         const proof = getProof();
         const { site } = proof;
         await setFaults(site.getPlatformAddress("log"), { outage: "drop" });
@@ -90,7 +93,7 @@
                     entries.map(async entry => (await site.getStatus(entry)).configurationAgeMilliseconds),
                 );
                 return Math.min(...ages) > (maxAgeSeconds + 0.5) * 1000;
-            }, { description: "all entries to be without the log for long" });
+            }, { description: "all entries to be without the log for longer than the maximum age" });
             for (const entry of entries) {
                 expect((await requestChat(proof, entry)).status).toEqual(200);
             }
@@ -105,7 +108,7 @@
     return { section: "version.label-large@3", key: "input_price", value: price };
 }
 
-/** Publishes a change and prints how long it took until it was in force on every entry. */
+/** Publishes a change and logs the time until it is in force on every entry. */
 async function measurePropagation(proof: ProofSite, condition: string): Promise<void> {
     const startedAt = performance.now();
     const offset = await proof.site.publish([createPrice(`7.${Math.floor(startedAt)}`)]);
--- a/test/proofs/configurationWatch.ts
+++ b/test/proofs/configurationWatch.ts
@@ -3,7 +3,7 @@
 
 const pauseMilliseconds = 30;
 
-/** Looks at entries again and again, and notes whatever went back: an offset, or a version that was withdrawn. */
+/** Polls the status of entries and records regressions: an offset that decreases, or a withdrawn version that returns. */
 export class ConfigurationWatch {
     readonly #site: Site;
     readonly #violations: string[] = [];
@@ -17,7 +17,7 @@
         this.#loop = this.#run(entries);
     }
 
-    /** Ends watching and returns what went back. */
+    /** Stops polling and returns one message for each regression. */
     async stop(): Promise<readonly string[]> {
         this.#isStopped = true;
         await this.#loop;
@@ -29,7 +29,7 @@
             for (const entry of entries) {
                 await this.#check(entry);
             }
-            // A test that fails never ends its watch; that must not keep the process alive.
+            // A test that fails never stops its watch. The timer must not keep the process alive.
             await sleep(pauseMilliseconds, undefined, { ref: false });
         }
     }
@@ -49,11 +49,11 @@
         if (process.hasExited()) {
             return;
         }
-        // A replaced process starts from nothing; it may not fall back afterwards.
+        // A new process starts without configuration, so offsets are compared within one process only.
         const processRun = `${entry} ${process.getId()}`;
         const previousOffset = this.#offsets.get(processRun) ?? 0;
         if (status.configurationOffset < previousOffset) {
-            this.#violations.push(`${entry} went back from ${previousOffset} to ${status.configurationOffset}.`);
+            this.#violations.push(`${entry} went back from offset ${previousOffset} to ${status.configurationOffset}.`);
         }
         this.#offsets.set(processRun, Math.max(previousOffset, status.configurationOffset));
         for (const version of status.versions) {
--- a/test/proofs/fixtures.ts
+++ b/test/proofs/fixtures.ts
@@ -11,7 +11,7 @@
     waitUntil,
 } from "../../src/testbench/index.js";
 
-/** A site for proofs: three entries in three failure domains, each of its links through the proxy. */
+/** Represents a site for proofs: three entries in three failure domains, with all links through the proxy by default. */
 export interface ProofSite {
     readonly site: Site;
     readonly caller: Caller;
@@ -20,10 +20,10 @@
 }
 
 /**
- * Starts a site before the tests of a suite and ends it after them.
- * @param prefix - The suite's own loopback block.
- * @param changes - How it differs from a small Metro Manila.
- * @returns A function that gives the site once it runs.
+ * Starts a site before the tests of a suite and stops it after them.
+ * @param prefix - The first three bytes of the suite's own loopback addresses.
+ * @param changes - Differences from a small Metro Manila site.
+ * @returns A function that returns the site, and throws before it has started.
  */
 export function useProofSite(prefix: string, changes: Partial<SiteDescription> = {}): () => ProofSite {
     const group = new ProcessGroup();
@@ -53,11 +53,11 @@
 }
 
 /**
- * Prints a label under a key at an entry.
+ * Prints a label with an idempotency key at an entry.
  * @param proof - The site.
  * @param entry - Name of the entry.
- * @param idempotencyKey - The key.
- * @param timeoutMilliseconds - How long the caller waits.
+ * @param idempotencyKey - The idempotency key.
+ * @param timeoutMilliseconds - The caller's timeout.
  */
 export async function print(
     proof: ProofSite,
@@ -77,18 +77,18 @@
     return { key: idempotencyKey, record };
 }
 
-/** Prints again under a key, as a caller does, while the site says that nothing ran and when to come back. */
+/** Prints with a key and retries, as a caller does, while the outcome is "not-run". */
 export async function printUntilRun(proof: ProofSite, entry: string, key: string): Promise<readonly KeyedCall[]> {
     const calls: KeyedCall[] = [];
     await waitUntil(async () => {
         const call = await print(proof, entry, key);
         calls.push(call);
         return call.record.outcome !== "not-run";
-    }, { description: `${entry} to take the call with the key ${key}` });
+    }, { description: `${entry} to accept the call with the key ${key}` });
     return calls;
 }
 
-/** Prints again under a key until the site gives a final answer: one that is not "come back later". */
+/** Prints with a key and retries until the site returns the final answer with status 200. */
 export async function printUntilFinal(proof: ProofSite, entry: string, key: string): Promise<KeyedCall> {
     return waitUntil(async () => {
         const call = await print(proof, entry, key);
--- a/test/proofs/leases.test.ts
+++ b/test/proofs/leases.test.ts
@@ -19,9 +19,10 @@
 describe("The lease of roll-outs", () => {
     const getProof = useProofSite("127.63.3");
 
-    // The holder's VM is paused for longer than the term and wakes up, sure that it still holds the lease. If it went
-    // on, two entries would widen one roll-out, and more callers than the budget says would meet the candidate.
-    it("passes on while its holder is paused, and the woken one does not act", async () => {
+    // Guards against two active holders. The holder's VM is paused for longer than the lease term, and after it resumes the
+    // entry assumes that it still holds the lease. If it went on, two entries would advance one roll-out, and more callers
+    // than the budget allows would get the candidate.
+    it("passes to another entry while its holder is paused, and the resumed one does not act", async () => {
         const proof = getProof();
         const { site } = proof;
         const first = await waitForHolder(proof, entries);
@@ -35,7 +36,7 @@
         const wokenAt = (await site.readStream("control")).length;
         site.getEntryOrThrow(first).process.wake();
         await waitUntil(async () => (await site.getStatus(first)).holdsLease === false, {
-            description: "the woken one to know",
+            description: "the resumed entry to detect the loss of its lease",
         });
         await site.waitUntilReady();
         const history = await readLeaseHistory(proof);
@@ -45,9 +46,9 @@
         await append(proof, rolloutRecordKinds.abort, { rollout: "paused", by: "test" });
     });
 
-    // The holder dies in the middle of a roll-out. Nobody would let further callers meet the candidate, and the
-    // roll-out would stand still until somebody starts that VM again.
-    it("passes on when its holder is killed, and another carries the roll-out on", async () => {
+    // Guards against a stalled roll-out. The holder crashes in the middle of a roll-out. Without a new holder, no further
+    // callers would get the candidate until somebody restarts that VM.
+    it("passes to another entry when its holder is killed, which continues the roll-out", async () => {
         const proof = getProof();
         const { site } = proof;
         const first = await waitForHolder(proof, entries);
@@ -70,14 +71,15 @@
         expect(isIncreasing((await readLeaseHistory(proof)).fencingTokens)).toEqual(true);
     });
 
-    // The log is away. Whoever believed that it holds the lease could not know of a taker, so nobody may hold it.
-    it("is held by nobody while the log is away", async () => {
+    // Guards against two holders during an outage of the log. An entry that kept its lease could not detect that another entry
+    // takes it, so no entry may hold the lease.
+    it("is held by no entry while the log is unavailable", async () => {
         const proof = getProof();
         const before = Math.max(...(await readLeaseHistory(proof)).fencingTokens);
         await setFaults(proof.site.getPlatformAddress("log"), { outage: "drop" });
         try {
             await waitUntil(async () => (await getHolders(proof, entries)).length === 0, {
-                description: "nobody to hold it",
+                description: "no entry to hold the lease",
             });
         }
         finally {
@@ -87,9 +89,10 @@
         expect(Math.max(...(await readLeaseHistory(proof)).fencingTokens) > before).toEqual(true);
     });
 
-    // A cut lets bytes through one way only. An entry that is heard of by others must not be called dead by the one
-    // that cannot reach it: its claims would move, and its bills would be taken over while it lives.
-    it("and membership see nobody falsely dead through a cut that goes one way", async () => {
+    // Guards against false failure detection. A cut lets bytes through in one direction only. An entry that other entries can
+    // reach must not be reported as dead by the one that cannot reach it. Otherwise its claims would move, and its bills
+    // would be taken over while it runs.
+    it("and membership report no running member as dead when a link is cut in one direction", async () => {
         const proof = getProof();
         const { site } = proof;
         await site.waitUntilReady();
@@ -101,22 +104,23 @@
             for (const entry of entries) {
                 for (const member of (await site.getStatus(entry)).members) {
                     if (member.state === "dead") {
-                        falseReports.push(`${entry} calls ${member.id} dead`);
+                        falseReports.push(`${entry} reports ${member.id} as dead`);
                     }
                 }
             }
             pollCount += 1;
             return pollCount >= 200;
-        }, { description: "enough looks" });
+        }, { description: "200 polls" });
         expect(falseReports).toEqual([]);
         await site.setLinkFaults("entry-1", "entry-2", { oneWay: "none" });
         await site.setLinkFaults("entry-2", "entry-1", { oneWay: "none" });
         await site.waitUntilReady();
     });
 
-    // A former holder's order arrives late. An engine that checks fencing refuses it; another one obeys and unloads the
-    // version. Requests that were still sent to it would fail, or be answered by another version.
-    it("keeps old orders out where engines check, and routing goes by what the others report", async () => {
+    // Guards against stale orders. An order of a former holder arrives late. An engine that checks fencing tokens refuses it. An
+    // engine that does not check them follows it and unloads the version. Requests that were still sent to that engine
+    // would fail, or be answered by another version.
+    it("makes engines that check fencing refuse old orders, and routing follows the reports of the others", async () => {
         const proof = getProof();
         const { site } = proof;
         const checking = site.getUpstreamOrThrow("runner-1").getAddress();
@@ -169,7 +173,7 @@
     readonly writer: string;
 }
 
-/** Folds the log's own record: the fences in their order, and the grants that were accepted. */
+/** Folds the control stream of the log and returns the fencing tokens in order and the accepted grants. */
 async function readLeaseHistory(
     proof: ProofSite,
 ): Promise<{ readonly fencingTokens: readonly number[]; readonly grants: readonly Grant[]; }> {
@@ -210,7 +214,7 @@
 }
 
 function waitForHolder(proof: ProofSite, names: readonly string[]): Promise<string> {
-    return waitUntil(async () => (await getHolders(proof, names))[0], { description: "somebody to hold the lease" });
+    return waitUntil(async () => (await getHolders(proof, names))[0], { description: "an entry to hold the lease" });
 }
 
 async function append(proof: ProofSite, kind: string, body: object): Promise<void> {
@@ -250,7 +254,13 @@
         order: async order => {
             const reply = await call({ address, path: "/orders", method: "POST", body: order });
             return reply.status === 409
-                ? err(new Failure({ kind: "stale", message: "The fence is old.", remedy: "Stop ordering." }))
+                ? err(
+                    new Failure({
+                        kind: "stale",
+                        message: "The fencing token is stale.",
+                        remedy: "Send no more orders.",
+                    }),
+                )
                 : ok(undefined);
         },
         read: async () => ok(await callJson({ address, path: "/load" })),
--- a/test/proofs/membershipChanges.test.ts
+++ b/test/proofs/membershipChanges.test.ts
@@ -8,7 +8,7 @@
 import { print, type ProofSite, useProofSite } from "./fixtures.js";
 
 const network = "127.63.6";
-// Differs by process, as the ports of the site do, so that two runs can go side by side.
+// Depends on the process, like the ports of the site, so that two runs can run in parallel.
 const oldPeerPort = 10_000 + process.pid % 20_000;
 
 describe("Membership", () => {
@@ -20,9 +20,9 @@
         }
     });
 
-    // A VM is replaced by another one on the same address. What the others know of the old one must not be taken for
-    // the new one's word: its configuration would look older or newer than it is, and its bills would be given up.
-    it("takes a VM that replaces another on its address for a new member", async () => {
+    // Guards against state of a replaced VM that is attributed to its successor on the same address. The configuration of the
+    // new VM would look older or newer than it is, and its bills would be dropped.
+    it("treats a VM that replaces another one on the same address as a new member", async () => {
         const proof = getProof();
         const { site } = proof;
         const old = site.getEntryOrThrow("entry-3");
@@ -43,8 +43,9 @@
         }
     });
 
-    // Entries are replaced by a new release one after another. If a new one wrote a record that an old one cannot read,
-    // the old one would pass over it or stop, and the two would disagree about who holds a key or a lease.
+    // Guards against records that older members cannot read. During an upgrade, entries are replaced one after another. If a
+    // new entry wrote a record that an old one cannot read, the old one would skip it or stop, and the two would disagree
+    // about the holder of a key or a lease.
     it("keeps records out of the log that a member of an older protocol cannot read", async () => {
         const proof = getProof();
         const { site } = proof;
@@ -58,11 +59,11 @@
             return states.every(({ members }) =>
                 members.some(member => member.id === vm.id && member.state === "alive")
             );
-        }, { description: "all entries to know the old member" });
+        }, { description: "all entries to report the old member as alive" });
         await waitUntil(async () => {
             const states = await Promise.all(entries.map(entry => site.getStatus(entry)));
             return states.every(state => !state.holdsLease);
-        }, { description: "leases to lapse, since they cannot be renewed" });
+        }, { description: "leases to expire, since they cannot be renewed" });
         const before = await countRecords(site);
         for (const entry of entries) {
             const refused = await print(proof, entry, `mixed-${entry}`);
@@ -96,7 +97,7 @@
     };
 }
 
-/** Starts a member that gossips and reads nothing newer than protocol 0. */
+/** Starts a member that gossips and supports no protocol newer than 0. */
 async function startOldMember(site: Site, vm: Vm): Promise<readonly (() => unknown)[]> {
     const self = { ...vm, peerPort: oldPeerPort };
     const journal = new Journal({ process: vm.id, clock: systemClock, write: () => undefined });
@@ -142,7 +143,7 @@
     return [() => gossip.stop(), () => client.close(), () => server.stop()];
 }
 
-/** Counts the records that entries wrote into all streams. */
+/** Counts the records in all streams of the log. */
 async function countRecords(site: Site): Promise<number> {
     const journal = await callJson<readonly object[]>({
         address: site.getPlatformAddress("log"),
--- a/test/proofs/olderMember.test.ts
+++ b/test/proofs/olderMember.test.ts
@@ -9,9 +9,10 @@
 describe("A member of an older protocol", () => {
     const getProof = useProofSite("127.63.14");
 
-    // Entries are replaced one after another, and an operator uses what only the newer release knows. An older entry
-    // without the log asks its peers; handed a tree that it cannot read, it would hold another one than the rest.
-    it("is handed no tree that it cannot read, beside one of the newer protocol that is", async () => {
+    // Guards against trees that an older member cannot read. During an upgrade, an operator uses a setting that only the newer
+    // release supports. An older entry that cannot reach the log fetches the tree from its peers. If it received a tree in
+    // the newer format, it would apply another tree than the other entries.
+    it("receives no tree that it cannot read, while a member of the newer protocol does", async () => {
         const proof = getProof();
         const section = "pool.lm-pool";
         const readable = await fetchState(proof, oldest);
@@ -26,7 +27,7 @@
     });
 });
 
-/** Asks a real entry for its configuration, as a member that reads a protocol up to a version. */
+/** Fetches the configuration from a real entry as a member whose newest supported protocol is given. */
 async function fetchState(proof: ProofSite, newestProtocol: number | undefined): Promise<FetchStateReply> {
     const [address, port] = proof.site.getEntryOrThrow("entry-1").callerAddress.split(":");
     const client = new PeerClient({ newestProtocol });
--- a/test/proofs/orders.test.ts
+++ b/test/proofs/orders.test.ts
@@ -65,8 +65,9 @@
         }
     });
 
-    // A roll-out starts of a version that no engine has loaded, while the weight store is away. Callers who are let
-    // through to it would be refused by every runner, and their failures would count against the version.
+    // Guards against traffic to a candidate that is not loaded. A roll-out starts for a version that no engine has loaded while
+    // the weight store is unavailable. Callers that were routed to it would be refused by every runner, and their failures
+    // would count against the version.
     it("load a candidate that no runner has, and its roll-out waits until it is loaded", async () => {
         const proof = getProof();
         const { site } = proof;
@@ -97,8 +98,8 @@
         expect(await findWrongAnswers(proof)).toEqual([]);
     });
 
-    // A version is withdrawn while an answer of it is under way. Unloaded at once, the answer would break off; never
-    // unloaded, its memory would be missing to the next version.
+    // Guards against interrupted answers and leaked memory when a version is withdrawn. If it were unloaded at once, answers in
+    // progress would be interrupted. If it were never unloaded, its memory would not be available to the next version.
     it("unload a withdrawn version once its work has ended", async () => {
         const proof = getProof();
         const { site } = proof;
@@ -126,10 +127,10 @@
         expect([unloads.length > 0, unloads.every(order => order.time >= ended)]).toEqual([true, true]);
     });
 
-    // The holder is paused while its order is on the way, and the order arrives after another holder has ordered
-    // otherwise. An engine that does not check fencing obeys it: it drops a version that serves and loads one that was
-    // withdrawn. The test itself delivers the order, under the fence of the holder that it has frozen: an order that the
-    // holder sends by itself can't be held back for long enough, since it gives up after two seconds.
+    // Guards against late orders of a former holder. The holder is paused while its order is in flight, and the order arrives
+    // after another holder has sent a different one. An engine that does not check fencing tokens follows it: it unloads a
+    // serving version and loads a withdrawn one. The test itself sends the order with the fencing token of the paused
+    // holder, since an order of the holder itself times out after two seconds and cannot be delayed for long enough.
     it("of a former holder are refused, or put right by the present one", async () => {
         const proof = getProof();
         const { site } = proof;
@@ -167,20 +168,20 @@
         expect((await readEngineRuns(site)).filter(run => run.ran === "label-late@1")).toEqual([]);
     });
 
-    // The holder dies after the first runner has loaded a version. The others would never load it, and its callers
-    // would crowd on one runner until somebody notices.
-    it("are finished by another holder when the first one is killed halfway", async () => {
+    // Guards against orders that are left incomplete. The holder crashes after the first runner has started to load a version.
+    // Without a new holder, the other runners would never load it, and its callers would overload one runner.
+    it("are completed by another holder when the first one is killed halfway", async () => {
         const proof = getProof();
         const { site } = proof;
         await publishPool(proof, { loads_at_a_time: "1", versions_per_runner: "7" });
-        // More room lets other versions load as well. They have to be there first, or they hold up the one that counts.
+        // The larger limit lets other versions load as well. They must be loaded first, or they delay the tested version.
         await publishVersion(proof, "label-extra@1");
         await waitForVersion(proof, "label-extra@1");
         const first = await waitUntil(async () => {
             const holder = await findHolder(proof, entries);
             return await countMissingLoads(proof, holder) === 0 ? holder : undefined;
         }, { description: "all other versions to be loaded" });
-        // No load ends before the holder has died, however slow the machine is.
+        // The outage prevents loads from completing before the holder is killed, even on a slow machine.
         await setFaults(site.getPlatformAddress("weight-store"), { outage: "answer" });
         await publishVersion(proof, "label-half@1");
         await waitUntil(async () => (await countOrders(proof, "label-half@1")) > 0, { description: "the first load" });
@@ -236,7 +237,7 @@
     return orders.flat().filter(order => order.versions.includes(version)).length;
 }
 
-/** Finds what became of an order that came after one with a newer fencing number. */
+/** Returns the outcome of the first order that arrived after an order with a newer fencing token. */
 function findLateOutcome(orders: readonly OrderJournalEntry[]): string | undefined {
     let maxFencingToken = -1;
     for (const { fence, outcome } of orders) {
@@ -248,7 +249,7 @@
     return undefined;
 }
 
-/** Waits until every runner reports a version, or none does. */
+/** Waits until every runner reports a version as loaded, or until none does. */
 async function waitForVersion(proof: ProofSite, version: string, shouldBeLoaded = true): Promise<void> {
     for (const runner of runners) {
         await waitUntil(async () => {
@@ -261,7 +262,7 @@
     }
 }
 
-/** Waits until the version that serves is back everywhere, and the withdrawn one gone. */
+/** Waits until every runner has loaded the serving version again and unloaded the withdrawn one. */
 async function waitForRepair(proof: ProofSite): Promise<void> {
     await waitForVersion(proof, mediumVersion);
     await waitForVersion(proof, "label-late@1", false);
@@ -275,7 +276,7 @@
             }
         }
         return undefined;
-    }, { description: "somebody to hold the lease" });
+    }, { description: "an entry to hold the lease" });
 }
 
 async function findWaiting(proof: ProofSite, rollout: string): Promise<string | undefined> {
@@ -289,7 +290,7 @@
     return undefined;
 }
 
-/** Counts the loads that a holder still has to order, or waits for. */
+/** Returns the number of loads that a holder still has to order or that are in progress. */
 async function countMissingLoads(proof: ProofSite, holder: string): Promise<number | undefined> {
     const address = proof.site.getEntryOrThrow(holder).operatorAddress;
     const { orders } = await callJson<OrdersStatus>({ address, path: "/status" });
@@ -362,7 +363,7 @@
     });
 }
 
-/** Asks for a version that serves, again and again, until it is ended. */
+/** Requests the serving version continuously at the given entries until it is stopped. */
 function startLoad(
     proof: ProofSite,
     names: readonly string[],
@@ -383,7 +384,7 @@
     };
 }
 
-/** Finds work that ran on another version than was asked for. */
+/** Returns the identifiers of the runs whose version differs from the requested one. */
 async function findWrongAnswers(proof: ProofSite): Promise<readonly string[]> {
     return (await readEngineRuns(proof.site)).filter(run => run.asked !== run.ran).map(run => run.id);
 }
--- a/test/proofs/shutdown.test.ts
+++ b/test/proofs/shutdown.test.ts
@@ -48,7 +48,7 @@
         });
     }
 
-    /** Does something while callers work, and judges what they met. */
+    /** Performs an action under load and checks that callers got no unreported errors and that all bills are right. */
     async function underLoad(action: (proof: ProofSite) => Promise<StoppedUpstreamRuns | void>): Promise<void> {
         const proof = getProof();
         const traffic = createTraffic(proof);
@@ -71,9 +71,9 @@
         );
     }
 
-    // Operators replace all entries one after another while callers work. Callers keep the addresses that they were
-    // told for a while, so an entry that stopped listening too early would refuse their connections, and one that
-    // was announced before it listens would do so too.
+    // Guards against refused connections during a rolling restart. Callers cache the addresses of entries for a while. An entry
+    // that stopped listening too early would refuse their connections, and so would one that was announced before it
+    // listens.
     it("lets callers who follow the addresses see nothing of a rolling restart of all entries", async () => {
         await underLoad(async ({ site }) => {
             for (const name of entries) {
@@ -84,8 +84,8 @@
         });
     });
 
-    // An operator, or the platform, loses patience and signals a second time while an entry drains. Ending there
-    // would break the answers under way and lose the bills that wait.
+    // Guards against an aborted drain. An operator or the platform sends another signal while an entry drains. Exiting at that
+    // point would interrupt the answers in flight and lose the bills that have not been appended.
     it("goes on draining at a second and a third signal", async () => {
         await underLoad(async ({ site }) => {
             const { process } = site.getEntryOrThrow("entry-2");
@@ -99,8 +99,8 @@
         });
     });
 
-    // The platform takes a VM away before its entry has drained. Callers with answers under way lose them, but what
-    // was answered before must be billed.
+    // Guards against lost bills when a drain is cut short. The platform removes a VM before its entry has drained. Callers lose
+    // the answers in flight, but completed answers must be billed.
     it("loses no bill when the process is killed while it drains", async () => {
         const proof = getProof();
         const traffic = createTraffic(proof);
@@ -118,8 +118,9 @@
         await proof.site.waitUntilReady();
     });
 
-    // The ledger is stopped in the middle of reading bills and answering questions. Whoever asks it meanwhile gets
-    // a whole answer or finds it gone; after its restart it counts what it would have counted anyway.
+    // Guards against wrong totals and truncated replies when the ledger stops. The ledger is stopped while it reads bills and
+    // serves requests. Clients get a complete reply or a refused connection, and after the restart its totals are the same
+    // as without the stop.
     it("ends a ledger with code 0 at two signals, and it goes on where it was", async () => {
         const folder = mkdtempSync(join(tmpdir(), "rattanlock-ledger-"));
         await withProcesses(async group => {
@@ -146,8 +147,8 @@
         rmSync(folder, { recursive: true });
     });
 
-    // Operators take upstreams away: the VM list says so first, then they are signalled, twice. Callers must notice
-    // nothing, and the upstreams must end in order.
+    // Guards against failed requests when an upstream is removed. The VM list marks the upstream as leaving, and then it gets two
+    // signals. Callers must notice nothing, and the upstream must exit with code 0.
     it("ends a leaving runner and a leaving service with code 0 while callers notice nothing", async () => {
         await underLoad(async ({ site }) => {
             const runner = await stopLeaving(site, "runner-3");
@@ -159,9 +160,9 @@
         });
     });
 
-    // The platform's own services are restarted in order while callers work. Ratings, weights and the VM list are not
-    // needed to answer; without the log only what needs it is refused, and that refusal is true.
-    it("ends the platform's services with code 0 at two signals while callers are told of all that is refused", async () => {
+    // Guards against unreported errors when the platform's services stop under load. Ratings, weights and the VM list are not
+    // needed to answer. Without the log, only requests that need it are refused, and their outcome "not-run" is correct.
+    it("ends the platform's services with code 0 at two signals while every refusal is reported to callers", async () => {
         const proof = getProof();
         const traffic = createTraffic(proof);
         traffic.start();
@@ -178,7 +179,7 @@
     });
 });
 
-/** Marks an upstream as leaving, stops it by two signals once it gets nothing new, and returns what it ran. */
+/** Marks an upstream as leaving, stops it by two signals once it gets no new work, and returns its runs. */
 async function stopLeaving(site: Site, name: string) {
     const upstream = site.getUpstreamOrThrow(name);
     await site.setVmState(name, "leaving");
@@ -197,7 +198,7 @@
     });
 }
 
-/** Begins a request to the ledger and does not finish it, so that the ledger's end takes a while. */
+/** Starts a request to the ledger without completing it, so that the ledger's shutdown takes a while. */
 async function startRequest(): Promise<Socket> {
     const [host, port] = ledgerAddress.split(":");
     const socket = connect({ host, port: Number(port) });
@@ -220,7 +221,7 @@
     await waitUntil(() => process.getEvents().some(event => event.name === name), { description: `the event ${name}` });
 }
 
-/** Waits until an upstream has had nothing new between two looks while others did. */
+/** Waits until an upstream's journal has not grown for more than 30 consecutive polls. */
 async function waitUntilIdle(upstream: RunningProcess, name: string): Promise<void> {
     let lastLength = -1;
     let idlePolls = 0;
@@ -229,5 +230,5 @@
         idlePolls = length === lastLength ? idlePolls + 1 : 0;
         lastLength = length;
         return idlePolls > 30;
-    }, { description: `${name} to get nothing new` });
+    }, { description: `${name} to get no new work` });
 }
--- a/test/proofs/stableVersions.test.ts
+++ b/test/proofs/stableVersions.test.ts
@@ -16,10 +16,10 @@
 import { type ProofSite, useProofSite } from "./fixtures.js";
 
 const entries = ["entry-1", "entry-2", "entry-3"];
-/** The entry that has nothing to compare a settled version with, and so cannot judge one. */
+/** The entry without earlier ratings of a stable version, which therefore cannot evaluate it. */
 const entryWithoutHistory = "entry-3";
 const windowSeconds = 10;
-/** Ratings older than the window before a version turns bad; the test of versions needs a hundred. */
+/** Required number of ratings older than the window before a version degrades; the statistical test needs 100. */
 const minRatings = 130;
 const concurrentCalls = 6;
 
@@ -33,10 +33,10 @@
     { ...small, id: "label-small@7", status: "candidate", quality: 0.9, classQualities: {} },
 ];
 
-describe("A version that is judged", () => {
+describe("A version that is evaluated", () => {
     const getProof = useProofSite("127.63.8", {
         versions,
-        // On a busy machine answers are late now and then, which must not halt a version that is as it should be.
+        // On a busy machine some answers are late, which must not halt a good version.
         workspaces: [
             createWorkspace("commissary", "*"),
             createWorkspace("banquet", "label-medium@2, label-medium@9, label-small"),
@@ -45,8 +45,9 @@
         perEntrySettings: { [entryWithoutHistory]: { timing: { settled_window_s: "86400" } } },
     });
 
-    // An operator shortens the stages of a roll-out that is under way. If entries kept the rules of its start, callers would
-    // wait for the better version as if nothing had been published; and a rule made stricter would protect nobody.
+    // Guards against outdated rules in a roll-out that is in progress. An operator shortens the stages. If entries kept the rules
+    // from the start of the roll-out, callers would get the better version no sooner, and a stricter rule would have no
+    // effect.
     it("is judged by the rules of the newest configuration, also in a roll-out under way", async () => {
         const proof = getProof();
         const { site } = proof;
@@ -59,12 +60,12 @@
             await requestEverywhere(proof, "label-large");
             const { rollouts } = await site.getStatus("entry-1");
             return rollouts.some(({ id, stage }) => id === rollout && stage === 1);
-        }, { description: "the second stage, sooner than the default of a minute allows" });
+        }, { description: "the second stage before the default minimum of a minute" });
     });
 
-    // A version was rolled out to everybody and served well. Then its answers turn bad, and kitchen staff read wrong
-    // declarations until somebody notices. No entry may give it new work after that; callers get the newest version
-    // before it that their workspace allows.
+    // Guards against a stable version that degrades unnoticed. A version has been rolled out to all callers and served well, and
+    // then its answers become wrong. Kitchen staff would read wrong declarations until somebody notices. After the halt no
+    // entry may send it new work, and callers get the newest earlier version that their workspace allows.
     it("is halted at all entries, and callers get the last good version that they may use", async () => {
         const proof = getProof();
         await finishRollout(proof, "label-medium@8", "label-medium@2");
@@ -80,8 +81,9 @@
         expect(await readLateRuns(proof, "label-medium@9", haltedAt)).toEqual([]);
     });
 
-    // The log is away, and one entry has started too lately to know how the version used to be. It would give callers
-    // the bad version for as long as it cannot judge by itself; the halt of another entry has to reach it by gossip.
+    // Guards against a degraded version at an entry without history. The log is unavailable, and one entry has no earlier ratings
+    // of the version. Since it cannot evaluate the version itself, it would go on serving it. The halt of another entry must
+    // reach it by gossip.
     it("is halted at an entry that cannot judge it, by gossip alone", async () => {
         const proof = getProof();
         const { site } = proof;
@@ -97,7 +99,7 @@
             expect(await readLateRuns(proof, version, haltedAt)).toEqual([]);
             expect(await countEvents(proof, entryWithoutHistory, "version-halted", version)).toEqual(0);
             expect(await countAtEvaluators(proof, "version-halted", version) > 0).toEqual(true);
-            // The entries that judge hold it back first, since that needs less evidence.
+            // The evaluating entries hold the version first, since that requires less evidence than a halt.
             expect(await countAtEvaluators(proof, "version-held", version) > 0).toEqual(true);
         }
         finally {
@@ -126,12 +128,13 @@
     await append(proof, rolloutRecordKinds.start, body);
 }
 
-/** Rolls a version out to everybody at once, as an operator in a hurry does. */
+/** Rolls a version out to all callers in a single stage and waits until the roll-out is finished everywhere. */
 async function finishRollout(proof: ProofSite, candidate: string, baseline: string): Promise<void> {
     const { site } = proof;
     await startRollout(proof, candidate, baseline, [1]);
     await waitUntil(async () => {
-        // Where two entries take the lease at once the fold accepts the first; a finish under the other fence does nothing.
+        // When two entries take the lease concurrently, the fold accepts the first. A finish with the other fencing token has
+        // no effect.
         const takes = (await site.readStream("control")).filter(({ record }) => record.kind === "lease-take");
         for (const { offset: fence } of takes) {
             await append(proof, rolloutRecordKinds.finish, { rollout: candidate, fence });
@@ -143,7 +146,7 @@
     }, { description: `the roll-out of ${candidate} to be finished everywhere` });
 }
 
-/** Asks until the version has enough ratings that are older than the window. */
+/** Sends requests until the version has enough ratings that are older than the window. */
 async function collectEarlierRatings(proof: ProofSite, model: string, version: string): Promise<void> {
     await waitUntil(async () => {
         await requestEverywhere(proof, model);
@@ -152,7 +155,7 @@
         );
         const since = Date.now() - 1.2 * windowSeconds * 1000;
         return ratings.filter(rating => rating.version === version && rating.time < since).length >= minRatings;
-    }, { description: `${version} to have been rated for a while`, timeoutMilliseconds: 60_000 });
+    }, { description: `${minRatings} earlier ratings of ${version}`, timeoutMilliseconds: 60_000 });
 }
 
 async function degradeVersion({ site }: ProofSite, version: string): Promise<void> {
@@ -168,7 +171,7 @@
         await requestEverywhere(proof, model);
         const states = await Promise.all(entries.map(entry => proof.site.getStatus(entry)));
         return states.every(({ versions }) => versions.some(({ id, halted }) => id === version && halted));
-    }, { description: `the halt of ${version} to be known everywhere`, timeoutMilliseconds: 60_000 });
+    }, { description: `all entries to report the halt of ${version}`, timeoutMilliseconds: 60_000 });
 }
 
 async function requestEverywhere(proof: ProofSite, model: string): Promise<void> {
@@ -194,14 +197,14 @@
     return (await readEngineRuns(site)).filter(run => run.asked === version && run.arrivedAt > startedAt);
 }
 
-/** Counts what an entry has written about a version. */
+/** Counts the events with a name that an entry has written about a version. */
 async function countEvents({ site }: ProofSite, entry: string, name: string, version: string): Promise<number> {
     const { operatorAddress } = site.getEntryOrThrow(entry);
     const lines = await callJson<readonly EventLine[]>({ address: operatorAddress, path: "/events" });
     return lines.filter(line => line.name === name && line.version === version).length;
 }
 
-/** Counts what the entries that can judge have written about a version. */
+/** Counts the events with a name that the evaluating entries have written about a version. */
 async function countAtEvaluators(proof: ProofSite, name: string, version: string): Promise<number> {
     let count = 0;
     for (const entry of entries.filter(other => other !== entryWithoutHistory)) {
--- a/test/proofs/upstreamsAndHalts.test.ts
+++ b/test/proofs/upstreamsAndHalts.test.ts
@@ -21,9 +21,10 @@
         versions: [...metroManila.versions, { ...metroManila.versions[1], id: "label-medium@9", status: "candidate" }],
     });
 
-    // A roll-out has finished, and no operator has changed the candidate's status yet. If its callers fell back to the
-    // old version at that moment, everybody would change versions twice; and a draining one must take nobody new.
-    it("stays with a candidate whose roll-out has finished, until it drains", async () => {
+    // Guards against version changes after a roll-out. A roll-out has finished, and no operator has changed the candidate's
+    // status yet. If its callers fell back to the old version, they would change versions twice. A draining version must
+    // not get new work.
+    it("goes to a candidate whose roll-out has finished, until it drains", async () => {
         const proof = getProof();
         const { site } = proof;
         const id = "finished";
@@ -36,8 +37,8 @@
             budget: [300],
             startedBy: "test",
         });
-        // Entries that start together all try to take the lease. The takes that lost stay in the stream, after the one
-        // that counts, so only the folded state tells the fence.
+        // Entries that start at the same time all try to take the lease. The rejected takes stay in the stream after the
+        // accepted one, so the current fencing token must be read from the folded state.
         await append(proof, "lease-take", { lease: "control", holder: "nobody", termMilliseconds: 1500 });
         await waitUntil(async () => {
             const states = await Promise.all(entries.map(entry => site.getStatus(entry)));
@@ -56,9 +57,10 @@
         }
     });
 
-    // A version turns bad in the middle of its roll-out while the log is away. Nobody can write the halt down, but
-    // callers must not meet the version any longer for that, at any entry; they get the settled one.
-    it("stops on a version that turns bad, at all entries, while the log is away", async () => {
+    // Guards against a bad candidate during an outage of the log. A version becomes bad in the middle of its roll-out while the
+    // log is unavailable. The halt cannot be appended, but must still take effect at all entries at once; callers get the
+    // stable version.
+    it("stops on a version that becomes bad, at all entries, while the log is unavailable", async () => {
         const proof = getProof();
         const { site } = proof;
         await Promise.all(
@@ -93,7 +95,7 @@
                 await Promise.all(entries.map(entry => requestChat(proof, entry, "label-small")));
                 const states = await Promise.all(entries.map(entry => site.getStatus(entry)));
                 return states.every(({ versions }) => versions.some(({ id, halted }) => id === candidate && halted));
-            }, { description: "the halt to be known everywhere" });
+            }, { description: "all entries to report the halt" });
             const haltedAt = Date.now();
             for (const entry of entries) {
                 const record = await requestChat(proof, entry, "label-small");
@@ -109,12 +111,13 @@
             await setFaults(site.getPlatformAddress("log"), { outage: "none" });
         }
         await waitUntil(async () => (await site.readStream("control")).some(({ record }) => record.kind === "halt"), {
-            description: "the halt to be written once the log is back",
+            description: "the halt to be appended once the log is available again",
         });
     });
 
-    // A runner is to be taken away, and only the VM list says so. What is sent to it after that is lost with it.
-    it("stops on an upstream that the VM list calls leaving", async () => {
+    // Guards against work on a runner that is about to be removed. Only the VM list reports that it leaves. Work that is sent to
+    // it after that is lost with it.
+    it("stops on an upstream that the VM list reports as leaving", async () => {
         const proof = getProof();
         const { site } = proof;
         const startedAt = Date.now();
@@ -126,19 +129,20 @@
         }
         const runs = (await readEngineRuns(site)).filter(run => run.runner === "runner-1");
         expect(runs.filter(run => run.arrivedAt > knownAt)).toEqual([]);
-        console.log(`leaving by the VM list: known to 3 entries ${knownAt - startedAt} ms after the change`);
+        console.log(`leaving by the VM list: applied at 3 entries ${knownAt - startedAt} ms after the change`);
     });
 
-    // A runner says of itself that it leaves, before the VM list does. An entry that has no answer from it hears so from
-    // the others; without that it would send work there as soon as its own link is mended.
-    it("stops on an upstream that says so itself, also at an entry that hears of it by gossip only", async () => {
+    // Guards against work on a leaving runner behind a broken link. A runner reports that it leaves before the VM list does. An
+    // entry that cannot reach the runner must receive this from the other entries. Otherwise it would send work to the
+    // runner as soon as its own link is restored.
+    it("stops on an upstream that reports itself as leaving, also at an entry that receives it by gossip only", async () => {
         const proof = getProof();
         const { site } = proof;
         await site.setLinkFaults("entry-3", "runner-2", { freeze: true });
         const startedAt = Date.now();
         await setFaults(site.getUpstreamOrThrow("runner-2").getAddress(), { leaving: true });
         await waitUntilRemoved(proof, "runner-2");
-        console.log(`leaving by its own report and gossip: known to 3 entries after ${Date.now() - startedAt} ms`);
+        console.log(`leaving by its own report and gossip: applied at 3 entries after ${Date.now() - startedAt} ms`);
         const before = await readDispatches(proof, "runner-2");
         await site.setLinkFaults("entry-3", "runner-2", { freeze: false });
         for (let round = 0; round < 10; round += 1) {
@@ -164,8 +168,8 @@
 }
 
 /**
- * Asks as a caller does: again while the entry says that nothing ran and when to come back, as it may on a busy machine.
- * Any other refusal fails the test.
+ * Sends a request and retries it, as a caller does, while the outcome is "not-run" with a `Retry-After`, which may happen
+ * on a busy machine. Any other refusal fails the test.
  */
 async function requestUntilServed(proof: ProofSite, entry: string): Promise<void> {
     let problem: string | undefined;
@@ -184,10 +188,10 @@
     await waitUntil(async () => {
         const states = await Promise.all(entries.map(entry => proof.site.getStatus(entry)));
         return states.every(({ upstreams }) => upstreams.every(({ id }) => id !== runner));
-    }, { description: `all entries to know that ${runner} leaves` });
+    }, { description: `all entries to remove ${runner}` });
 }
 
-/** Counts how often entries sent work to a runner. */
+/** Counts the requests that entries dispatched to a runner. */
 async function readDispatches(proof: ProofSite, runner: string): Promise<number> {
     let count = 0;
     for (const entry of entries) {
--- a/test/proofs/versions.test.ts
+++ b/test/proofs/versions.test.ts
@@ -18,9 +18,9 @@
 describe("A version", () => {
     const getProof = useProofSite("127.63.2");
 
-    // An engine loaded something else after a stale order, or by mistake, and answers with it. The caller asked within
-    // what its workspace allows and would get text from a version that nobody allowed it.
-    it("that was not asked for never answers a caller", async () => {
+    // Guards against answers of a wrong version. After a stale order or an error, an engine has loaded another version and
+    // answers with it. The caller would get text from a version that its workspace does not allow.
+    it("that was not requested never answers a caller", async () => {
         const proof = getProof();
         const runners = getRunners(proof);
         const requests: Promise<ChatRecord>[] = [];
@@ -47,9 +47,9 @@
         expect(none.some(record => record.outcome === "not-run")).toEqual(false);
     });
 
-    // Two entries get the first requests of one session at the same moment and would each choose a version. A cook who
-    // talks to both would get answers of two versions in one conversation.
-    it("is the same for a session whose first requests come in at several entries", async () => {
+    // Guards against two versions in one session. Several entries receive the first requests of a session at the same time, and
+    // each would choose a version. A cook would get answers of several versions in one conversation.
+    it("is the same for a session whose first requests arrive at several entries", async () => {
         const proof = getProof();
         const models = ["label-large", "label-medium", "label-small"];
         for (let round = 0; round < 8; round += 1) {
@@ -64,9 +64,9 @@
         }
     });
 
-    // An entry pins a session and dies before its answer goes out. The caller asks the next entry, which would choose
-    // another version, had the pin been in the dead one's memory only.
-    it("stays with a session whose entry dies between the pin and the answer", async () => {
+    // Guards against a lost pin. An entry pins a session and crashes before it sends the answer. The caller retries at the next
+    // entry, which would choose another version if the pin had been stored only in memory.
+    it("stays with a session whose entry crashes between the pin and the answer", async () => {
         const proof = getProof();
         const { site } = proof;
         await setRunnerLinks(proof, "entry-1", { freeze: true });
@@ -84,8 +84,9 @@
         await site.waitUntilReady();
     });
 
-    // A version is drained: bench conversations under way end on it, new ones go elsewhere. Moving a conversation would
-    // change its tone and its facts in the middle; putting new ones on it would keep it from ever being empty.
+    // Guards against moved sessions and endless drains. Sessions in progress must end on the draining version, and new ones must
+    // use other versions. A session that moved would change its tone and facts in the middle. If the version took new
+    // sessions, the drain would never complete.
     it("that is draining keeps its sessions and takes no new ones", async () => {
         const proof = getProof();
         const { site } = proof;
@@ -111,9 +112,9 @@
         await site.waitUntilApplied(back);
     });
 
-    // A version turns bad and is withdrawn while callers keep on asking, one entry cannot see the log, and requests
-    // wait in an entry's queue across the change. Every answer after that may harm a guest.
-    it("that is withdrawn gets no new work once entries know, and its sessions end with a refusal", async () => {
+    // Guards against answers of a withdrawn version. A bad version is withdrawn under load, one entry cannot reach the log, and
+    // requests wait in an entry's queue during the change. Every answer after the withdrawal may harm a guest.
+    it("that is withdrawn gets no new work once entries have applied it, and its sessions are refused", async () => {
         const proof = getProof();
         const { site } = proof;
         const pinned = await requestChat(proof, { entry: "entry-1", session: "bound", model: "label-small" });
@@ -195,11 +196,11 @@
     return (await readEngineRuns(proof.site)).filter(run => run.ran === smallVersion).length;
 }
 
-/** Asks for the version at all entries, with more requests at a time than run at once, until it is ended. */
+/** Requests the version at all entries until it is stopped, with more concurrent requests than entries run at a time. */
 function startLoad(proof: ProofSite): { readonly end: () => Promise<readonly ChatRecord[]>; } {
     const records: ChatRecord[] = [];
     let isStopped = false;
-    // A test that fails before it ends the load must not keep the process busy for ever.
+    // A test that fails before it stops the load must not keep the process busy forever.
     setTimeout(() => isStopped = true, maxLoadMilliseconds).unref();
     const loops: Promise<void>[] = [];
     for (let index = 0; index < 90; index += 1) {
@@ -222,7 +223,7 @@
     };
 }
 
-/** Finds requests that were called "not run" and ran. */
+/** Returns the identifiers of requests that were reported as "not-run", but ran. */
 function findFalseRefusals(records: readonly ChatRecord[], runs: readonly EngineRun[]): readonly string[] {
     const executedRequestIds = new Set(runs.map(run => run.id.split(".")[0]));
     const falseRefusals: string[] = [];
--- a/test/proofs/withdrawalAtDispatch.test.ts
+++ b/test/proofs/withdrawalAtDispatch.test.ts
@@ -13,13 +13,14 @@
 describe("A request that waits between its plan and its dispatch", () => {
     const getProof = useProofSite("127.63.13");
 
-    // A request has its plan and waits for its session to be pinned, because the collector of the pin cannot reach the
-    // log. Meanwhile the planned version is withdrawn. Without a look at the last moment the request would still run on
-    // it, and a cook would get a bad label after the withdrawal is in force.
+    // Guards against work on a version that was withdrawn after planning. A request is planned and waits for the pin of its
+    // session, because the pin's collector cannot reach the log. Meanwhile the planned version is withdrawn. Without a
+    // check right before dispatch the request would run on it, and a cook would get a bad label after the withdrawal is in
+    // force.
     it("does not run on a version that was withdrawn meanwhile", async () => {
         const proof = getProof();
         const round = await waitUntil(() => withdrawWhileWaiting(proof), {
-            description: "a request held back until then",
+            description: "a request that still waits when the withdrawal is in force",
         });
         expect(await findLateDispatches(proof, round.offset)).toEqual([]);
         const ran = new Set((await readEngineRuns(proof.site)).map(run => run.id.split(".")[0]));
@@ -31,12 +32,12 @@
 });
 
 interface WithdrawalRound {
-    /** Where the withdrawal stands in the log. */
+    /** Offset of the withdrawal in the log. */
     readonly offset: number;
     readonly records: readonly ChatRecord[];
 }
 
-/** Withdraws the version while requests wait for their pins; undefined when none was still waiting by then. */
+/** Withdraws the version while requests wait for their pins. Returns undefined when no request was still waiting then. */
 async function withdrawWhileWaiting(proof: ProofSite): Promise<WithdrawalRound | undefined> {
     const { site } = proof;
     await site.waitUntilApplied(await site.publish(createStatus("serving")));
@@ -50,7 +51,7 @@
         requests.push(requestChat(proof, `held-${Math.random()}`).finally(() => waitingRequests.delete(index)));
     }
     await waitUntil(async () => (await countRunning(proof)) >= waitingRequests.size, {
-        description: "all requests to be let in",
+        description: "all requests to be admitted",
     });
     const offset = await site.publish(createStatus("withdrawn"));
     await site.waitUntilApplied(offset, [entry]);
@@ -64,8 +65,8 @@
 }
 
 /**
- * Finds what the entry dispatched to the version after the withdrawal came into force there. The order of the entry's
- * own events tells; by the engines' clocks a request that was on its way at that moment would look late.
+ * Finds the requests that the entry dispatched to the version after it applied the withdrawal. This uses the order of the
+ * entry's own events; by the engines' clocks, a request that was in flight at that moment would look late.
  */
 async function findLateDispatches(proof: ProofSite, offset: number): Promise<readonly EventLine[]> {
     const address = proof.site.getEntryOrThrow(entry).operatorAddress;
@@ -82,7 +83,7 @@
     return [{ section: `version.${smallVersion}`, key: "status", value }];
 }
 
-/** Counts the requests that the entry has let in and not answered yet. */
+/** Returns the number of requests that the entry has admitted and not answered yet. */
 async function countRunning(proof: ProofSite): Promise<number> {
     const address = proof.site.getEntryOrThrow(entry).operatorAddress;
     const status = await callJson<{ limits: { running: number; }; }>({ address, path: "/status" });
--- a/test/scripts/guards.test.ts
+++ b/test/scripts/guards.test.ts
@@ -11,9 +11,9 @@
 }
 
 describe("test/guards.json", () => {
-    // Code moves, and a guard's text is no longer where the list says. Its proof could then not be tried without the
-    // guard, and nobody would notice until somebody does.
-    it("names texts that stand exactly once in their files, each with an own name and a test that exists", () => {
+    // Guards against outdated entries. When code is moved or changed, a guard's text may no longer occur in the listed file. The
+    // guard could then not be disabled to show that its test fails, and nobody would notice until the next run of the guards.
+    it("lists texts that occur exactly once in their files, each with a unique name and an existing test", () => {
         const guards = JSON.parse(readFileSync("test/guards.json", "utf8")) as readonly Guard[];
         const misplaced = guards.filter(({ file, find }) => readFileSync(file, "utf8").split(find).length !== 2);
         expect(misplaced.map(guard => guard.name)).toEqual([]);
--- a/test/testbench/endWithParent.test.ts
+++ b/test/testbench/endWithParent.test.ts
@@ -5,7 +5,7 @@
 import { describe, it } from "node:test";
 import { waitUntil } from "../../src/testbench/index.js";
 
-/** Starts a child that is to end with it, and never ends by itself. */
+/** A program that starts a child, which never exits by itself and must end with its parent. */
 const program = `
 import { spawn } from "node:child_process";
 import { endWithParent } from "${new URL("../../src/testbench/endWithParent.js", import.meta.url)}";
@@ -20,13 +20,14 @@
         return true;
     }
     catch {
-        // There is no such process any more.
+        // The process no longer exists.
         return false;
     }
 }
 
 describe("endWithParent", () => {
-    // A test fails with its nodes running, and its file is ended for taking too long. Nodes that outlive it keep CI from ending.
+    // Guards against processes that outlive a test file. A test file that fails while its nodes run may exceed its timeout
+    // and is then ended by a signal. If its nodes kept running, CI would never finish.
     it("ends the children of a process that a signal ends", async () => {
         const parent = spawn(process.execPath, ["--input-type=module", "-e", program], {
             stdio: ["ignore", "pipe", "inherit"],
@@ -34,7 +35,7 @@
         const [line] = await once(createInterface({ input: parent.stdout }), "line") as [string];
         parent.kill("SIGTERM");
         await once(parent, "exit");
-        await waitUntil(() => !isAlive(Number(line)), { description: "the child's end" });
+        await waitUntil(() => !isAlive(Number(line)), { description: "the child to exit" });
         expect(isAlive(Number(line))).toEqual(false);
     });
 });
--- a/test/testbench/processGroup.test.ts
+++ b/test/testbench/processGroup.test.ts
@@ -39,13 +39,13 @@
         expect(standin?.hasExited()).toEqual(true);
     });
 
-    it("says what a process wrote that does not become ready", async () => {
+    it("reports the output of a process that does not become ready", async () => {
         await withProcesses(async group => {
             await expect(group.startStandin("nothing", addresses.next())).toBeRejectedWith("Take one of log");
         });
     });
 
-    // The VM stalls: its process holds its connections and answers nothing until it goes on.
+    // A stalled VM keeps its connections open, but its process answers nothing until it is resumed.
     it("freezes and wakes a process", async () => {
         await withProcesses(async group => {
             const standin = await group.startStandin("log", addresses.next());
@@ -54,14 +54,14 @@
             await expect(call({ address, path: "/faults", timeoutMilliseconds: 200 })).toBeRejected();
             standin.wake();
             await waitUntil(() => setFaults(address, {}).then(() => true, () => false), {
-                description: "the process to go on",
+                description: "the process to be resumed",
             });
         });
     });
 });
 
 describe("waitUntil", () => {
-    it("names what it waited for in vain", async () => {
+    it("names the condition that did not hold before the timeout", async () => {
         const waiting = waitUntil(() => false, { description: "the tide", timeoutMilliseconds: 30 });
         await expect(waiting).toBeRejectedWith("for the tide");
     });
