--- a/src/testbench/billingChecks.ts
+++ b/src/testbench/billingChecks.ts
@@ -62,11 +62,11 @@
     let total = 0;
     for (const line of bill.lines) {
         total += line.cost;
-        const isModel = line.version.includes("@");
-        if (isModel && !runs.some(run => matchesLine(run, line))) {
+        const isModelLine = line.version.includes("@");
+        if (isModelLine && !runs.some(run => matchesLine(run, line))) {
             violations.push(`The request ${bill.requestId} is billed for work of ${line.version} that no engine ran.`);
         }
-        if (!isModel && !serviceRequestIds.has(bill.requestId)) {
+        if (!isModelLine && !serviceRequestIds.has(bill.requestId)) {
             violations.push(`The call ${bill.requestId} is billed, but ran on no service.`);
         }
     }
--- a/src/testbench/site/site.ts
+++ b/src/testbench/site/site.ts
@@ -267,16 +267,16 @@
 
     async #startPlatform(): Promise<void> {
         const { logSettings, ratingSettings, hasProxiedLinks } = this.#description;
-        const kinds: [PlatformService, Readonly<Record<string, string | number | boolean>>][] = [
+        const services: [PlatformService, Readonly<Record<string, string | number | boolean>>][] = [
             ["log", logSettings ?? {}],
             ["vm-list", {}],
             ["rating", ratingSettings ?? {}],
             ["weight-store", {}],
         ];
         if (hasProxiedLinks === true) {
-            kinds.push(["proxy", {}]);
+            services.push(["proxy", {}]);
         }
-        for (const [index, [kind, settings]] of kinds.entries()) {
+        for (const [index, [kind, settings]] of services.entries()) {
             const started = await this.#group.startStandin(
                 kind,
                 this.#formatAddress(lastBytes.platform + index),
--- a/src/testbench/site/siteFiles.ts
+++ b/src/testbench/site/siteFiles.ts
@@ -79,13 +79,13 @@
  */
 export function createTreeChanges(description: SiteDescription): readonly Change[] {
     const changes: Change[] = [];
-    const add = (section: string, keys: Readonly<Record<string, string>>): void => {
+    const addChanges = (section: string, keys: Readonly<Record<string, string>>): void => {
         for (const [key, value] of Object.entries(keys)) {
             changes.push({ section, key, value });
         }
     };
     for (const version of description.versions) {
-        add(`version.${version.id}`, {
+        addChanges(`version.${version.id}`, {
             status: version.status,
             input_price: String(version.inputPrice),
             output_price: String(version.outputPrice),
@@ -94,10 +94,10 @@
     }
     for (const workspace of description.workspaces) {
         const hash = createHash("sha256").update(getApiKey(workspace.name)).digest("hex");
-        add(`workspace.${workspace.name}`, { keys: hash, ...workspace.settings });
+        addChanges(`workspace.${workspace.name}`, { keys: hash, ...workspace.settings });
     }
     for (const [section, keys] of Object.entries(description.sections ?? {})) {
-        add(section, keys);
+        addChanges(section, keys);
     }
     return changes;
 }
--- a/src/testbench/site/siteLinks.ts
+++ b/src/testbench/site/siteLinks.ts
@@ -17,7 +17,7 @@
 /** Creates links and sets their faults. */
 export class SiteLinks {
     readonly #options: SiteLinksOptions;
-    #count = 0;
+    #linkCount = 0;
 
     constructor(options: SiteLinksOptions) {
         this.#options = options;
@@ -38,12 +38,12 @@
         if (existing !== undefined) {
             return existing;
         }
-        this.#count += 1;
+        this.#linkCount += 1;
         const { listen } = await callJson<{ listen: string; }>({
             address: getProxyAddress(),
             path: `/routes/${encodeURIComponent(name)}`,
             method: "PUT",
-            body: { listen: `${host}:${port + this.#count}`, target },
+            body: { listen: `${host}:${port + this.#linkCount}`, target },
         });
         return listen;
     }
--- a/src/testbench/traffic.ts
+++ b/src/testbench/traffic.ts
@@ -6,7 +6,7 @@
 import { type Caller, type ChatRecord, type ServiceRecord } from "../caller/index.js";
 import type { KeyedCall } from "./siteChecks.js";
 
-const pauseMilliseconds = 10;
+const minWaitMilliseconds = 10;
 /** Limits the wait that a refusal's `Retry-After` asks for, so that load continues. */
 const maxWaitMilliseconds = 500;
 const sessionTurns = 3;
@@ -161,6 +161,6 @@
 }
 
 async function pause(retryAfterSeconds: number | undefined): Promise<void> {
-    const requestedMilliseconds = retryAfterSeconds === undefined ? pauseMilliseconds : retryAfterSeconds * 1000;
-    await sleep(Math.min(maxWaitMilliseconds, Math.max(pauseMilliseconds, requestedMilliseconds)));
+    const requestedMilliseconds = retryAfterSeconds === undefined ? minWaitMilliseconds : retryAfterSeconds * 1000;
+    await sleep(Math.min(maxWaitMilliseconds, Math.max(minWaitMilliseconds, requestedMilliseconds)));
 }
--- a/test/proofs/atMostOnce.test.ts
+++ b/test/proofs/atMostOnce.test.ts
@@ -109,7 +109,7 @@
         const { site } = proof;
         const claimant = site.getEntryOrThrow("entry-1");
         const calls: KeyedCall[] = [];
-        await setServiceLinks(proof, "entry-1", { freeze: true });
+        await setServiceLinkFaults(proof, "entry-1", { freeze: true });
         try {
             const first = print(proof, "entry-1", "frozen", 1500);
             await waitUntil(async () => hasClaim(proof, "frozen"), { description: "the claim to be in the log" });
@@ -120,7 +120,7 @@
             calls.push(second);
         }
         finally {
-            await setServiceLinks(proof, "entry-1", { freeze: false });
+            await setServiceLinkFaults(proof, "entry-1", { freeze: false });
             claimant.process.wake();
             await site.waitUntilReady();
         }
@@ -159,7 +159,7 @@
     });
 });
 
-async function setServiceLinks(proof: ProofSite, entry: string, faults: object): Promise<void> {
+async function setServiceLinkFaults(proof: ProofSite, entry: string, faults: object): Promise<void> {
     for (const name of proof.site.getUpstreams().keys()) {
         if (name.startsWith("service")) {
             await proof.site.setLinkFaults(entry, name, faults);
--- a/test/proofs/billing.test.ts
+++ b/test/proofs/billing.test.ts
@@ -19,8 +19,8 @@
     chatUntilRun,
     complianceKey,
     expectBilledOnce,
-    setRunnerLinks,
-    setRunners,
+    setRunnerConditions,
+    setRunnerLinkFaults,
     waitForBills,
 } from "./billingFixtures.js";
 import { print, useProofSite } from "./fixtures.js";
@@ -46,14 +46,14 @@
         const chats: ChatRecord[] = [];
         await proof.site.setLinkFaults("entry-1", "log", { cut: true });
         try {
-            const ask = (index: number) => chatUntilRun(proof, "entry-1", { streamed: index % 2 === 0 });
-            chats.push(...await Promise.all(Array.from({ length: 12 }, (...[, index]) => ask(index))));
+            const sendChat = (index: number) => chatUntilRun(proof, "entry-1", { streamed: index % 2 === 0 });
+            chats.push(...await Promise.all(Array.from({ length: 12 }, (...[, index]) => sendChat(index))));
         }
         finally {
             await proof.site.getEntryOrThrow("entry-1").process.kill();
             await proof.site.setLinkFaults("entry-1", "log", noFaults);
         }
-        const inLog = await proof.site.readBills();
+        const billsInLog = await proof.site.readBills();
         try {
             await expectBilledOnce(proof, chats);
         }
@@ -62,7 +62,7 @@
             await proof.site.waitUntilReady();
         }
         expect(chats.every(record => record.isComplete)).toEqual(true);
-        expect(chats.some(record => inLog.has(record.requestId ?? ""))).toEqual(false);
+        expect(chats.some(record => billsInLog.has(record.requestId ?? ""))).toEqual(false);
     });
 
     // Guards against lost answers and bills after a crash. An entry crashes in the middle of an answer. Its caller sends the
@@ -70,13 +70,13 @@
     // although the entry that accepted it no longer runs.
     it("lets a caller go on at another entry after the first one was killed in the middle", async () => {
         const proof = getProof();
-        await setRunners(proof, { stepMilliseconds: slowStepMilliseconds });
+        await setRunnerConditions(proof, { stepMilliseconds: slowStepMilliseconds });
         let maxEventCount = 0;
         const onProgress = (eventCount: number): void => {
             maxEventCount = Math.max(maxEventCount, eventCount);
         };
-        const ask = () => chat(proof, "entry-1", { model: "label-large@3", onProgress });
-        const pending = Array.from({ length: 8 }, ask);
+        const sendChat = () => chat(proof, "entry-1", { model: "label-large@3", onProgress });
+        const pending = Array.from({ length: 8 }, sendChat);
         await waitUntil(() => maxEventCount >= 3, { description: "a caller to receive a part of its answer" });
         await proof.site.getEntryOrThrow("entry-1").process.kill();
         const broken = await Promise.all(pending);
@@ -87,7 +87,7 @@
         expect(chats.filter(record => record.resumeToken !== undefined).every(record => record.isComplete)).toEqual(
             true,
         );
-        await setRunners(proof, { stepMilliseconds });
+        await setRunnerConditions(proof, { stepMilliseconds });
         await expectBilledOnce(proof, chats);
         await proof.site.startEntry("entry-1");
         await proof.site.waitUntilReady();
@@ -99,7 +99,7 @@
     // request must be billed once.
     it("bills a stream once that is resumed elsewhere while the first entry still reads it", async () => {
         const proof = getProof();
-        await setRunners(proof, { stepMilliseconds: slowStepMilliseconds });
+        await setRunnerConditions(proof, { stepMilliseconds: slowStepMilliseconds });
         const chats = await Promise.all(Array.from({ length: 12 }, async (...[, index]) => {
             const broken = await chatUntilRun(proof, entries[index % 3], { disconnectAfterEvents: 1 + index });
             expect(broken.isComplete).toEqual(false);
@@ -109,7 +109,7 @@
                 broken,
             );
         }));
-        await setRunners(proof, { stepMilliseconds });
+        await setRunnerConditions(proof, { stepMilliseconds });
         expect(chats.map(record => record.isComplete)).toEqual(chats.map(() => true));
         await expectBilledOnce(proof, chats);
     });
@@ -118,7 +118,7 @@
     // entry must resume the stream after the last event that it received, so that the caller notices nothing.
     it("resumes streams whose connection to the runner breaks, so that callers notice nothing", async () => {
         const proof = getProof();
-        await setRunnerLinks(proof, "entry-1", { cutAfterBytes: 4000 });
+        await setRunnerLinkFaults(proof, "entry-1", { cutAfterBytes: 4000 });
         const chats: ChatRecord[] = [];
         try {
             for (let round = 0; round < 10; round += 1) {
@@ -126,7 +126,7 @@
             }
         }
         finally {
-            await setRunnerLinks(proof, "entry-1", noFaults);
+            await setRunnerLinkFaults(proof, "entry-1", noFaults);
         }
         expect(chats.map(record => record.problem ?? record.isComplete)).toEqual(chats.map(() => true));
         await expectBilledOnce(proof, chats);
@@ -181,26 +181,29 @@
             let ledger = await startLedger();
             const chats: ChatRecord[] = [];
             for (let round = 0; round < 6; round += 1) {
-                const asked = Promise.all(entries.map(entry => chat(proof, entry)));
-                chats.push(await leaveAndResume(entries[round % 3], entries[(round + 1) % 3]));
+                const pendingChats = Promise.all(entries.map(entry => chat(proof, entry)));
+                chats.push(await disconnectAndResume(entries[round % 3], entries[(round + 1) % 3]));
                 await ledger.kill();
                 ledger = await startLedger();
-                chats.push(...await asked);
+                chats.push(...await pendingChats);
             }
             await expectBilledOnce(proof, chats);
             const bills = await proof.site.readBills();
-            const read = () => callJson<LedgerReport>({ address: ledgerAddress, path: "/totals" });
-            await waitUntil(async () => (await read()).requests === bills.size, {
+            const readReport = () => callJson<LedgerReport>({ address: ledgerAddress, path: "/totals" });
+            await waitUntil(async () => (await readReport()).requests === bills.size, {
                 description: "all bills in the ledger",
             });
             let total = 0;
             for (const bill of bills.values()) {
                 total += bill.total;
             }
-            const report = await read();
+            const report = await readReport();
             expect([report.conflicts, report.gaps, report.repeats > 0]).toEqual([0, 0, true]);
-            const counted = report.workspaces.map(workspace => workspace.total).reduce((sum, next) => sum + next, 0);
-            expect(Math.abs(counted - total) < 1e-9).toEqual(true);
+            const countedTotal = report.workspaces.map(workspace => workspace.total).reduce(
+                (sum, next) => sum + next,
+                0,
+            );
+            expect(Math.abs(countedTotal - total) < 1e-9).toEqual(true);
             expect(await ledger.stop()).toEqual(0);
             rmSync(folder, { recursive: true });
         });
@@ -211,7 +214,7 @@
     it("never mixes answers that come late and at the same time", async () => {
         const proof = getProof();
         for (const [index, entry] of entries.entries()) {
-            await setRunnerLinks(proof, entry, { delayMilliseconds: 40 * index });
+            await setRunnerLinkFaults(proof, entry, { delayMilliseconds: 40 * index });
         }
         try {
             const chats = await Promise.all(
@@ -226,7 +229,7 @@
         }
         finally {
             for (const entry of entries) {
-                await setRunnerLinks(proof, entry, noFaults);
+                await setRunnerLinkFaults(proof, entry, noFaults);
             }
         }
     });
@@ -235,7 +238,7 @@
     // the engine, which reports its usage up to then. Exactly this usage must be billed.
     it("bills a cancelled answer for what the engine says that it took", async () => {
         const proof = getProof();
-        await setRunners(proof, { stepMilliseconds: verySlowStepMilliseconds });
+        await setRunnerConditions(proof, { stepMilliseconds: verySlowStepMilliseconds });
         const cancelledChats = await Promise.all(
             entries.map(entry => chat(proof, entry, { disconnectAfterEvents: 2, model: "label-large@3" })),
         );
@@ -245,7 +248,7 @@
             const runs = (await readEngineRuns(proof.site)).filter(isCancelledRun);
             return runs.length === entries.length && runs.every(run => run.outcome === "cancelled");
         }, { description: "cancelled answers" });
-        await setRunners(proof, { stepMilliseconds });
+        await setRunnerConditions(proof, { stepMilliseconds });
         await waitForBills(proof, cancelledChats.map(record => ({ ...record, isComplete: true })));
         await expectBilledOnce(proof, cancelledChats);
     });
@@ -255,7 +258,7 @@
     it("cancels and bills an answer whose caller leaves before its first token", async () => {
         const proof = getProof();
         const isCancelledRun = (run: EngineRun) => run.outcome === "cancelled" && run.outputTokens === 0;
-        await setRunners(proof, { frozen: true });
+        await setRunnerConditions(proof, { frozen: true });
         try {
             await Promise.all(entries.map(entry => chat(proof, entry, { streamed: false, timeoutMilliseconds: 300 })));
             await waitUntil(
@@ -266,7 +269,7 @@
             );
         }
         finally {
-            await setRunners(proof, { frozen: false });
+            await setRunnerConditions(proof, { frozen: false });
         }
         const cancelledChats = (await readEngineRuns(proof.site)).filter(isCancelledRun).map(run =>
             run.id.split(".")[0]
@@ -301,7 +304,7 @@
     });
 
     /** Disconnects during an answer and resumes it at another entry, so that both entries write its bill. */
-    async function leaveAndResume(first: string, second: string): Promise<ChatRecord> {
+    async function disconnectAndResume(first: string, second: string): Promise<ChatRecord> {
         const proof = getProof();
         const broken = await chat(proof, first, { disconnectAfterEvents: 2 });
         return proof.caller.resume(proof.site.getEntryOrThrow(second).callerAddress, proof.key, broken);
--- a/test/proofs/billingFixtures.ts
+++ b/test/proofs/billingFixtures.ts
@@ -44,7 +44,7 @@
 }
 
 /** Sets faults of an entry's links to all runners. */
-export async function setRunnerLinks(proof: ProofSite, entry: string, faults: object): Promise<void> {
+export async function setRunnerLinkFaults(proof: ProofSite, entry: string, faults: object): Promise<void> {
     for (const name of proof.site.getUpstreams().keys()) {
         if (name.startsWith("runner")) {
             await proof.site.setLinkFaults(entry, name, faults);
@@ -53,7 +53,7 @@
 }
 
 /** Changes settings of all runners, such as a longer step time, so that a test can act in the middle of answers. */
-export async function setRunners(proof: ProofSite, conditions: object): Promise<void> {
+export async function setRunnerConditions(proof: ProofSite, conditions: object): Promise<void> {
     for (const [name, upstream] of proof.site.getUpstreams()) {
         if (name.startsWith("runner")) {
             await setFaults(upstream.getAddress(), conditions);
--- a/test/proofs/configuration.test.ts
+++ b/test/proofs/configuration.test.ts
@@ -53,9 +53,9 @@
         const offsets: number[] = [];
         for (let round = 0; round < 3; round += 1) {
             await setFaults(proof.site.getPlatformAddress("log"), { lostAcknowledgements: 2 });
-            const verdict = await operator.publish([createPrice(`3.${round}`)], operator.reader.getOffset(), "lost");
-            expect(verdict._unsafeUnwrap().outcome).toEqual("accepted");
-            offsets.push(verdict._unsafeUnwrap().offset);
+            const result = await operator.publish([createPrice(`3.${round}`)], operator.reader.getOffset(), "lost");
+            expect(result._unsafeUnwrap().outcome).toEqual("accepted");
+            offsets.push(result._unsafeUnwrap().offset);
         }
         await setFaults(proof.site.getPlatformAddress("log"), { lostAcknowledgements: 0 });
         await proof.site.waitUntilApplied(Math.max(...offsets));
@@ -79,14 +79,14 @@
         for (const entry of (await site.readStream("config")).slice(0, 2)) {
             fold.apply(entry);
         }
-        const late = await site.append(
+        const lateOffset = await site.append(
             "config",
             createSnapshotRecord(fold.getOffset(), fold.toSnapshot(), "slow-writer"),
         );
-        await site.waitUntilApplied(late);
-        await setFaults(site.getPlatformAddress("log"), { expireBefore: { stream: "config", offset: late } });
+        await site.waitUntilApplied(lateOffset);
+        await setFaults(site.getPlatformAddress("log"), { expireBefore: { stream: "config", offset: lateOffset } });
         await restart(proof, "entry-1");
-        await site.waitUntilApplied(late);
+        await site.waitUntilApplied(lateOffset);
         expect(await readStatuses(proof, "entry-1")).toEqual(await readStatuses(proof, "entry-2"));
         expect((await requestChat(proof, "entry-1", "label-small")).status).not.toEqual(200);
         expect(await watch.stop()).toEqual([]);
@@ -100,21 +100,21 @@
         const { site } = proof;
         const watch = new ConfigurationWatch(site, entries);
         const statuses = await readStatuses(proof, "entry-1");
-        const changed = await site.publish([createPrice("5.1")]);
-        await site.waitUntilApplied(changed);
-        await waitForSnapshotAfter(proof, changed);
+        const changeOffset = await site.publish([createPrice("5.1")]);
+        await site.waitUntilApplied(changeOffset);
+        await waitForSnapshotAfter(proof, changeOffset);
         await site.publish([createPrice("5.2")]);
         for (const entry of entries) {
             await restart(proof, entry);
         }
-        const before = (await site.getStatus("entry-1")).configurationOffset;
-        const covered = await waitForSnapshotAfter(proof, before);
-        await setFaults(site.getPlatformAddress("log"), { expireBefore: { stream: "config", offset: covered } });
-        const last = await site.publish([createPrice("5.3")]);
+        const previousOffset = (await site.getStatus("entry-1")).configurationOffset;
+        const snapshotOffset = await waitForSnapshotAfter(proof, previousOffset);
+        await setFaults(site.getPlatformAddress("log"), { expireBefore: { stream: "config", offset: snapshotOffset } });
+        const lastOffset = await site.publish([createPrice("5.3")]);
         await Promise.all(entries.map(entry => site.getEntryOrThrow(entry).process.kill()));
         await Promise.all(entries.map(entry => site.startEntry(entry)));
         await site.waitUntilReady();
-        await site.waitUntilApplied(last);
+        await site.waitUntilApplied(lastOffset);
         for (const entry of entries) {
             expect(await readStatuses(proof, entry)).toEqual(statuses);
             expect((await requestChat(proof, entry)).status).toEqual(200);
--- a/test/proofs/configurationCuts.test.ts
+++ b/test/proofs/configurationCuts.test.ts
@@ -43,10 +43,10 @@
     // still receive everything from the log.
     it("comes into force on an entry that is cut off from its peers only", async () => {
         const proof = getProof();
-        await setPeerLinks(proof, "entry-2", { cut: true });
+        await setPeerLinkFaults(proof, "entry-2", { cut: true });
         const offset = await proof.site.publish([createPrice("4.1")]);
         await proof.site.waitUntilApplied(offset);
-        await setPeerLinks(proof, "entry-2", { cut: false });
+        await setPeerLinkFaults(proof, "entry-2", { cut: false });
         await proof.site.waitUntilReady();
     });
 
@@ -57,8 +57,8 @@
         const proof = getProof();
         const { site } = proof;
         const watch = new ConfigurationWatch(site, entries);
-        const before = (await site.getStatus("entry-3")).configurationOffset;
-        await setPeerLinks(proof, "entry-3", { cut: true });
+        const previousOffset = (await site.getStatus("entry-3")).configurationOffset;
+        await setPeerLinkFaults(proof, "entry-3", { cut: true });
         await site.setLinkFaults("entry-3", "log", { cut: true });
         const offset = await site.publish([{ section: "version.label-small@5", key: "status", value: "withdrawn" }]);
         await site.waitUntilApplied(offset, ["entry-1", "entry-2"]);
@@ -68,11 +68,11 @@
         }, { description: "entry-3 to refuse new work" });
         expect([refused.outcome, refused.problem?.includes("confirm its configuration")]).toEqual(["not-run", true]);
         expect((await site.getStatus("entry-3")).configurationOffset <= offset).toEqual(true);
-        expect((await site.getStatus("entry-3")).configurationOffset >= before).toEqual(true);
+        expect((await site.getStatus("entry-3")).configurationOffset >= previousOffset).toEqual(true);
         for (const entry of ["entry-1", "entry-2"]) {
             expect((await requestChat(proof, entry)).status).toEqual(200);
         }
-        await setPeerLinks(proof, "entry-3", { cut: false });
+        await setPeerLinkFaults(proof, "entry-3", { cut: false });
         await site.setLinkFaults("entry-3", "log", { cut: false });
         await site.waitUntilApplied(offset);
         await waitUntil(async () => (await requestChat(proof, "entry-3")).status === 200, {
@@ -116,7 +116,7 @@
     console.log(`in force on 3 entries, ${condition}: ${Math.round(performance.now() - startedAt)} ms`);
 }
 
-async function setPeerLinks(proof: ProofSite, entry: string, faults: object): Promise<void> {
+async function setPeerLinkFaults(proof: ProofSite, entry: string, faults: object): Promise<void> {
     for (const other of entries) {
         if (other !== entry) {
             await proof.site.setLinkFaults(entry, other, faults);
--- a/test/proofs/configurationWatch.ts
+++ b/test/proofs/configurationWatch.ts
@@ -1,14 +1,14 @@
 import { setTimeout as sleep } from "node:timers/promises";
 import type { EntryStatus, Site } from "../../src/testbench/index.js";
 
-const pauseMilliseconds = 30;
+const pollMilliseconds = 30;
 
 /** Polls the status of entries and records regressions: an offset that decreases, or a withdrawn version that returns. */
 export class ConfigurationWatch {
     readonly #site: Site;
     readonly #violations: string[] = [];
-    readonly #offsets = new Map<string, number>();
-    readonly #withdrawn = new Map<string, number>();
+    readonly #maxOffsets = new Map<string, number>();
+    readonly #withdrawalOffsets = new Map<string, number>();
     #isStopped = false;
     readonly #loop: Promise<void>;
 
@@ -30,7 +30,7 @@
                 await this.#check(entry);
             }
             // A test that fails never stops its watch. The timer must not keep the process alive.
-            await sleep(pauseMilliseconds, undefined, { ref: false });
+            await sleep(pollMilliseconds, undefined, { ref: false });
         }
     }
 
@@ -51,17 +51,20 @@
         }
         // A new process starts without configuration, so offsets are compared within one process only.
         const processRun = `${entry} ${process.getId()}`;
-        const previousOffset = this.#offsets.get(processRun) ?? 0;
+        const previousOffset = this.#maxOffsets.get(processRun) ?? 0;
         if (status.configurationOffset < previousOffset) {
             this.#violations.push(`${entry} went back from offset ${previousOffset} to ${status.configurationOffset}.`);
         }
-        this.#offsets.set(processRun, Math.max(previousOffset, status.configurationOffset));
+        this.#maxOffsets.set(processRun, Math.max(previousOffset, status.configurationOffset));
         for (const version of status.versions) {
-            const withdrawnAt = this.#withdrawn.get(version.id);
+            const withdrawalOffset = this.#withdrawalOffsets.get(version.id);
             if (version.status === "withdrawn") {
-                this.#withdrawn.set(version.id, Math.min(withdrawnAt ?? Infinity, status.configurationOffset));
+                this.#withdrawalOffsets.set(
+                    version.id,
+                    Math.min(withdrawalOffset ?? Infinity, status.configurationOffset),
+                );
             }
-            else if (withdrawnAt !== undefined && status.configurationOffset >= withdrawnAt) {
+            else if (withdrawalOffset !== undefined && status.configurationOffset >= withdrawalOffset) {
                 this.#violations.push(`${entry} shows ${version.id} as ${version.status} after its withdrawal.`);
             }
         }
--- a/test/proofs/leases.test.ts
+++ b/test/proofs/leases.test.ts
@@ -33,7 +33,7 @@
         await waitUntil(async () => (await readLeaseHistory(proof)).grants.some(grant => grant.rollout === "paused"), {
             description: "a grant by the new holder",
         });
-        const wokenAt = (await site.readStream("control")).length;
+        const resumeOffset = (await site.readStream("control")).length;
         site.getEntryOrThrow(first).process.wake();
         await waitUntil(async () => (await site.getStatus(first)).holdsLease === false, {
             description: "the resumed entry to detect the loss of its lease",
@@ -41,7 +41,7 @@
         await site.waitUntilReady();
         const history = await readLeaseHistory(proof);
         expect(isIncreasing(history.fencingTokens)).toEqual(true);
-        expect(history.grants.filter(grant => grant.offset >= wokenAt && grant.writer === first)).toEqual([]);
+        expect(history.grants.filter(grant => grant.offset >= resumeOffset && grant.writer === first)).toEqual([]);
         expect(second === first).toEqual(false);
         await append(proof, rolloutRecordKinds.abort, { rollout: "paused", by: "test" });
     });
@@ -56,14 +56,16 @@
         await waitUntil(async () => (await readLeaseHistory(proof)).grants.some(grant => grant.rollout === "killed"), {
             description: "a first grant",
         });
-        const fence = Math.max(...(await readLeaseHistory(proof)).fencingTokens);
+        const previousFencingToken = Math.max(...(await readLeaseHistory(proof)).fencingTokens);
         await site.getEntryOrThrow(first).process.kill();
         const others = entries.filter(entry => entry !== first);
         await waitForHolder(proof, others);
         await waitUntil(async () => {
             await Promise.all(others.map(entry => requestChat(proof, entry)));
-            const judged = await readLeaseHistory(proof);
-            return judged.grants.some(grant => grant.rollout === "killed" && grant.fencingToken > fence);
+            const history = await readLeaseHistory(proof);
+            return history.grants.some(grant =>
+                grant.rollout === "killed" && grant.fencingToken > previousFencingToken
+            );
         }, { description: "a grant by the next holder" });
         await append(proof, rolloutRecordKinds.abort, { rollout: "killed", by: "test" });
         await site.startEntry(first);
@@ -123,33 +125,33 @@
     it("makes engines that check fencing refuse old orders, and routing follows the reports of the others", async () => {
         const proof = getProof();
         const { site } = proof;
-        const checking = site.getUpstreamOrThrow("runner-1").getAddress();
-        const obeying = site.getUpstreamOrThrow("runner-2").getAddress();
-        await setFaults(obeying, { checksFencing: false });
-        const desired = ["label-large@3", "label-medium@2", "label-small@5"];
-        const stale = ["label-large@3"];
-        const present = createChannel(900);
-        const former = createChannel(800);
-        for (const engine of [checking, obeying]) {
-            const reached = await present.reconcile(createEngineControl(engine), {
+        const checkingEngine = site.getUpstreamOrThrow("runner-1").getAddress();
+        const nonCheckingEngine = site.getUpstreamOrThrow("runner-2").getAddress();
+        await setFaults(nonCheckingEngine, { checksFencing: false });
+        const desiredVersions = ["label-large@3", "label-medium@2", "label-small@5"];
+        const staleVersions = ["label-large@3"];
+        const currentChannel = createChannel(900);
+        const formerChannel = createChannel(800);
+        for (const engine of [checkingEngine, nonCheckingEngine]) {
+            const initial = await currentChannel.reconcile(createEngineControl(engine), {
                 engine,
-                versions: desired,
+                versions: desiredVersions,
                 role: "serve",
             });
-            expect(reached.isOk()).toEqual(true);
+            expect(initial.isOk()).toEqual(true);
         }
-        const refused = await former.reconcile(createEngineControl(checking), {
-            engine: checking,
-            versions: stale,
+        const refused = await formerChannel.reconcile(createEngineControl(checkingEngine), {
+            engine: checkingEngine,
+            versions: staleVersions,
             role: "serve",
         });
         expect(refused.isErr() && refused.error.kind).toEqual("stale");
-        const obeyed = await former.reconcile(createEngineControl(obeying), {
-            engine: obeying,
-            versions: stale,
+        const accepted = await formerChannel.reconcile(createEngineControl(nonCheckingEngine), {
+            engine: nonCheckingEngine,
+            versions: staleVersions,
             role: "serve",
         });
-        expect(obeyed._unsafeUnwrap().versions).toEqual(stale);
+        expect(accepted._unsafeUnwrap().versions).toEqual(staleVersions);
         const before = (await readEngineRuns(site)).length;
         for (let round = 0; round < 5; round += 1) {
             const records = await Promise.all(entries.map(entry => requestChat(proof, entry)));
@@ -157,12 +159,12 @@
         }
         const runs = (await readEngineRuns(site)).filter(run => run.ran !== run.asked);
         expect([runs, (await readEngineRuns(site)).length > before]).toEqual([[], true]);
-        const mended = await present.reconcile(createEngineControl(obeying), {
-            engine: obeying,
-            versions: desired,
+        const repaired = await currentChannel.reconcile(createEngineControl(nonCheckingEngine), {
+            engine: nonCheckingEngine,
+            versions: desiredVersions,
             role: "serve",
         });
-        expect([...mended._unsafeUnwrap().versions].sort()).toEqual(desired);
+        expect([...repaired._unsafeUnwrap().versions].sort()).toEqual(desiredVersions);
     });
 });
 
--- a/test/proofs/membershipChanges.test.ts
+++ b/test/proofs/membershipChanges.test.ts
@@ -15,8 +15,8 @@
     const getProof = useProofSite(network, { hasProxiedLinks: false });
     const cleanups: (() => unknown)[] = [];
     after(async () => {
-        for (const finish of cleanups) {
-            await finish();
+        for (const cleanup of cleanups) {
+            await cleanup();
         }
     });
 
@@ -64,13 +64,13 @@
             const states = await Promise.all(entries.map(entry => site.getStatus(entry)));
             return states.every(state => !state.holdsLease);
         }, { description: "leases to expire, since they cannot be renewed" });
-        const before = await countRecords(site);
+        const recordCount = await countRecords(site);
         for (const entry of entries) {
             const refused = await print(proof, entry, `mixed-${entry}`);
             expect([refused.record.status, refused.record.outcome]).toEqual([503, "not-run"]);
             expect((await requestChat(proof, entry)).status).toEqual(200);
         }
-        expect(await countRecords(site)).toEqual(before);
+        expect(await countRecords(site)).toEqual(recordCount);
         await callJson({ address: list, path: `/vms/${vm.id}`, method: "DELETE" });
         for (const entry of entries) {
             await waitUntil(async () => (await print(proof, entry, `mixed-${entry}`)).record.status === 200, {
--- a/test/proofs/orders.test.ts
+++ b/test/proofs/orders.test.ts
@@ -46,7 +46,7 @@
                 weightStore: getProof().site.getPlatformAddress("weight-store"),
             });
         }
-        const all = [
+        const storedVersions = [
             largeVersion,
             smallVersion,
             candidateVersion,
@@ -56,7 +56,10 @@
             "label-extra@1",
             "label-retired@1",
         ];
-        await setFaults(getProof().site.getPlatformAddress("weight-store"), { versions: all, readsPerSecond: 2 });
+        await setFaults(getProof().site.getPlatformAddress("weight-store"), {
+            versions: storedVersions,
+            readsPerSecond: 2,
+        });
     });
 
     after(async () => {
@@ -73,12 +76,14 @@
         const { site } = proof;
         await setFaults(site.getPlatformAddress("weight-store"), { outage: "answer" });
         await startRollout(proof, "unloaded");
-        const holder = await waitUntil(() => findWaiting(proof, "unloaded"), { description: "the roll-out to wait" });
+        const holder = await waitUntil(() => findWaitingEntry(proof, "unloaded"), {
+            description: "the roll-out to wait",
+        });
         await waitUntil(async () => (await countOrders(proof, candidateVersion)) > 0, {
             description: "an order to load it",
         });
-        const shown = await runCommand("rollout", "status", ...createFlags(proof));
-        expect(shown.stdout).toInclude("waits until its candidate is loaded");
+        const statusOutput = await runCommand("rollout", "status", ...createFlags(proof));
+        expect(statusOutput.stdout).toInclude("waits until its candidate is loaded");
         for (const entry of entries) {
             expect((await requestChat(proof, entry, "label-small")).version).toEqual(smallVersion);
         }
@@ -137,10 +142,10 @@
         await setFaults(getAddress(proof, "runner-2"), { checksFencing: false });
         await setFaults(site.getPlatformAddress("weight-store"), { readsPerSecond: 100 });
         await publishPool(proof, { loads_at_a_time: "2" });
-        const former = await findHolder(proof, entries);
-        const { fence } = (await site.getStatus(former)).lease;
-        site.getEntryOrThrow(former).process.freeze();
-        const others = entries.filter(name => name !== former);
+        const formerHolder = await findHolder(proof, entries);
+        const { fence } = (await site.getStatus(formerHolder)).lease;
+        site.getEntryOrThrow(formerHolder).process.freeze();
+        const others = entries.filter(name => name !== formerHolder);
         await publishVersion(proof, "label-late@1", "withdrawn");
         await publishVersion(proof, mediumVersion);
         await findHolder(proof, others);
@@ -158,9 +163,9 @@
         );
         expect(outcomes).toEqual(["refused", "followed"]);
         await waitForRepair(proof);
-        site.getEntryOrThrow(former).process.wake();
+        site.getEntryOrThrow(formerHolder).process.wake();
         await site.waitUntilReady();
-        const records = await load.end();
+        const records = await load.stop();
         await waitForRepair(proof);
         expect(records.length > 0).toEqual(true);
         expect(records.filter(record => record.version !== undefined && record.version !== mediumVersion)).toEqual([]);
@@ -189,10 +194,10 @@
         await setFaults(site.getPlatformAddress("weight-store"), { outage: "none" });
         await waitForVersion(proof, "label-half@1");
         const orders = (await Promise.all(runners.map(runner => readOrders(proof, runner)))).flat();
-        const fences = new Set(
+        const fencingTokens = new Set(
             orders.filter(order => order.versions.includes("label-half@1")).map(order => order.fence),
         );
-        expect(fences.size).toEqual(2);
+        expect(fencingTokens.size).toEqual(2);
         await site.startEntry(first);
         await site.waitUntilReady();
     });
@@ -225,11 +230,15 @@
 }
 
 async function readOrders(proof: ProofSite, runner: string): Promise<readonly OrderJournalEntry[]> {
-    return (await getJournal<OrderJournalEntry>(getAddress(proof, runner))).filter(note => note.kind === "order");
+    return (await getJournal<OrderJournalEntry>(getAddress(proof, runner))).filter(journalEntry =>
+        journalEntry.kind === "order"
+    );
 }
 
 async function readRuns(proof: ProofSite, runner: string): Promise<readonly RunJournalEntry[]> {
-    return (await getJournal<RunJournalEntry>(getAddress(proof, runner))).filter(note => note.kind === "request");
+    return (await getJournal<RunJournalEntry>(getAddress(proof, runner))).filter(journalEntry =>
+        journalEntry.kind === "request"
+    );
 }
 
 async function countOrders(proof: ProofSite, version: string): Promise<number> {
@@ -279,7 +288,7 @@
     }, { description: "an entry to hold the lease" });
 }
 
-async function findWaiting(proof: ProofSite, rollout: string): Promise<string | undefined> {
+async function findWaitingEntry(proof: ProofSite, rollout: string): Promise<string | undefined> {
     for (const name of entries) {
         const address = proof.site.getEntryOrThrow(name).operatorAddress;
         const status = await callJson<WaitingStatus>({ address, path: "/status" });
@@ -350,7 +359,7 @@
     entry: string,
     model: string,
     index = 0,
-    maximumTokens = 8,
+    maxTokens = 8,
 ): Promise<ChatRecord> {
     return proof.caller.chat({
         entry: proof.site.getEntryOrThrow(entry).callerAddress,
@@ -358,7 +367,7 @@
         session: `session-${entry}-${index}-${Math.random()}`,
         model,
         text: "Does the pastry hold sesame?",
-        maxTokens: maximumTokens,
+        maxTokens,
         timeoutMilliseconds: 8000,
     });
 }
@@ -367,7 +376,7 @@
 function startLoad(
     proof: ProofSite,
     names: readonly string[],
-): { readonly end: () => Promise<readonly ChatRecord[]>; } {
+): { readonly stop: () => Promise<readonly ChatRecord[]>; } {
     const records: ChatRecord[] = [];
     let isStopped = false;
     const loops = names.map(async name => {
@@ -376,7 +385,7 @@
         }
     });
     return {
-        end: async () => {
+        stop: async () => {
             isStopped = true;
             await Promise.all(loops);
             return records;
--- a/test/proofs/shutdown.test.ts
+++ b/test/proofs/shutdown.test.ts
@@ -49,7 +49,7 @@
     }
 
     /** Performs an action under load and checks that callers got no unreported errors and that all bills are right. */
-    async function underLoad(action: (proof: ProofSite) => Promise<StoppedUpstreamRuns | void>): Promise<void> {
+    async function runUnderLoad(action: (proof: ProofSite) => Promise<StoppedUpstreamRuns | void>): Promise<void> {
         const proof = getProof();
         const traffic = createTraffic(proof);
         traffic.start();
@@ -75,7 +75,7 @@
     // that stopped listening too early would refuse their connections, and so would one that was announced before it
     // listens.
     it("lets callers who follow the addresses see nothing of a rolling restart of all entries", async () => {
-        await underLoad(async ({ site }) => {
+        await runUnderLoad(async ({ site }) => {
             for (const name of entries) {
                 expect(await site.getEntryOrThrow(name).process.stop()).toEqual(0);
                 await site.startEntry(name);
@@ -87,7 +87,7 @@
     // Guards against an aborted drain. An operator or the platform sends another signal while an entry drains. Exiting at that
     // point would interrupt the answers in flight and lose the bills that have not been appended.
     it("goes on draining at a second and a third signal", async () => {
-        await underLoad(async ({ site }) => {
+        await runUnderLoad(async ({ site }) => {
             const { process } = site.getEntryOrThrow("entry-2");
             process.signal("SIGTERM");
             await waitForEvent(process, "process-stopping");
@@ -124,7 +124,7 @@
     it("ends a ledger with code 0 at two signals, and it goes on where it was", async () => {
         const folder = mkdtempSync(join(tmpdir(), "rattanlock-ledger-"));
         await withProcesses(async group => {
-            await underLoad(async ({ site }) => {
+            await runUnderLoad(async ({ site }) => {
                 const start = () => startLedger(group, site.getPlatformAddress("log"), join(folder, "bills.jsonl"));
                 for (let round = 0; round < 3; round += 1) {
                     const ledger = await start();
@@ -150,9 +150,9 @@
     // Guards against failed requests when an upstream is removed. The VM list marks the upstream as leaving, and then it gets two
     // signals. Callers must notice nothing, and the upstream must exit with code 0.
     it("ends a leaving runner and a leaving service with code 0 while callers notice nothing", async () => {
-        await underLoad(async ({ site }) => {
-            const runner = await stopLeaving(site, "runner-3");
-            const service = await stopLeaving(site, "service-2");
+        await runUnderLoad(async ({ site }) => {
+            const runner = await stopLeavingUpstream(site, "runner-3");
+            const service = await stopLeavingUpstream(site, "service-2");
             return {
                 engineRuns: runner.map(run => ({ ...run, runner: "runner-3" })),
                 serviceRuns: service,
@@ -167,8 +167,8 @@
         const traffic = createTraffic(proof);
         traffic.start();
         await waitForChats(traffic);
-        for (const part of ["rating", "weight-store", "vm-list", "log"] as const) {
-            const process = proof.site.getPlatformProcess(part);
+        for (const service of ["rating", "weight-store", "vm-list", "log"] as const) {
+            const process = proof.site.getPlatformProcess(service);
             process.signal("SIGTERM");
             process.signal("SIGINT");
             expect(await process.stop()).toEqual(0);
@@ -180,7 +180,7 @@
 });
 
 /** Marks an upstream as leaving, stops it by two signals once it gets no new work, and returns its runs. */
-async function stopLeaving(site: Site, name: string) {
+async function stopLeavingUpstream(site: Site, name: string) {
     const upstream = site.getUpstreamOrThrow(name);
     await site.setVmState(name, "leaving");
     await waitUntilIdle(upstream, name);
--- a/test/proofs/stableVersions.test.ts
+++ b/test/proofs/stableVersions.test.ts
@@ -136,8 +136,8 @@
         // When two entries take the lease concurrently, the fold accepts the first. A finish with the other fencing token has
         // no effect.
         const takes = (await site.readStream("control")).filter(({ record }) => record.kind === "lease-take");
-        for (const { offset: fence } of takes) {
-            await append(proof, rolloutRecordKinds.finish, { rollout: candidate, fence });
+        for (const { offset: fencingToken } of takes) {
+            await append(proof, rolloutRecordKinds.finish, { rollout: candidate, fence: fencingToken });
         }
         const states = await Promise.all(entries.map(entry => site.getStatus(entry)));
         return states.every(({ rollouts }) =>
--- a/test/proofs/upstreamsAndHalts.test.ts
+++ b/test/proofs/upstreamsAndHalts.test.ts
@@ -102,10 +102,10 @@
                 expect([record.status, record.version]).toEqual([200, "label-small@5"]);
                 expect((await requestChat(proof, entry, candidate)).outcome).toEqual("not-run");
             }
-            const late = (await readEngineRuns(site)).filter(run =>
+            const lateRuns = (await readEngineRuns(site)).filter(run =>
                 run.asked === candidate && run.arrivedAt > haltedAt
             );
-            expect(late).toEqual([]);
+            expect(lateRuns).toEqual([]);
         }
         finally {
             await setFaults(site.getPlatformAddress("log"), { outage: "none" });
@@ -123,13 +123,13 @@
         const startedAt = Date.now();
         await site.setVmState("runner-1", "leaving");
         await waitUntilRemoved(proof, "runner-1");
-        const knownAt = Date.now();
+        const removedAt = Date.now();
         for (let round = 0; round < 10; round += 1) {
             await Promise.all(entries.map(entry => requestUntilServed(proof, entry)));
         }
         const runs = (await readEngineRuns(site)).filter(run => run.runner === "runner-1");
-        expect(runs.filter(run => run.arrivedAt > knownAt)).toEqual([]);
-        console.log(`leaving by the VM list: applied at 3 entries ${knownAt - startedAt} ms after the change`);
+        expect(runs.filter(run => run.arrivedAt > removedAt)).toEqual([]);
+        console.log(`leaving by the VM list: applied at 3 entries ${removedAt - startedAt} ms after the change`);
     });
 
     // Guards against work on a leaving runner behind a broken link. A runner reports that it leaves before the VM list does. An
@@ -143,12 +143,12 @@
         await setFaults(site.getUpstreamOrThrow("runner-2").getAddress(), { leaving: true });
         await waitUntilRemoved(proof, "runner-2");
         console.log(`leaving by its own report and gossip: applied at 3 entries after ${Date.now() - startedAt} ms`);
-        const before = await readDispatches(proof, "runner-2");
+        const dispatchCount = await countDispatches(proof, "runner-2");
         await site.setLinkFaults("entry-3", "runner-2", { freeze: false });
         for (let round = 0; round < 10; round += 1) {
             await Promise.all(entries.map(entry => requestUntilServed(proof, entry)));
         }
-        expect(await readDispatches(proof, "runner-2")).toEqual(before);
+        expect(await countDispatches(proof, "runner-2")).toEqual(dispatchCount);
     });
 });
 
@@ -192,7 +192,7 @@
 }
 
 /** Counts the requests that entries dispatched to a runner. */
-async function readDispatches(proof: ProofSite, runner: string): Promise<number> {
+async function countDispatches(proof: ProofSite, runner: string): Promise<number> {
     let count = 0;
     for (const entry of entries) {
         const lines = await callJson<readonly EventLine[]>({
--- a/test/proofs/versions.test.ts
+++ b/test/proofs/versions.test.ts
@@ -30,11 +30,11 @@
                 requestChat(proof, { entry: entries[index % 3], model: smallVersion, streamed: index % 2 === 0 }),
             );
         }
-        const some = await Promise.all(requests);
+        const recordsWithOneWrongRunner = await Promise.all(requests);
         for (const runner of runners) {
             await setFaults(runner, { runsInstead: { [smallVersion]: "label-small@6" } });
         }
-        const none = await Promise.all(
+        const recordsWithAllWrongRunners = await Promise.all(
             entries.map(entry => requestChat(proof, { entry, model: smallVersion, streamed: true })),
         );
         for (const runner of runners) {
@@ -42,9 +42,15 @@
         }
         const wrongRuns = (await readEngineRuns(proof.site)).filter(run => run.ran === "label-small@6");
         expect(wrongRuns.length > 0).toEqual(true);
-        expect([...some, ...none].filter(record => record.text.includes("label-small@6"))).toEqual([]);
-        expect(none.map(record => [record.text, record.status === 200])).toEqual(entries.map(() => ["", false]));
-        expect(none.some(record => record.outcome === "not-run")).toEqual(false);
+        expect(
+            [...recordsWithOneWrongRunner, ...recordsWithAllWrongRunners].filter(record =>
+                record.text.includes("label-small@6")
+            ),
+        ).toEqual([]);
+        expect(recordsWithAllWrongRunners.map(record => [record.text, record.status === 200])).toEqual(
+            entries.map(() => ["", false]),
+        );
+        expect(recordsWithAllWrongRunners.some(record => record.outcome === "not-run")).toEqual(false);
     });
 
     // Guards against two versions in one session. Several entries receive the first requests of a session at the same time, and
@@ -59,8 +65,10 @@
                     requestChat(proof, { entry, session, model: models[(index + round) % 3] })
                 ),
             );
-            const found = new Set(records.filter(record => record.status === 200).map(record => record.version));
-            expect([records.every(record => record.status === 200), found.size]).toEqual([true, 1]);
+            const servedVersions = new Set(
+                records.filter(record => record.status === 200).map(record => record.version),
+            );
+            expect([records.every(record => record.status === 200), servedVersions.size]).toEqual([true, 1]);
         }
     });
 
@@ -69,7 +77,7 @@
     it("stays with a session whose entry crashes between the pin and the answer", async () => {
         const proof = getProof();
         const { site } = proof;
-        await setRunnerLinks(proof, "entry-1", { freeze: true });
+        await setRunnerLinkFaults(proof, "entry-1", { freeze: true });
         const first = requestChat(proof, { entry: "entry-1", session: "orphan", model: "label-medium" });
         await waitUntil(() => hasPin(proof, "orphan"), { description: "the pin to be in the log" });
         await site.getEntryOrThrow("entry-1").process.kill();
@@ -79,7 +87,7 @@
             return record.status === 200 ? record : undefined;
         }, { description: "an answer from entry-2" });
         expect(second.version).toEqual("label-medium@2");
-        await setRunnerLinks(proof, "entry-1", { freeze: false });
+        await setRunnerLinkFaults(proof, "entry-1", { freeze: false });
         await site.startEntry("entry-1");
         await site.waitUntilReady();
     });
@@ -132,7 +140,7 @@
             expect([byPin.status, byPin.outcome, byPin.text]).toEqual([410, "not-run", ""]);
             expect([byToken.status, byToken.outcome, byToken.text]).toEqual([410, "not-run", ""]);
         }
-        const records = await load.end();
+        const records = await load.stop();
         await site.setLinkFaults("entry-3", "log", { cut: false });
         const runs = (await readEngineRuns(site)).filter(run => run.ran === smallVersion);
         const last = Math.max(...runs.map(run => run.arrivedAt));
@@ -146,7 +154,7 @@
     });
 });
 
-interface Question {
+interface ChatOptions {
     readonly entry: string;
     readonly model?: string;
     readonly session?: string;
@@ -154,10 +162,10 @@
     readonly streamed?: boolean;
 }
 
-function requestChat(proof: ProofSite, question: Question): Promise<ChatRecord> {
+function requestChat(proof: ProofSite, options: ChatOptions): Promise<ChatRecord> {
     return proof.caller.chat({
-        ...question,
-        entry: proof.site.getEntryOrThrow(question.entry).callerAddress,
+        ...options,
+        entry: proof.site.getEntryOrThrow(options.entry).callerAddress,
         key: getApiKey("commissary"),
         text: "Does the pastry hold sesame?",
         maxTokens: 20,
@@ -171,7 +179,7 @@
     );
 }
 
-async function setRunnerLinks(proof: ProofSite, entry: string, faults: object): Promise<void> {
+async function setRunnerLinkFaults(proof: ProofSite, entry: string, faults: object): Promise<void> {
     for (const name of proof.site.getUpstreams().keys()) {
         if (name.startsWith("runner")) {
             await proof.site.setLinkFaults(entry, name, faults);
@@ -197,7 +205,7 @@
 }
 
 /** Requests the version at all entries until it is stopped, with more concurrent requests than entries run at a time. */
-function startLoad(proof: ProofSite): { readonly end: () => Promise<readonly ChatRecord[]>; } {
+function startLoad(proof: ProofSite): { readonly stop: () => Promise<readonly ChatRecord[]>; } {
     const records: ChatRecord[] = [];
     let isStopped = false;
     // A test that fails before it stops the load must not keep the process busy forever.
@@ -215,7 +223,7 @@
         })());
     }
     return {
-        end: async () => {
+        stop: async () => {
             isStopped = true;
             await Promise.all(loops);
             return records;
