--- a/test/proofs/atMostOnce.test.ts
+++ b/test/proofs/atMostOnce.test.ts
@@ -19,9 +19,9 @@
         expect(findRunViolations(await readServiceRuns(proof.site), calls)).toEqual([]);
     }
 
-    // Guards against duplicate runs of concurrent requests with one key. A clerk presses the button twice, or a client times
-    // out and retries at the next address while the first entry still works. Without claims, two entries would each print
-    // a label, and the labels may differ.
+    // Guards against duplicate runs of concurrent requests with one key. A clerk presses the button twice, or a client
+    // times out and retries at the next address while the first entry still works. Without claims, two entries would
+    // each print a label, and the labels may differ.
     it("runs once when the same key comes in at all entries at the same time", async () => {
         const proof = getProof();
         const calls: KeyedCall[] = [];
@@ -36,10 +36,10 @@
         await expectNoViolations(proof, calls);
     });
 
-    // Guards against calls that never run because the acknowledgement of a claim is lost. The log appends the claim, and the
-    // entry does not know whether it holds the key. If it assumed that it does not, no entry would ever run the call. If it
-    // claimed again with another identifier, it would find the key held by its own first claim, and the caller would never
-    // get an answer.
+    // Guards against calls that never run because the acknowledgement of a claim is lost. The log appends the claim,
+    // and the entry cannot determine whether it holds the key. If it assumed that it does not, no entry would ever run
+    // the call. If it claimed again with another identifier, it would find the key held by its own first claim, and the
+    // caller would never get an answer.
     it("runs once and is answered when acknowledgements of claims are lost", async () => {
         const proof = getProof();
         const calls: KeyedCall[] = [];
@@ -51,9 +51,9 @@
         await expectNoViolations(proof, calls);
     });
 
-    // Guards against duplicate runs during an outage of the log. No entry can find out whether another one has claimed a key,
-    // so nothing may run. The caller is refused at once with the outcome "not-run" and a `Retry-After`; after the outage its
-    // call runs once.
+    // Guards against duplicate runs during an outage of the log. No entry can find out whether another one has claimed
+    // a key, so nothing may run. The caller is refused at once with the outcome "not-run" and a `Retry-After`; after
+    // the outage its call runs once.
     it("is refused as not run while the log is unavailable and runs once afterwards", async () => {
         const proof = getProof();
         const log = proof.site.getPlatformAddress("log");
@@ -76,9 +76,9 @@
         await expectNoViolations(proof, calls);
     });
 
-    // Guards against a second run after a lost answer. The service runs the call, and the connection breaks before its answer
-    // arrives. The entry cannot know whether the label was printed. It must report the outcome "unknown" and never send the
-    // call again, neither to this instance nor to another.
+    // Guards against a second run after a lost answer. The service runs the call, and the connection breaks before its
+    // answer arrives. The entry cannot determine whether the label was printed. It must report the outcome "unknown"
+    // and never send the call again, neither to this instance nor to another.
     it("is not sent again when the service's answer is lost", async () => {
         const proof = getProof();
         const calls: KeyedCall[] = [];
@@ -101,9 +101,9 @@
         await expectNoViolations(proof, calls);
     });
 
-    // Guards against a second run after a stalled VM resumes. An entry claims a key, and its VM stalls before the call is sent,
-    // for longer than the caller's timeout. The caller retries at another entry. When the first VM resumes, its entry sends
-    // the call. If the second entry had taken over the key, two labels would be printed.
+    // Guards against a second run after a stalled VM resumes. An entry claims a key, and its VM stalls before the call
+    // is sent, for longer than the caller's timeout. The caller retries at another entry. When the first VM resumes,
+    // its entry sends the call. If the second entry had taken over the key, two labels would be printed.
     it("runs at most once when the claimant is paused after its claim and resumed later", async () => {
         const proof = getProof();
         const { site } = proof;
@@ -124,8 +124,8 @@
             claimant.process.wake();
             await site.waitUntilReady();
         }
-        // The delayed call may run now, or fail because its connection has timed out meanwhile. In that case it is unknown
-        // whether it ran, and the key stays claimed: there must be no second run, and no outcome "not-run".
+        // The delayed call may run now, or fail because its connection has timed out meanwhile. In that case it is
+        // unknown whether it ran, and the key stays claimed: there must be no second run, and no outcome "not-run".
         const last = await printUntilRun(proof, "entry-3", "frozen");
         expect(last.every(call => call.record.outcome !== "not-run")).toEqual(true);
         expect([200, 409]).toEqual(expect.includes(last.at(-1)?.record.status ?? 0));
@@ -133,8 +133,9 @@
         await expectNoViolations(proof, calls);
     });
 
-    // Guards against duplicate runs after an entry crashes. The entry may crash at any time: before a claim is written, after
-    // it, while the service works, or before the answer is sent. Its callers retry at the other entries with the same keys.
+    // Guards against duplicate runs after an entry crashes. The entry may crash at any time: before a claim is written,
+    // after it, while the service works, or before the answer is sent. Its callers retry at the other entries with the
+    // same keys.
     it("runs at most once when entries are killed at any moment", async () => {
         const proof = getProof();
         const calls: KeyedCall[] = [];
--- a/test/proofs/billing.test.ts
+++ b/test/proofs/billing.test.ts
@@ -39,8 +39,9 @@
         entrySettings: { timing: { bill_flush_ms: "1500", peer_timeout_ms: "400", resume_grace_ms: "300" } },
     });
 
-    // Guards against lost bills. An entry sends the last byte of an answer and crashes before it appends the bill to the log.
-    // Without a copy on another VM the work would never be billed, and only a reader of the ledger would notice.
+    // Guards against lost bills. An entry sends the last byte of an answer and crashes before it appends the bill to
+    // the log. Without a copy on another VM the work would never be billed, and only a reader of the ledger would
+    // notice.
     it("keeps the bills of an entry that is killed between the last byte and the append", async () => {
         const proof = getProof();
         const chats: ChatRecord[] = [];
@@ -65,9 +66,9 @@
         expect(chats.some(record => billsInLog.has(record.requestId ?? ""))).toEqual(false);
     });
 
-    // Guards against lost answers and bills after a crash. An entry crashes in the middle of an answer. Its caller sends the
-    // resume token to another entry. The caller must get the rest of the same answer, and the request must be billed
-    // although the entry that accepted it no longer runs.
+    // Guards against lost answers and bills after a crash. An entry crashes in the middle of an answer. Its caller
+    // sends the resume token to another entry. The caller must get the rest of the same answer, and the request must be
+    // billed although the entry that accepted it no longer runs.
     it("lets a caller go on at another entry after the first one was killed in the middle", async () => {
         const proof = getProof();
         await setRunnerConditions(proof, { stepMilliseconds: slowStepMilliseconds });
@@ -93,10 +94,10 @@
         await proof.site.waitUntilReady();
     });
 
-    // Guards against cancelled streams and double bills when a caller changes entries. The connection between caller and entry
-    // breaks, and the caller resumes at another entry while the first one still reads the answer. The first entry times out
-    // a little later and must not cancel the stream that the second one reads. Both entries may receive the usage, but the
-    // request must be billed once.
+    // Guards against cancelled streams and double bills when a caller changes entries. The connection between caller
+    // and entry breaks, and the caller resumes at another entry while the first one still reads the answer. The first
+    // entry times out a little later and must not cancel the stream that the second one reads. Both entries may receive
+    // the usage, but the request must be billed once.
     it("bills a stream once that is resumed elsewhere while the first entry still reads it", async () => {
         const proof = getProof();
         await setRunnerConditions(proof, { stepMilliseconds: slowStepMilliseconds });
@@ -114,8 +115,9 @@
         await expectBilledOnce(proof, chats);
     });
 
-    // Guards against interrupted answers. The connection between an entry and a runner breaks in the middle of an answer. The
-    // entry must resume the stream after the last event that it received, so that the caller notices nothing.
+    // Guards against interrupted answers. The connection between an entry and a runner breaks in the middle of an
+    // answer. The entry must resume the stream after the last event that it received, so that the caller notices
+    // nothing.
     it("resumes streams whose connection to the runner breaks, so that callers notice nothing", async () => {
         const proof = getProof();
         await setRunnerLinkFaults(proof, "entry-1", { cutAfterBytes: 4000 });
@@ -133,8 +135,8 @@
     });
 
     // Guards against wrong bills of escalated requests. The rating of a cheap model's answer is too low, the answer is
-    // discarded, and a more expensive model answers. Both models did work, so the bill has one line for each. A caller must
-    // never pay for an answer that no engine produced.
+    // discarded, and a more expensive model answers. Both models did work, so the bill has one line for each. A caller
+    // must never pay for an answer that no engine produced.
     it("bills an escalated cascade with a line for each answer that was made", async () => {
         const proof = getProof();
         const chats: ChatRecord[] = [];
@@ -164,8 +166,8 @@
         }
     });
 
-    // Guards against wrong totals after a crash of the ledger. The ledger crashes while it receives bills and restarts from its
-    // file. A bill that it counted twice or skipped would make a depot's invoice wrong.
+    // Guards against wrong totals after a crash of the ledger. The ledger crashes while it receives bills and restarts
+    // from its file. A bill that it counted twice or skipped would make a depot's invoice wrong.
     it("gives the same totals after the ledger was killed and started again under load", async () => {
         const proof = getProof();
         await withProcesses(async group => {
@@ -209,8 +211,8 @@
         });
     });
 
-    // Guards against mixed-up answers. Each link has a different delay, so that chunks of many answers arrive interleaved. A
-    // caller that received a chunk of another caller's answer would read another kitchen's allergens.
+    // Guards against mixed-up answers. Each link has a different delay, so that chunks of many answers arrive
+    // interleaved. A caller that received a chunk of another caller's answer would read another kitchen's allergens.
     it("never mixes answers that come late and at the same time", async () => {
         const proof = getProof();
         for (const [index, entry] of entries.entries()) {
@@ -234,8 +236,8 @@
         }
     });
 
-    // Guards against wrong bills of cancelled answers. A caller disconnects and does not resume. The entry cancels the answer at
-    // the engine, which reports its usage up to then. Exactly this usage must be billed.
+    // Guards against wrong bills of cancelled answers. A caller disconnects and does not resume. The entry cancels the
+    // answer at the engine, which reports its usage up to then. Exactly this usage must be billed.
     it("bills a cancelled answer for what the engine says that it took", async () => {
         const proof = getProof();
         await setRunnerConditions(proof, { stepMilliseconds: verySlowStepMilliseconds });
@@ -253,8 +255,8 @@
         await expectBilledOnce(proof, cancelledChats);
     });
 
-    // Guards against wasted engine time. A caller disconnects before the first token. The engine does not detect this by itself
-    // and would go on producing an answer that nobody reads.
+    // Guards against wasted engine time. A caller disconnects before the first token. The engine does not detect this
+    // by itself and would go on producing an answer that nobody reads.
     it("cancels and bills an answer whose caller leaves before its first token", async () => {
         const proof = getProof();
         const isCancelledRun = (run: EngineRun) => run.outcome === "cancelled" && run.outputTokens === 0;
@@ -278,9 +280,9 @@
         await expectBilledOnce(proof, []);
     });
 
-    // Guards against lost or duplicate bills after a long outage of the log. The outage lasts longer than the maximum age of a
-    // configuration, and callers go on sending requests. Each bill is held on two VMs and must be appended once when the log
-    // is available again.
+    // Guards against lost or duplicate bills after a long outage of the log. The outage lasts longer than the maximum
+    // age of a configuration, and callers go on sending requests. Each bill is held on two VMs and must be appended
+    // once when the log is available again.
     it("bills everything once after a long outage of the log under load", async () => {
         const proof = getProof();
         const log = proof.site.getPlatformAddress("log");
@@ -321,8 +323,8 @@
 describe("The buffer of bills", () => {
     const getProof = useProofSite("127.62.3", { entrySettings: { limits: { kept_bills: "20" } } });
 
-    // Guards against work that is never billed. An outage of the log lasts until the buffer of bills is full. New requests must
-    // then be refused before anything runs, with the outcome "not-run" and a `Retry-After`.
+    // Guards against work that is never billed. An outage of the log lasts until the buffer of bills is full. New
+    // requests must then be refused before anything runs, with the outcome "not-run" and a `Retry-After`.
     it("refuses new work truthfully at its bound and takes it again afterwards", async () => {
         const proof = getProof();
         const log = proof.site.getPlatformAddress("log");
--- a/test/proofs/configuration.test.ts
+++ b/test/proofs/configuration.test.ts
@@ -19,9 +19,9 @@
 
     after(() => Promise.all(operators.map(operator => operator.close())));
 
-    // Guards against lost updates. Two operators change the same price at the same time, each based on the tree that it has
-    // read. If both changes were accepted, one would be reverted silently. If entries decided differently, callers would be
-    // billed at two prices.
+    // Guards against lost updates. Two operators change the same price at the same time, each based on the tree that it
+    // has read. If both changes were accepted, one would be reverted silently. If entries decided differently, callers
+    // would be billed at two prices.
     it("is the first of two concurrent ones, on every entry; the other author receives a rejection", async () => {
         const proof = getProof();
         const first = await openOperator(proof, "first");
@@ -44,9 +44,9 @@
         }
     });
 
-    // Guards against wrong results after a lost acknowledgement. The log appends a publication, and the acknowledgement is
-    // lost. If the operator's tool treated this as a failure, it would report a change as rejected that is in force. If it
-    // published again, the new publication would be superseded by its own first one.
+    // Guards against wrong results after a lost acknowledgement. The log appends a publication, and the acknowledgement
+    // is lost. If the operator's tool treated this as a failure, it would report a change as rejected that is in force.
+    // If it published again, the new publication would be superseded by its own first one.
     it("is accepted once when the acknowledgement of its publication is lost", async () => {
         const proof = getProof();
         const operator = await openOperator(proof, "unlucky");
@@ -66,9 +66,9 @@
         }
     });
 
-    // Guards against a configuration that is reverted by an outdated snapshot. A snapshot writer is paused and appends an old
-    // state late, and then the records before it expire. An entry that starts now would find only the old state, and a
-    // withdrawn version would answer again.
+    // Guards against a configuration that is reverted by an outdated snapshot. A snapshot writer is paused and appends
+    // an old state late, and then the records before it expire. An entry that starts now would find only the old state,
+    // and a withdrawn version would answer again.
     it("is not reverted by a late snapshot, even when the records before it have expired", async () => {
         const proof = getProof();
         const { site } = proof;
@@ -92,9 +92,9 @@
         expect(await watch.stop()).toEqual([]);
     });
 
-    // Guards against configuration that is lost when VMs are replaced. A new VM has no stored state. It must restore the state
-    // from the snapshot and the records after it, whether entries are replaced one by one or all at once, and from peers
-    // while the log is unavailable.
+    // Guards against configuration that is lost when VMs are replaced. A new VM has no stored state. It must restore
+    // the state from the snapshot and the records after it, whether entries are replaced one by one or all at once, and
+    // from peers while the log is unavailable.
     it("is the same after all entries were replaced, one by one and all at once", async () => {
         const proof = getProof();
         const { site } = proof;
--- a/test/proofs/configurationCuts.test.ts
+++ b/test/proofs/configurationCuts.test.ts
@@ -16,9 +16,9 @@
         })),
     });
 
-    // Guards against outdated configuration behind a slow or cut link to the log. Callers of such an entry would go on getting
-    // answers of a withdrawn version long after all other entries have stopped using it. The entry must receive the
-    // configuration from its peers.
+    // Guards against outdated configuration behind a slow or cut link to the log. Callers of such an entry would go on
+    // getting answers of a withdrawn version long after all other entries have stopped using it. The entry must receive
+    // the configuration from its peers.
     it("comes into force everywhere with the log healthy, slow, and unreachable for some entries", async () => {
         const proof = getProof();
         const { site } = proof;
@@ -39,8 +39,8 @@
         }
     });
 
-    // Guards against a dependency on peers. An entry that is cut off from the other entries gets no updates from them, but must
-    // still receive everything from the log.
+    // Guards against a dependency on peers. An entry that is cut off from the other entries gets no updates from them,
+    // but must still receive everything from the log.
     it("comes into force on an entry that is cut off from its peers only", async () => {
         const proof = getProof();
         await setPeerLinkFaults(proof, "entry-2", { cut: true });
@@ -50,9 +50,9 @@
         await proof.site.waitUntilReady();
     });
 
-    // Guards against the use of outdated configuration without a time limit. An entry that is cut off from the log and its
-    // peers cannot know that a version was withdrawn. Without a maximum age of its configuration, its callers would get
-    // answers of a bad version for as long as the cut lasts.
+    // Guards against the use of outdated configuration without a time limit. An entry that is cut off from the log and
+    // its peers cannot detect that a version was withdrawn. Without a maximum age of its configuration, its callers
+    // would get answers of a bad version for as long as the cut lasts.
     it("expires on an entry that is cut off from everything, which refuses new work while the others serve", async () => {
         const proof = getProof();
         const { site } = proof;
@@ -81,8 +81,8 @@
         expect(await watch.stop()).toEqual([]);
     });
 
-    // Guards against refusals during an outage of the log. The log is unavailable to all entries for longer than the maximum
-    // age of a configuration. Nothing can be withdrawn during that time, so callers must not notice the outage.
+    // Guards against refusals during an outage of the log. The log is unavailable to all entries for longer than the
+    // maximum age of a configuration. Nothing can be withdrawn during that time, so callers must not notice the outage.
     it("stays in force while the log is unavailable to all entries", async () => {
         const proof = getProof();
         const { site } = proof;
--- a/test/proofs/configurationStart.test.ts
+++ b/test/proofs/configurationStart.test.ts
@@ -9,10 +9,10 @@
 describe("Entries that all start at once while the log is slow", () => {
     const getProof = useProofSite("127.63.4");
 
-    // Guards against outdated configuration after a restart of the whole site. The log returns its records slowly, page by
-    // page. No entry has read the end of the stream, so none can receive newer state from another. If the entries treated
-    // this as an outage of the log, they would serve with the tree of the first page, and a version that was withdrawn
-    // later would answer callers.
+    // Guards against outdated configuration after a restart of the whole site. The log returns its records slowly, page
+    // by page. No entry has read the end of the stream, so none can receive newer state from another. If the entries
+    // treated this as an outage of the log, they would serve with the tree of the first page, and a version that was
+    // withdrawn later would answer callers.
     it("take no work before one has seen the end of the stream", async () => {
         const proof = getProof();
         const { site } = proof;
--- a/test/proofs/leases.test.ts
+++ b/test/proofs/leases.test.ts
@@ -19,9 +19,9 @@
 describe("The lease of roll-outs", () => {
     const getProof = useProofSite("127.63.3");
 
-    // Guards against two active holders. The holder's VM is paused for longer than the lease term, and after it resumes the
-    // entry assumes that it still holds the lease. If it went on, two entries would advance one roll-out, and more callers
-    // than the budget allows would get the candidate.
+    // Guards against two active holders. The holder's VM is paused for longer than the lease term, and after it resumes
+    // the entry assumes that it still holds the lease. If it went on, two entries would advance one roll-out, and more
+    // callers than the budget allows would get the candidate.
     it("passes to another entry while its holder is paused, and the resumed one does not act", async () => {
         const proof = getProof();
         const { site } = proof;
@@ -46,8 +46,8 @@
         await append(proof, rolloutRecordKinds.abort, { rollout: "paused", by: "test" });
     });
 
-    // Guards against a stalled roll-out. The holder crashes in the middle of a roll-out. Without a new holder, no further
-    // callers would get the candidate until somebody restarts that VM.
+    // Guards against a stalled roll-out. The holder crashes in the middle of a roll-out. Without a new holder, no
+    // further callers would get the candidate until somebody restarts that VM.
     it("passes to another entry when its holder is killed, which continues the roll-out", async () => {
         const proof = getProof();
         const { site } = proof;
@@ -73,8 +73,8 @@
         expect(isIncreasing((await readLeaseHistory(proof)).fencingTokens)).toEqual(true);
     });
 
-    // Guards against two holders during an outage of the log. An entry that kept its lease could not detect that another entry
-    // takes it, so no entry may hold the lease.
+    // Guards against two holders during an outage of the log. An entry that kept its lease could not detect that
+    // another entry takes it, so no entry may hold the lease.
     it("is held by no entry while the log is unavailable", async () => {
         const proof = getProof();
         const before = Math.max(...(await readLeaseHistory(proof)).fencingTokens);
@@ -91,9 +91,9 @@
         expect(Math.max(...(await readLeaseHistory(proof)).fencingTokens) > before).toEqual(true);
     });
 
-    // Guards against false failure detection. A cut lets bytes through in one direction only. An entry that other entries can
-    // reach must not be reported as dead by the one that cannot reach it. Otherwise its claims would move, and its bills
-    // would be taken over while it runs.
+    // Guards against false failure detection. A cut lets bytes through in one direction only. An entry that other
+    // entries can reach must not be reported as dead by the one that cannot reach it. Otherwise its claims would move,
+    // and its bills would be taken over while it runs.
     it("and membership report no running member as dead when a link is cut in one direction", async () => {
         const proof = getProof();
         const { site } = proof;
@@ -119,9 +119,9 @@
         await site.waitUntilReady();
     });
 
-    // Guards against stale orders. An order of a former holder arrives late. An engine that checks fencing tokens refuses it. An
-    // engine that does not check them follows it and unloads the version. Requests that were still sent to that engine
-    // would fail, or be answered by another version.
+    // Guards against stale orders. An order of a former holder arrives late. An engine that checks fencing tokens
+    // refuses it. An engine that does not check them follows it and unloads the version. Requests that were still sent
+    // to that engine would fail, or be answered by another version.
     it("makes engines that check fencing refuse old orders, and routing follows the reports of the others", async () => {
         const proof = getProof();
         const { site } = proof;
--- a/test/proofs/membershipChanges.test.ts
+++ b/test/proofs/membershipChanges.test.ts
@@ -20,8 +20,8 @@
         }
     });
 
-    // Guards against state of a replaced VM that is attributed to its successor on the same address. The configuration of the
-    // new VM would look older or newer than it is, and its bills would be dropped.
+    // Guards against state of a replaced VM that is attributed to its successor on the same address. The configuration
+    // of the new VM would look older or newer than it is, and its bills would be dropped.
     it("treats a VM that replaces another one on the same address as a new member", async () => {
         const proof = getProof();
         const { site } = proof;
@@ -43,9 +43,9 @@
         }
     });
 
-    // Guards against records that older members cannot read. During an upgrade, entries are replaced one after another. If a
-    // new entry wrote a record that an old one cannot read, the old one would skip it or stop, and the two would disagree
-    // about the holder of a key or a lease.
+    // Guards against records that older members cannot read. During an upgrade, entries are replaced one after another.
+    // If a new entry wrote a record that an old one cannot read, the old one would skip it or stop, and the two would
+    // disagree about the holder of a key or a lease.
     it("keeps records out of the log that a member of an older protocol cannot read", async () => {
         const proof = getProof();
         const { site } = proof;
--- a/test/proofs/olderMember.test.ts
+++ b/test/proofs/olderMember.test.ts
@@ -9,9 +9,9 @@
 describe("A member of an older protocol", () => {
     const getProof = useProofSite("127.63.14");
 
-    // Guards against trees that an older member cannot read. During an upgrade, an operator uses a setting that only the newer
-    // release supports. An older entry that cannot reach the log fetches the tree from its peers. If it received a tree in
-    // the newer format, it would apply another tree than the other entries.
+    // Guards against trees that an older member cannot read. During an upgrade, an operator uses a setting that only
+    // the newer release supports. An older entry that cannot reach the log fetches the tree from its peers. If it
+    // received a tree in the newer format, it would apply another tree than the other entries.
     it("receives no tree that it cannot read, while a member of the newer protocol does", async () => {
         const proof = getProof();
         const section = "pool.lm-pool";
--- a/test/proofs/orders.test.ts
+++ b/test/proofs/orders.test.ts
@@ -68,9 +68,9 @@
         }
     });
 
-    // Guards against traffic to a candidate that is not loaded. A roll-out starts for a version that no engine has loaded while
-    // the weight store is unavailable. Callers that were routed to it would be refused by every runner, and their failures
-    // would count against the version.
+    // Guards against traffic to a candidate that is not loaded. A roll-out starts for a version that no engine has
+    // loaded while the weight store is unavailable. Callers that were routed to it would be refused by every runner,
+    // and their failures would count against the version.
     it("load a candidate that no runner has, and its roll-out waits until it is loaded", async () => {
         const proof = getProof();
         const { site } = proof;
@@ -103,8 +103,9 @@
         expect(await findWrongAnswers(proof)).toEqual([]);
     });
 
-    // Guards against interrupted answers and leaked memory when a version is withdrawn. If it were unloaded at once, answers in
-    // progress would be interrupted. If it were never unloaded, its memory would not be available to the next version.
+    // Guards against interrupted answers and leaked memory when a version is withdrawn. If it were unloaded at once,
+    // answers in progress would be interrupted. If it were never unloaded, its memory would not be available to the
+    // next version.
     it("unload a withdrawn version once its work has ended", async () => {
         const proof = getProof();
         const { site } = proof;
@@ -132,10 +133,11 @@
         expect([unloads.length > 0, unloads.every(order => order.time >= ended)]).toEqual([true, true]);
     });
 
-    // Guards against late orders of a former holder. The holder is paused while its order is in flight, and the order arrives
-    // after another holder has sent a different one. An engine that does not check fencing tokens follows it: it unloads a
-    // serving version and loads a withdrawn one. The test itself sends the order with the fencing token of the paused
-    // holder, since an order of the holder itself times out after two seconds and cannot be delayed for long enough.
+    // Guards against late orders of a former holder. The holder is paused while its order is in flight, and the order
+    // arrives after another holder has sent a different one. An engine that does not check fencing tokens follows it:
+    // it unloads a serving version and loads a withdrawn one. The test itself sends the order with the fencing token of
+    // the paused holder, since an order of the holder itself times out after two seconds and cannot be delayed for long
+    // enough.
     it("of a former holder are refused, or put right by the present one", async () => {
         const proof = getProof();
         const { site } = proof;
@@ -173,13 +175,14 @@
         expect((await readEngineRuns(site)).filter(run => run.ran === "label-late@1")).toEqual([]);
     });
 
-    // Guards against orders that are left incomplete. The holder crashes after the first runner has started to load a version.
-    // Without a new holder, the other runners would never load it, and its callers would overload one runner.
+    // Guards against orders that are left incomplete. The holder crashes after the first runner has started to load a
+    // version. Without a new holder, the other runners would never load it, and its callers would overload one runner.
     it("are completed by another holder when the first one is killed halfway", async () => {
         const proof = getProof();
         const { site } = proof;
         await publishPool(proof, { loads_at_a_time: "1", versions_per_runner: "7" });
-        // The larger limit lets other versions load as well. They must be loaded first, or they delay the tested version.
+        // The larger limit lets other versions load as well. They must be loaded first, or they delay the tested
+        // version.
         await publishVersion(proof, "label-extra@1");
         await waitForVersion(proof, "label-extra@1");
         const first = await waitUntil(async () => {
--- a/test/proofs/shutdown.test.ts
+++ b/test/proofs/shutdown.test.ts
@@ -71,9 +71,9 @@
         );
     }
 
-    // Guards against refused connections during a rolling restart. Callers cache the addresses of entries for a while. An entry
-    // that stopped listening too early would refuse their connections, and so would one that was announced before it
-    // listens.
+    // Guards against refused connections during a rolling restart. Callers cache the addresses of entries for a while.
+    // An entry that stopped listening too early would refuse their connections, and so would one that was announced
+    // before it listens.
     it("lets callers who follow the addresses see nothing of a rolling restart of all entries", async () => {
         await runUnderLoad(async ({ site }) => {
             for (const name of entries) {
@@ -84,8 +84,8 @@
         });
     });
 
-    // Guards against an aborted drain. An operator or the platform sends another signal while an entry drains. Exiting at that
-    // point would interrupt the answers in flight and lose the bills that have not been appended.
+    // Guards against an aborted drain. An operator or the platform sends another signal while an entry drains. Exiting
+    // at that point would interrupt the answers in flight and lose the bills that have not been appended.
     it("goes on draining at a second and a third signal", async () => {
         await runUnderLoad(async ({ site }) => {
             const { process } = site.getEntryOrThrow("entry-2");
@@ -99,8 +99,8 @@
         });
     });
 
-    // Guards against lost bills when a drain is cut short. The platform removes a VM before its entry has drained. Callers lose
-    // the answers in flight, but completed answers must be billed.
+    // Guards against lost bills when a drain is cut short. The platform removes a VM before its entry has drained.
+    // Callers lose the answers in flight, but completed answers must be billed.
     it("loses no bill when the process is killed while it drains", async () => {
         const proof = getProof();
         const traffic = createTraffic(proof);
@@ -118,9 +118,9 @@
         await proof.site.waitUntilReady();
     });
 
-    // Guards against wrong totals and truncated replies when the ledger stops. The ledger is stopped while it reads bills and
-    // serves requests. Clients get a complete reply or a refused connection, and after the restart its totals are the same
-    // as without the stop.
+    // Guards against wrong totals and truncated replies when the ledger stops. The ledger is stopped while it reads
+    // bills and serves requests. Clients get a complete reply or a refused connection, and after the restart its totals
+    // are the same as without the stop.
     it("ends a ledger with code 0 at two signals, and it goes on where it was", async () => {
         const folder = mkdtempSync(join(tmpdir(), "rattanlock-ledger-"));
         await withProcesses(async group => {
@@ -147,8 +147,8 @@
         rmSync(folder, { recursive: true });
     });
 
-    // Guards against failed requests when an upstream is removed. The VM list marks the upstream as leaving, and then it gets two
-    // signals. Callers must notice nothing, and the upstream must exit with code 0.
+    // Guards against failed requests when an upstream is removed. The VM list marks the upstream as leaving, and then
+    // it gets two signals. Callers must notice nothing, and the upstream must exit with code 0.
     it("ends a leaving runner and a leaving service with code 0 while callers notice nothing", async () => {
         await runUnderLoad(async ({ site }) => {
             const runner = await stopLeavingUpstream(site, "runner-3");
@@ -160,8 +160,9 @@
         });
     });
 
-    // Guards against unreported errors when the platform's services stop under load. Ratings, weights and the VM list are not
-    // needed to answer. Without the log, only requests that need it are refused, and their outcome "not-run" is correct.
+    // Guards against unreported errors when the platform's services stop under load. Ratings, weights and the VM list
+    // are not needed to answer. Without the log, only requests that need it are refused, and their outcome "not-run" is
+    // correct.
     it("ends the platform's services with code 0 at two signals while every refusal is reported to callers", async () => {
         const proof = getProof();
         const traffic = createTraffic(proof);
--- a/test/proofs/stableVersions.test.ts
+++ b/test/proofs/stableVersions.test.ts
@@ -45,9 +45,9 @@
         perEntrySettings: { [entryWithoutHistory]: { timing: { settled_window_s: "86400" } } },
     });
 
-    // Guards against outdated rules in a roll-out that is in progress. An operator shortens the stages. If entries kept the rules
-    // from the start of the roll-out, callers would get the better version no sooner, and a stricter rule would have no
-    // effect.
+    // Guards against outdated rules in a roll-out that is in progress. An operator shortens the stages. If entries kept
+    // the rules from the start of the roll-out, callers would get the better version no sooner, and a stricter rule
+    // would have no effect.
     it("is judged by the rules of the newest configuration, also in a roll-out under way", async () => {
         const proof = getProof();
         const { site } = proof;
@@ -63,9 +63,10 @@
         }, { description: "the second stage before the default minimum of a minute" });
     });
 
-    // Guards against a stable version that degrades unnoticed. A version has been rolled out to all callers and served well, and
-    // then its answers become wrong. Kitchen staff would read wrong declarations until somebody notices. After the halt no
-    // entry may send it new work, and callers get the newest earlier version that their workspace allows.
+    // Guards against a stable version that degrades unnoticed. A version has been rolled out to all callers and served
+    // well, and then its answers become wrong. Kitchen staff would read wrong declarations until somebody notices.
+    // After the halt no entry may send it new work, and callers get the newest earlier version that their workspace
+    // allows.
     it("is halted at all entries, and callers get the last good version that they may use", async () => {
         const proof = getProof();
         await finishRollout(proof, "label-medium@8", "label-medium@2");
@@ -81,9 +82,9 @@
         expect(await readLateRuns(proof, "label-medium@9", haltedAt)).toEqual([]);
     });
 
-    // Guards against a degraded version at an entry without history. The log is unavailable, and one entry has no earlier ratings
-    // of the version. Since it cannot evaluate the version itself, it would go on serving it. The halt of another entry must
-    // reach it by gossip.
+    // Guards against a degraded version at an entry without history. The log is unavailable, and one entry has no
+    // earlier ratings of the version. Since it cannot evaluate the version itself, it would go on serving it. The halt
+    // of another entry must reach it by gossip.
     it("is halted at an entry that cannot judge it, by gossip alone", async () => {
         const proof = getProof();
         const { site } = proof;
@@ -133,8 +134,8 @@
     const { site } = proof;
     await startRollout(proof, candidate, baseline, [1]);
     await waitUntil(async () => {
-        // When two entries take the lease concurrently, the fold accepts the first. A finish with the other fencing token has
-        // no effect.
+        // When two entries take the lease concurrently, the fold accepts the first. A finish with the other fencing
+        // token has no effect.
         const takes = (await site.readStream("control")).filter(({ record }) => record.kind === "lease-take");
         for (const { offset: fencingToken } of takes) {
             await append(proof, rolloutRecordKinds.finish, { rollout: candidate, fence: fencingToken });
@@ -155,7 +156,7 @@
         );
         const since = Date.now() - 1.2 * windowSeconds * 1000;
         return ratings.filter(rating => rating.version === version && rating.time < since).length >= minRatings;
-    }, { description: `${minRatings} earlier ratings of ${version}`, timeoutMilliseconds: 60_000 });
+    }, { description: `${version} to have enough earlier ratings`, timeoutMilliseconds: 60_000 });
 }
 
 async function degradeVersion({ site }: ProofSite, version: string): Promise<void> {
--- a/test/proofs/upstreamsAndHalts.test.ts
+++ b/test/proofs/upstreamsAndHalts.test.ts
@@ -21,9 +21,9 @@
         versions: [...metroManila.versions, { ...metroManila.versions[1], id: "label-medium@9", status: "candidate" }],
     });
 
-    // Guards against version changes after a roll-out. A roll-out has finished, and no operator has changed the candidate's
-    // status yet. If its callers fell back to the old version, they would change versions twice. A draining version must
-    // not get new work.
+    // Guards against version changes after a roll-out. A roll-out has finished, and no operator has changed the
+    // candidate's status yet. If its callers fell back to the old version, they would change versions twice. A draining
+    // version must not get new work.
     it("goes to a candidate whose roll-out has finished, until it drains", async () => {
         const proof = getProof();
         const { site } = proof;
@@ -37,8 +37,8 @@
             budget: [300],
             startedBy: "test",
         });
-        // Entries that start at the same time all try to take the lease. The rejected takes stay in the stream after the
-        // accepted one, so the current fencing token must be read from the folded state.
+        // Entries that start at the same time all try to take the lease. The rejected takes stay in the stream after
+        // the accepted one, so the current fencing token must be read from the folded state.
         await append(proof, "lease-take", { lease: "control", holder: "nobody", termMilliseconds: 1500 });
         await waitUntil(async () => {
             const states = await Promise.all(entries.map(entry => site.getStatus(entry)));
@@ -57,9 +57,9 @@
         }
     });
 
-    // Guards against a bad candidate during an outage of the log. A version becomes bad in the middle of its roll-out while the
-    // log is unavailable. The halt cannot be appended, but must still take effect at all entries at once; callers get the
-    // stable version.
+    // Guards against a bad candidate during an outage of the log. A version becomes bad in the middle of its roll-out
+    // while the log is unavailable. The halt cannot be appended, but must still take effect at all entries at once;
+    // callers get the stable version.
     it("stops on a version that becomes bad, at all entries, while the log is unavailable", async () => {
         const proof = getProof();
         const { site } = proof;
@@ -115,8 +115,8 @@
         });
     });
 
-    // Guards against work on a runner that is about to be removed. Only the VM list reports that it leaves. Work that is sent to
-    // it after that is lost with it.
+    // Guards against work on a runner that is about to be removed. Only the VM list reports that it leaves. Work that
+    // is sent to it after that is lost with it.
     it("stops on an upstream that the VM list reports as leaving", async () => {
         const proof = getProof();
         const { site } = proof;
@@ -132,9 +132,9 @@
         console.log(`leaving by the VM list: applied at 3 entries ${removedAt - startedAt} ms after the change`);
     });
 
-    // Guards against work on a leaving runner behind a broken link. A runner reports that it leaves before the VM list does. An
-    // entry that cannot reach the runner must receive this from the other entries. Otherwise it would send work to the
-    // runner as soon as its own link is restored.
+    // Guards against work on a leaving runner behind a broken link. A runner reports that it leaves before the VM list
+    // does. An entry that cannot reach the runner must receive this from the other entries. Otherwise it would send
+    // work to the runner as soon as its own link is restored.
     it("stops on an upstream that reports itself as leaving, also at an entry that receives it by gossip only", async () => {
         const proof = getProof();
         const { site } = proof;
--- a/test/proofs/versions.test.ts
+++ b/test/proofs/versions.test.ts
@@ -18,8 +18,8 @@
 describe("A version", () => {
     const getProof = useProofSite("127.63.2");
 
-    // Guards against answers of a wrong version. After a stale order or an error, an engine has loaded another version and
-    // answers with it. The caller would get text from a version that its workspace does not allow.
+    // Guards against answers of a wrong version. After a stale order or an error, an engine has loaded another version
+    // and answers with it. The caller would get text from a version that its workspace does not allow.
     it("that was not requested never answers a caller", async () => {
         const proof = getProof();
         const runners = getRunners(proof);
@@ -53,8 +53,8 @@
         expect(recordsWithAllWrongRunners.some(record => record.outcome === "not-run")).toEqual(false);
     });
 
-    // Guards against two versions in one session. Several entries receive the first requests of a session at the same time, and
-    // each would choose a version. A cook would get answers of several versions in one conversation.
+    // Guards against two versions in one session. Several entries receive the first requests of a session at the same
+    // time, and each would choose a version. A cook would get answers of several versions in one conversation.
     it("is the same for a session whose first requests arrive at several entries", async () => {
         const proof = getProof();
         const models = ["label-large", "label-medium", "label-small"];
@@ -72,8 +72,8 @@
         }
     });
 
-    // Guards against a lost pin. An entry pins a session and crashes before it sends the answer. The caller retries at the next
-    // entry, which would choose another version if the pin had been stored only in memory.
+    // Guards against a lost pin. An entry pins a session and crashes before it sends the answer. The caller retries at
+    // the next entry, which would choose another version if the pin had been stored only in memory.
     it("stays with a session whose entry crashes between the pin and the answer", async () => {
         const proof = getProof();
         const { site } = proof;
@@ -92,9 +92,9 @@
         await site.waitUntilReady();
     });
 
-    // Guards against moved sessions and endless drains. Sessions in progress must end on the draining version, and new ones must
-    // use other versions. A session that moved would change its tone and facts in the middle. If the version took new
-    // sessions, the drain would never complete.
+    // Guards against moved sessions and endless drains. Sessions in progress must end on the draining version, and new
+    // ones must use other versions. A session that moved would change its tone and facts in the middle. If the version
+    // took new sessions, the drain would never complete.
     it("that is draining keeps its sessions and takes no new ones", async () => {
         const proof = getProof();
         const { site } = proof;
@@ -120,8 +120,8 @@
         await site.waitUntilApplied(back);
     });
 
-    // Guards against answers of a withdrawn version. A bad version is withdrawn under load, one entry cannot reach the log, and
-    // requests wait in an entry's queue during the change. Every answer after the withdrawal may harm a guest.
+    // Guards against answers of a withdrawn version. A bad version is withdrawn under load, one entry cannot reach the
+    // log, and requests wait in an entry's queue during the change. Every answer after the withdrawal may harm a guest.
     it("that is withdrawn gets no new work once entries have applied it, and its sessions are refused", async () => {
         const proof = getProof();
         const { site } = proof;
--- a/test/proofs/withdrawalAtDispatch.test.ts
+++ b/test/proofs/withdrawalAtDispatch.test.ts
@@ -13,10 +13,10 @@
 describe("A request that waits between its plan and its dispatch", () => {
     const getProof = useProofSite("127.63.13");
 
-    // Guards against work on a version that was withdrawn after planning. A request is planned and waits for the pin of its
-    // session, because the pin's collector cannot reach the log. Meanwhile the planned version is withdrawn. Without a
-    // check right before dispatch the request would run on it, and a cook would get a bad label after the withdrawal is in
-    // force.
+    // Guards against work on a version that was withdrawn after planning. A request is planned and waits for the pin of
+    // its session, because the pin's collector cannot reach the log. Meanwhile the planned version is withdrawn.
+    // Without a check right before dispatch the request would run on it, and a cook would get a bad label after the
+    // withdrawal is in force.
     it("does not run on a version that was withdrawn meanwhile", async () => {
         const proof = getProof();
         const round = await waitUntil(() => withdrawWhileWaiting(proof), {
--- a/test/scripts/guards.test.ts
+++ b/test/scripts/guards.test.ts
@@ -11,8 +11,9 @@
 }
 
 describe("test/guards.json", () => {
-    // Guards against outdated entries. When code is moved or changed, a guard's text may no longer occur in the listed file. The
-    // guard could then not be disabled to show that its test fails, and nobody would notice until the next run of the guards.
+    // Guards against outdated entries. When code is moved or changed, a guard's text may no longer occur in the listed
+    // file. The guard could then not be disabled to show that its test fails, and nobody would notice until the next
+    // run of the guards.
     it("lists texts that occur exactly once in their files, each with a unique name and an existing test", () => {
         const guards = JSON.parse(readFileSync("test/guards.json", "utf8")) as readonly Guard[];
         const misplaced = guards.filter(({ file, find }) => readFileSync(file, "utf8").split(find).length !== 2);
--- a/test/testbench/processGroup.test.ts
+++ b/test/testbench/processGroup.test.ts
@@ -46,7 +46,7 @@
     });
 
     // A stalled VM keeps its connections open, but its process answers nothing until it is resumed.
-    it("freezes and wakes a process", async () => {
+    it("pauses and resumes a process", async () => {
         await withProcesses(async group => {
             const standin = await group.startStandin("log", addresses.next());
             const address = standin.getAddress();
