--- a/test/configuration/configurationFold.test.ts
+++ b/test/configuration/configurationFold.test.ts
@@ -32,9 +32,9 @@
 
 describe("ConfigurationFold", () => {
     describe("apply", () => {
-        // Two operators change the same key at once. Without one decision for all readers, one half of the entries would
-        // run by one operator's word and the other half by the other's.
-        it("accepts the first of two racing changes and names it to the second", () => {
+        // Two operators change the same key concurrently. If readers decided differently, some entries would apply one
+        // operator's value and the others the other operator's value.
+        it("accepts the first of two concurrent changes and names it in the rejection of the second", () => {
             const { verdicts } = foldAll([
                 createPublication(smallTree),
                 createPublication([raisePriority], { basedOn: 1, author: "bruno" }),
@@ -49,7 +49,7 @@
             });
         });
 
-        it("accepts racing changes of different keys", () => {
+        it("accepts concurrent changes of different keys", () => {
             const records = [
                 createPublication(smallTree),
                 createPublication([raisePriority], { basedOn: 1 }),
@@ -58,8 +58,8 @@
             expect(getOutcomes(records)).toEqual(["accepted", "accepted", "accepted"]);
         });
 
-        // One operator removes a workspace while another edits it. The edit must not bring half of it back.
-        it("rejects a change below a section that was removed meanwhile, and the other way round", () => {
+        // One operator removes a workspace while another edits it. The edit must not restore a part of the workspace.
+        it("rejects a change below a concurrently removed section, and the removal of a concurrently changed section", () => {
             const removal: Change = { section: "workspace.bench", key: "*" };
             const edit: Change = { section: "workspace.bench.application.desk", key: "priority", value: "3" };
             const base = createPublication(smallTree);
@@ -68,7 +68,7 @@
                 .toEqual("rejected");
             expect(getOutcomes([base, createPublication([edit], late), createPublication([removal], late)]).at(-1))
                 .toEqual("rejected");
-            // The workspace was added again, so that only the removal tells that the edit is out of date.
+            // The workspace was added again, so that only the removal shows that the edit is out of date.
             const again = createPublication([{ section: "workspace.bench", key: "priority", value: "4" }], {
                 basedOn: 2,
             });
@@ -78,9 +78,9 @@
                 .toEqual("rejected");
         });
 
-        // Somebody edits the version's status while somebody else withdraws it because its answers are wrong. If the
-        // withdrawal lost the race, callers would go on getting those answers.
-        it("never loses a withdrawal to a race", () => {
+        // An operator edits the version's status while another withdraws the version because its answers are wrong. If the
+        // withdrawal were rejected, callers would continue to receive these answers.
+        it("never rejects a withdrawal because of a concurrent change", () => {
             const { fold, verdicts } = foldAll([
                 createPublication(smallTree),
                 createPublication([{ ...servePlan, value: "draining" }], { basedOn: 1 }),
@@ -91,7 +91,7 @@
             expect(fold.getConfiguration().getVersionOrThrow("plan@1").status).toEqual("withdrawn");
         });
 
-        it("puts a withdrawal in force although the rest of its record is beaten or invalid", () => {
+        it("puts a withdrawal in force although the rest of its record is superseded or invalid", () => {
             for (const other of [lowerPriority, { ...raisePriority, value: "urgent" }]) {
                 const { fold, verdicts } = foldAll([
                     createPublication(smallTree),
@@ -107,8 +107,9 @@
             }
         });
 
-        // A version's section is removed and added again by somebody who had not seen its withdrawal in between.
-        it("does not let an author who has not seen a withdrawal bring the version back", () => {
+        // A version's section is removed, withdrawn, and then added again by an author who has not read the withdrawal. If the
+        // version were restored, callers would receive its answers again.
+        it("does not let an author who has not read a withdrawal restore the version", () => {
             const { fold } = foldAll([
                 createPublication(smallTree),
                 createPublication([{ section: "version.plan@1", key: "*" }], { basedOn: 1 }),
@@ -118,7 +119,7 @@
             expect(fold.getConfiguration().getVersionOrThrow("plan@1").status).toEqual("withdrawn");
         });
 
-        it("lets an author who has seen a withdrawal lift it", () => {
+        it("lets an author who has read a withdrawal lift it", () => {
             const { fold } = foldAll([
                 createPublication(smallTree),
                 createPublication([withdrawPlan], { basedOn: 1 }),
@@ -127,9 +128,9 @@
             expect(fold.getConfiguration().getVersionOrThrow("plan@1").status).toEqual("serving");
         });
 
-        // A publication was rejected because its version did not exist yet, and its repeat arrives after somebody added the
-        // version. Its author was told that it was rejected, so it must not come into force behind the author's back.
-        it("ignores the repeat of a rejected record that would be valid by now", () => {
+        // A publication was rejected because its version did not exist yet, and its repeat arrives after the version was
+        // added. The rejection was reported to the author, so the repeat must not come into force unnoticed.
+        it("ignores the repeat of a rejected record that would now be valid", () => {
             const early = createPublication([{ section: "workspace.bench", key: "allowed", value: "new@1" }], {
                 basedOn: 1,
             });
@@ -146,7 +147,7 @@
             expect(fold.getConfiguration().getTree().get("workspace.bench")?.has("allowed")).toEqual(false);
         });
 
-        it("rejects a record with any mistake as a whole", () => {
+        it("rejects a record with any error as a whole", () => {
             const wrong: readonly Change[] = [
                 { section: "workspace.bench", key: "priorty", value: "1" },
                 { section: "workspace.bench", key: "priority", value: "10" },
@@ -165,7 +166,7 @@
             }
         });
 
-        it("rejects a publication based on a tree that is too old or not there yet", () => {
+        it("rejects a publication based on a tree that is too old or does not exist yet", () => {
             const filler: LogRecord = { id: "filler", kind: "other", format: 1, writer: "test", body: {} };
             const fold = new ConfigurationFold();
             const entries = createLogEntries([
@@ -179,9 +180,9 @@
             expect(outcomes.slice(-3)).toEqual(["rejected", "rejected", "accepted"]);
         });
 
-        // An older release knows no sections of pools and rejects them. Accepted here, a record of its format would part
-        // this entry's tree from the older one's, and nobody would see it.
-        it("judges a record by its own format, and writes what needs a newer one in that", () => {
+        // An older release does not support pool sections and rejects them. If this release accepted them in a record of the
+        // older format, its tree would diverge from that of older entries, and nothing would report it.
+        it("validates a record by its own format, and writes a record in a newer format only if its sections require it", () => {
             const orders: Change = { section: "pool.lm-pool", key: "orders", value: "true" };
             const older = foldAll([createPublication(smallTree), createPublication([orders], { basedOn: 1 })]);
             expect(older.verdicts.map(verdict => verdict.outcome)).toEqual(["accepted", "rejected"]);
@@ -195,9 +196,9 @@
             expect(plain.format).toEqual(1);
         });
 
-        // A newer release publishes a format that this one does not know. Passing over it would leave this entry with a
-        // tree of its own that it calls current.
-        it("stops at a record of a newer format and folds nothing after it", () => {
+        // A newer release publishes a format that this release does not support. If the record were skipped, this entry would
+        // report a diverged tree as up to date.
+        it("stops at a record of a newer format and folds no later record", () => {
             const { fold, verdicts } = foldAll([
                 createPublication(smallTree),
                 createPublication([raisePriority], { basedOn: 1, format: treeFormat + 1 }),
@@ -216,8 +217,9 @@
     });
 
     describe("every reader", () => {
-        // Operators race, records are repeated after lost acknowledgements, readers start from snapshots and read entries
-        // again. Whatever the mixture, entries that read the same stream must hold the same tree.
+        // Operators publish concurrently, records are repeated after lost acknowledgements, and readers start from snapshots
+        // and receive entries again. Entries that read the same stream must still have the same tree; otherwise callers get
+        // different settings at different entries.
         it("reaches the same state, from the start or from a snapshot, with entries delivered again", () => {
             fc.assert(fc.property(createStream(), fc.nat(), fc.nat(), (records, snapshotSeed, repeatSeed) => {
                 const entries = createLogEntries(records);
@@ -234,7 +236,7 @@
             }));
         });
 
-        it("keeps a withdrawal until an author who has seen it lifts it", () => {
+        it("keeps a withdrawal until an author who has read it lifts it", () => {
             fc.assert(fc.property(createStream(), records => {
                 const fold = new ConfigurationFold();
                 let withdrawnAt: number | undefined;
@@ -263,7 +265,7 @@
     });
 }
 
-/** Draws a stream of publications that race, contradict, repeat and break each other. */
+/** Generates a stream of publications that are concurrent, conflicting, repeated or invalid. */
 function createStream(): fc.Arbitrary<readonly LogRecord[]> {
     const change = fc.constantFrom<Change>(
         raisePriority,
--- a/test/configuration/configurationReader.test.ts
+++ b/test/configuration/configurationReader.test.ts
@@ -30,7 +30,7 @@
     return { reader, client, clock, names, priorities };
 }
 
-// A reader that a failed test left running would keep the test process from ending.
+// A reader that still runs after a failed test would keep the test process alive.
 afterEach(async () => {
     for (const reader of started.splice(0)) {
         await reader.stop();
@@ -45,7 +45,7 @@
     return { section: "workspace.bench", key: "priority", value: String(value) };
 }
 
-/** Appends the small tree at offset 0 and then one change of a priority for each value. */
+/** Appends the small tree at offset 0 and then one priority change for each value. */
 function fillLog(log: MemoryLog, ...values: readonly number[]): void {
     log.append(createPublication(smallTree));
     for (const value of values) {
@@ -53,7 +53,7 @@
     }
 }
 
-/** Makes the state that a fold of the log's first records has. */
+/** Returns the state of a fold after the first records of the log. */
 function createState(log: MemoryLog, covers: number): unknown {
     const fold = new ConfigurationFold();
     for (const entry of log.getEntries().slice(0, covers)) {
@@ -75,8 +75,8 @@
             expect(reader.getAge() < Infinity).toEqual(true);
         });
 
-        // A VM starts after the first records have expired. It must build the tree from the newest snapshot and what
-        // follows it, or its callers are refused for good.
+        // A VM starts after the first records have expired. It must build the tree from the latest snapshot and the records
+        // after it. Otherwise, it refuses its callers permanently.
         it("starts from a snapshot and its tail when earlier records have expired", async () => {
             const log = new MemoryLog();
             fillLog(log, 3, 4);
@@ -92,7 +92,8 @@
                 .toEqual(["configuration-gap", "configuration-recovered"]);
         });
 
-        // The records between a snapshot and the oldest kept one are gone too. Folding on would lose their changes.
+        // The records between the snapshot and the earliest retained record have expired too. Folding on would lose their
+        // changes.
         it("does not start from a snapshot that does not reach the oldest record", async () => {
             const log = new MemoryLog();
             fillLog(log, 3, 4, 5);
@@ -106,8 +107,9 @@
             expect(reader.getAge()).toEqual(Infinity);
         });
 
-        // A lease holder was paused between taking a snapshot and appending it, and meanwhile changes were accepted.
-        it("is not taken back by a snapshot that a slow writer appended late", async () => {
+        // A lease holder is paused between creating a snapshot and appending it, and changes are accepted in the meantime. If
+        // readers adopted the snapshot, they would lose these changes.
+        it("is not reverted by a snapshot that a slow writer appended late", async () => {
             const log = new MemoryLog();
             fillLog(log, 3);
             const old = createState(log, 1);
@@ -119,9 +121,9 @@
             expect(priorities).toEqual([2, 3]);
         });
 
-        // A node was cut off for longer than the log keeps records, and nobody wrote a snapshot. It keeps what it has, but
-        // must not call it fresh: a withdrawal may lie in the hole.
-        it("keeps what it has, unconfirmed, when a gap has no snapshot", async () => {
+        // A node was partitioned from the log for longer than the log retains records, and no snapshot was written. The node
+        // keeps its configuration but must not report it as up to date: the gap may contain a withdrawal.
+        it("keeps its configuration, unconfirmed, when no snapshot covers a gap", async () => {
             const log = new MemoryLog();
             fillLog(log, 3);
             const { reader, clock, names } = createReader(log);
@@ -142,8 +144,8 @@
         });
     });
 
-    describe("offer", () => {
-        it("takes over a newer state while the log is away, and goes on from it afterwards", async () => {
+    describe("importState", () => {
+        it("adopts a newer state while the log is unavailable, and continues from it afterwards", async () => {
             const log = new MemoryLog();
             fillLog(log, 3, 4);
             const { reader, priorities } = createReader(log);
@@ -154,8 +156,9 @@
             expect(priorities).toEqual([3, 4]);
         });
 
-        // A peer that was restarted or that mislabels its state offers an older one. A withdrawn version would answer again.
-        it("refuses a state that is not newer, whatever it is said to cover", async () => {
+        // A peer that was restarted, or that reports a wrong offset, sends an older state. If it were adopted, a withdrawn
+        // version would answer again.
+        it("refuses a state that is not newer, even if the peer reports a newer offset", async () => {
             const log = new MemoryLog();
             fillLog(log, 3, 4);
             const { reader } = createReader(log);
@@ -167,7 +170,7 @@
             expect(getPriority(reader.getConfiguration())).toEqual(4);
         });
 
-        it("fills a hole that the log has no snapshot for", async () => {
+        it("fills a gap that no snapshot in the log covers", async () => {
             const log = new MemoryLog();
             fillLog(log, 3, 4, 5);
             log.expireBefore(2);
@@ -180,8 +183,9 @@
             expect(getPriority(reader.getConfiguration())).toEqual(5);
         });
 
-        // The log was replaced by an empty one, or the URL is wrong. Reading it to its end confirms nothing.
-        it("does not count a log that ends before the offered state as a confirmation", async () => {
+        // The log was replaced by an empty one, or its URL is wrong. Reading it to the end must not confirm the configuration:
+        // the entry would accept work with a configuration that the log does not contain.
+        it("is not confirmed by a log that ends before the imported state", async () => {
             const log = new MemoryLog();
             fillLog(log, 3, 4);
             const { reader, names } = createReader(new MemoryLog());
@@ -194,7 +198,7 @@
     });
 
     describe("confirm", () => {
-        it("never makes the configuration look older", () => {
+        it("never increases the age of the configuration", () => {
             const { reader, clock } = createReader(new MemoryLog());
             clock.advance(1_000);
             reader.confirm(900);
@@ -206,7 +210,7 @@
 
 describe("SnapshotWriter", () => {
     describe("writeIfDue", () => {
-        it("writes when the interval or the records are up, and a fresh reader starts from it", async () => {
+        it("writes a snapshot when the interval or the maximum number of records is reached, and a new reader starts from it", async () => {
             const log = new MemoryLog();
             fillLog(log, 3, 4);
             const { reader, client, clock } = createReader(log);
--- a/test/configuration/records.ts
+++ b/test/configuration/records.ts
@@ -1,10 +1,10 @@
 /**
- * Builds entries of the `config` stream for tests.
+ * Creates entries of the `config` stream for tests.
  */
 import type { Change } from "../../src/configuration/index.js";
 import type { LogEntry, LogRecord } from "../../src/log/index.js";
 
-/** Changes that make a small valid tree. */
+/** Changes that create a small valid tree. */
 export const smallTree: readonly Change[] = [
     { section: "version.plan@1", key: "status", value: "serving" },
     { section: "version.plan@1", key: "input_price", value: "2" },
@@ -24,7 +24,7 @@
 
 let counter = 0;
 
-/** Makes a `publish` record. */
+/** Creates a `publish` record. */
 export function createPublication(changes: readonly Change[], options: PublicationOptions = {}): LogRecord {
     counter += 1;
     const author = options.author ?? "anna";
@@ -37,7 +37,7 @@
     };
 }
 
-/** Puts records into a stream, from an offset on. */
+/** Wraps records as log entries, with offsets from the given one on. */
 export function createLogEntries(records: readonly LogRecord[], from = 0): readonly LogEntry[] {
     return records.map((record, index) => ({ offset: from + index, time: 1_000 + index, record }));
 }
--- a/test/events/lineWriter.test.ts
+++ b/test/events/lineWriter.test.ts
@@ -9,7 +9,7 @@
     return { event: 1, name: "e", level, process: "p", time: 0, counter, request: `r${counter}` };
 }
 
-/** A reader of lines that takes none until it is told to. */
+/** Creates an output that collects lines, or one that never accepts any. */
 function createOutput(isStalled: boolean) {
     const lines: EventLine[] = [];
     const writes: string[] = [];
@@ -28,9 +28,10 @@
 }
 
 describe("LineWriter", () => {
-    // A burst of requests writes thousands of lines a second. The volume stays bounded, says how much is missing, and leaves
-    // room for warnings, which are what an operator looks for then.
-    it("bounds the volume, says what it left out, and still writes warnings", () => {
+    // A burst of requests writes thousands of lines per second and fills the disk or delays the process. The volume must stay
+    // bounded, the number of dropped lines must be reported, and warnings must still be written, because an operator needs
+    // them in this situation.
+    it("bounds the volume, reports the number of dropped lines, and still writes warnings", () => {
         const clock = new ManualClock();
         const { lines, output } = createOutput(false);
         const writer = new LineWriter({ clock, output });
@@ -51,8 +52,8 @@
         expect([lines.at(-1)?.counter, writer.getDroppedCount()]).toEqual([10_000, 5_000 - written]);
     });
 
-    // Every line was a write of its own, and a fifth of the processor time of a stream went there: callers wait for that.
-    it("writes lines together, and warnings at once", async () => {
+    // With one write per line, writing takes a fifth of the processor time of a stream, and callers wait longer.
+    it("writes lines in batches, and warnings immediately", async () => {
         const { lines, writes, output } = createOutput(false);
         const writer = new LineWriter({ clock: new ManualClock(), output });
         for (let index = 0; index < 20; index += 1) {
@@ -66,8 +67,9 @@
         expect([writes.length, lines.length]).toEqual([2, 22]);
     });
 
-    // Whoever reads the lines has stalled. The process must neither wait for it nor keep lines without end.
-    it("leaves lines out while nobody reads them", () => {
+    // The reader of the lines has stalled. If the process waited for it, callers would wait too; if it buffered all lines, its
+    // memory would grow without limit.
+    it("drops lines while the reader is stalled", () => {
         const clock = new ManualClock();
         const { output } = createOutput(true);
         const writer = new LineWriter({ clock, output });
@@ -81,8 +83,9 @@
         expect(output.writableLength < 600 * 1_024).toEqual(true);
     });
 
-    // Whoever reads the lines dies. The error of the next write ended the process, so that callers lost a node for its log.
-    it("goes on without lines when their reader is gone", async () => {
+    // The reader of the lines dies. Without a handler, the error of the next write ends the process, and callers lose a node
+    // because of its log output.
+    it("continues without writing lines after the reader has died", async () => {
         const output = new Writable({ write: (...[, , callback]) => callback(new Error("EPIPE")) });
         const writer = new LineWriter({ clock: new ManualClock(), output });
         writer.write(createLine("warning", 1));
--- a/test/settings/entrySettings.test.ts
+++ b/test/settings/entrySettings.test.ts
@@ -38,8 +38,8 @@
         expect(settings.tls.certificate).toEqual(undefined);
     });
 
-    // A file with several mistakes is tried again and again when only the first is named.
-    it("reports every mistake with its line, its key and what to write instead", () => {
+    // If only the first of several errors is reported, an operator has to start the process once per error.
+    it("reports every error with its line, its key and what to write instead", () => {
         const content = validEntry
             .replace("callers = 127.20.2.1:8080 ; towards callers", "callers = entry.example:8080")
             .replace("lease_term_ms = 8000", "lease_tern_ms = 8000\nlog_wait_ms = 2s\nlog_wait_ms = 5")
@@ -49,23 +49,24 @@
             "entry.ini:0: [session] signing_key: The key is missing. Write, for instance, signing_key = "
             + "replace-me-with-32-random-characters.",
             "entry.ini:3: [process] name: The key is missing. Write, for instance, name = entry-1.",
-            "entry.ini:4: [process] The line is no section, key or comment. Write key = value, [section] or ; comment.",
-            "entry.ini:8: [listen] callers: \"entry.example:8080\" cannot be used. Write an IP number and a port, such as "
-            + "10.0.1.11:8080; host names are not looked up.",
-            "entry.ini:17: [timing] lease_tern_ms: The key is not known here. Did you mean lease_term_ms?",
-            "entry.ini:18: [timing] log_wait_ms: \"2s\" cannot be used. Write a whole number of milliseconds from 1 to 600000, "
-            + "such as 2000.",
-            "entry.ini:19: [timing] log_wait_ms: The key already stands on line 18. Keep one of the two.",
-            "entry.ini:20: [sesion] The section is not known. Did you mean [session]?",
+            "entry.ini:4: [process] The line is not a section, key or comment. Write key = value, [section] or ; comment.",
+            "entry.ini:8: [listen] callers: \"entry.example:8080\" is not a valid value. Write an IP address and a port, "
+            + "such as 10.0.1.11:8080; host names are not resolved.",
+            "entry.ini:17: [timing] lease_tern_ms: The key is unknown in this section. Did you mean lease_term_ms?",
+            "entry.ini:18: [timing] log_wait_ms: \"2s\" is not a valid value. Write a whole number of milliseconds from 1 to "
+            + "600000, such as 2000.",
+            "entry.ini:19: [timing] log_wait_ms: The key is already set on line 18. Remove one of the two.",
+            "entry.ini:20: [sesion] The section is unknown. Did you mean [session]?",
         ]);
     });
 
-    // A certificate without its key: peers would refuse each other, or a reader of the code would fall back to no TLS.
-    it("refuses half a section of certificates and a short signing key", () => {
+    // A section has a certificate but lacks its key or authority. Peers would reject each other's connections, or a process
+    // would fall back to unencrypted connections.
+    it("rejects an incomplete section of certificates and a short signing key", () => {
         const half = getErrors(`${validEntry}[tls]\ncertificate = a.pem\nkey = a.key\n`);
         expect(half).toEqual([
-            "entry.ini:20: [tls] authority: The key is missing beside the others of this section. Give certificate, key and "
-            + "authority, or remove the section.",
+            "entry.ini:20: [tls] authority: The key is missing, but other keys of this section are set. Set certificate, key "
+            + "and authority, or remove the section.",
         ]);
         const upstreams = getErrors(`${validEntry}[upstream_tls]\nauthority = a.pem\n`);
         expect(upstreams.length).toEqual(2);
@@ -73,9 +74,9 @@
         expect(short.length).toEqual(1);
     });
 
-    it("takes names of objects' own properties for unknown keys", () => {
+    it("reports names of built-in object properties as unknown keys", () => {
         const errors = getErrors(validEntry.replace("[timing]", "[timing]\nconstructor = 1\n__proto__ = 2"));
-        expect(errors.map(mistake => mistake.includes("not known") || mistake.includes("no section")))
+        expect(errors.map(mistake => mistake.includes("unknown") || mistake.includes("not a section")))
             .toEqual([true, true]);
     });
 });
--- a/test/settings/reference.test.ts
+++ b/test/settings/reference.test.ts
@@ -7,11 +7,11 @@
 const schemas = [treeSchema, entrySchema, ledgerSchema, siteSchema];
 
 describe("formatReference", () => {
-    it("gives what docs/SETTINGS.md holds", () => {
+    it("returns the content of docs/SETTINGS.md", () => {
         expect(readFileSync("docs/SETTINGS.md", "utf8")).toEqual(formatReference(schemas));
     });
 
-    it("shows examples and defaults that pass their own checks", () => {
+    it("contains only examples and defaults that pass validation", () => {
         for (const schema of schemas) {
             for (const section of schema.sections) {
                 for (const [name, key] of Object.entries(section.keys)) {
--- a/test/timeline/timeLine.test.ts
+++ b/test/timeline/timeLine.test.ts
@@ -8,9 +8,9 @@
 }
 
 describe("mergeEvents", () => {
-    // The clock of one VM is half a minute behind. By wall-clock times its answer would stand before the question that
-    // another VM asked, and an operator would look for the cause in the wrong place.
-    it("shows a cause before its effect in spite of unequal clocks", () => {
+    // The clock of one VM is half a minute behind. Sorted by wall-clock time, its answer would precede the request from
+    // another VM, and an operator would look for the cause in the wrong place.
+    it("shows a cause before its effect although the clocks differ", () => {
         const question = createLine("entry-1", 5, 100_000);
         const answer = createLine("entry-2", 6, 70_000);
         const merged = mergeEvents([answer, question]);
@@ -18,7 +18,7 @@
         expect(merged.map(({ shownMilliseconds }) => shownMilliseconds)).toEqual([0, 0]);
     });
 
-    it("drops repeats", () => {
+    it("removes duplicates", () => {
         const line = createLine("entry-1", 1, 0);
         expect(mergeEvents([line, { ...line }]).length).toEqual(1);
     });
@@ -30,14 +30,14 @@
 });
 
 describe("formatTimeLine", () => {
-    it("writes time, process, number, name and facts", () => {
+    it("formats time, process, number, name and fields", () => {
         const merged = mergeEvents([createLine("entry-1", 1, 10), createLine("entry-1", 2, 35, { version: "a@1" })]);
         expect(formatTimeLine(merged).split("\n")[1]).toEqual("    +25 ms  entry-1  402 event-2  version=a@1");
     });
 });
 
 describe("createTimeLinePage", () => {
-    it("escapes what events carry", () => {
+    it("escapes the fields of events", () => {
         const page = createTimeLinePage("a <b>", mergeEvents([createLine("entry-1", 1, 0, { text: "<script>" })]));
         expect(page).not.toEqual(expect.includes("<script>"));
         expect(page).toEqual(expect.includes("&lt;script&gt;"));
