--- a/src/command/changeText.ts
+++ b/src/command/changeText.ts
@@ -20,11 +20,11 @@
 
 function formatChange(tree: Tree, change: Change): string {
     const previousValue = tree.get(change.section)?.get(change.key);
-    const place = `[${change.section}] ${change.key}`;
+    const location = `[${change.section}] ${change.key}`;
     if (change.value === undefined) {
-        return `- ${place} = ${previousValue ?? ""}`;
+        return `- ${location} = ${previousValue ?? ""}`;
     }
     return previousValue === undefined
-        ? `+ ${place} = ${change.value}`
-        : `~ ${place} = ${previousValue} -> ${change.value}`;
+        ? `+ ${location} = ${change.value}`
+        : `~ ${location} = ${previousValue} -> ${change.value}`;
 }
--- a/src/command/controlSession.ts
+++ b/src/command/controlSession.ts
@@ -33,7 +33,7 @@
         this.#options = options;
         this.#client = new LogClient({ url: options.logUrl, clock: options.clock });
         this.rollouts = new RolloutFold({
-            isCurrentFencingToken: fence => this.leases.isCurrentFencingToken("control", fence),
+            isCurrentFencingToken: fencingToken => this.leases.isCurrentFencingToken("control", fencingToken),
         });
         this.#reader = new ControlReader({
             follow: follow =>
@@ -72,8 +72,8 @@
     async append(kind: string, body: unknown): Promise<Result<number, Failure>> {
         const { author, timeoutMilliseconds } = this.#options;
         const record = { id: randomUUID(), kind, format: recordFormat, writer: `rattanlock/${author}`, body };
-        const known = this.#reader.getOffset();
-        const appended = await this.#client.appendAndConfirm("control", record, known, timeoutMilliseconds);
+        const knownOffset = this.#reader.getOffset();
+        const appended = await this.#client.appendAndConfirm("control", record, knownOffset, timeoutMilliseconds);
         if (appended.isErr()) {
             return err(appended.error);
         }
--- a/src/command/explain.ts
+++ b/src/command/explain.ts
@@ -16,12 +16,14 @@
     async run(): Promise<object> {
         const { args, flags } = await this.parse(ExplainCommand);
         const nodes = await this.fetchStatuses(flags);
-        const answers = await fetchFromNodes(nodes, `/explain/${encodeURIComponent(args.request)}`);
-        for (const [entry, answer] of answers) {
-            const { lines } = answer as Explanation;
+        const responses = await fetchFromNodes(nodes, `/explain/${encodeURIComponent(args.request)}`);
+        for (const [entry, response] of responses) {
+            const { lines } = response as Explanation;
             this.log(`${entry}:\n${lines.map(line => `  ${line}`).join("\n")}`);
             return { entry, request: args.request, lines };
         }
-        return this.failRefused(`No entry has data about the request ${args.request}. Only recent requests are retained.`);
+        return this.failRefused(
+            `No entry has data about the request ${args.request}. Only recent requests are retained.`,
+        );
     }
 }
--- a/src/command/history.ts
+++ b/src/command/history.ts
@@ -6,20 +6,23 @@
 
 /** Lists publications with their outcomes. */
 export class HistoryCommand extends OperatorCommand {
-    static override summary = "Lists the latest publications with their outcomes, and which change superseded a rejected one.";
+    static override summary =
+        "Lists the latest publications with their outcomes, and which change superseded a rejected one.";
     static override examples = ["<%= config.bin %> history --site site.ini --last 5"];
-    static override flags = { last: Flags.integer({ description: "Maximum number of publications.", default: 20, min: 1, max: 100 }) };
+    static override flags = {
+        last: Flags.integer({ description: "Maximum number of publications.", default: 20, min: 1, max: 100 }),
+    };
 
     async run(): Promise<object> {
         const { flags } = await this.parse(HistoryCommand);
         const history = (await this.readConfiguration(flags)).getHistory().slice(-flags.last);
-        const rows = history.map(verdict => [
-            String(verdict.offset),
-            new Date(verdict.time).toISOString(),
-            verdict.author,
-            verdict.outcome,
-            String(verdict.changes),
-            describeResult(verdict),
+        const rows = history.map(result => [
+            String(result.offset),
+            new Date(result.time).toISOString(),
+            result.author,
+            result.outcome,
+            String(result.changes),
+            describeResult(result),
         ]);
         this.log(formatTable(["OFFSET", "TIME", "AUTHOR", "OUTCOME", "CHANGES", "REASON"], rows));
         return { history };
--- a/src/command/nodeStatus.ts
+++ b/src/command/nodeStatus.ts
@@ -16,7 +16,7 @@
     peerPort: z.number().optional(),
     operatorPort: z.number().optional(),
 });
-const listSchema = z.object({ vms: z.array(vmSchema) });
+const vmListSchema = z.object({ vms: z.array(vmSchema) });
 const statusSchema = z.object({
     configurationOffset: z.number(),
     configurationAgeMilliseconds: z.number().optional(),
@@ -48,7 +48,7 @@
     operatorPort: number | undefined,
 ): Promise<Result<readonly NodeStatus[], Failure>> {
     try {
-        const { vms } = listSchema.parse(await fetchJson(new URL("/vms", vmListUrl).href));
+        const { vms } = vmListSchema.parse(await fetchJson(new URL("/vms", vmListUrl).href));
         const entries = vms.filter(vm => vm.role === "entry");
         return ok(await Promise.all(entries.map(vm => fetchNodeStatus(vm, operatorPort))));
     }
@@ -67,15 +67,15 @@
 async function fetchNodeStatus(vm: z.infer<typeof vmSchema>, operatorPort: number | undefined): Promise<NodeStatus> {
     const port = vm.operatorPort ?? operatorPort ?? (vm.peerPort ?? 0) + 1;
     const address = `${vm.address}:${port}`;
-    const known = { id: vm.id, address, failureDomain: vm.failureDomain, state: vm.state };
+    const vmFields = { id: vm.id, address, failureDomain: vm.failureDomain, state: vm.state };
     try {
         const status = statusSchema.parse(await fetchJson(`http://${address}/status`));
         const { configurationOffset, configurationAgeMilliseconds, ready, ownProtocol: protocol } = status;
-        return { ...known, configurationOffset, configurationAgeMilliseconds, ready: ready ?? true, protocol };
+        return { ...vmFields, configurationOffset, configurationAgeMilliseconds, ready: ready ?? true, protocol };
     }
     catch {
         return {
-            ...known,
+            ...vmFields,
             configurationOffset: undefined,
             configurationAgeMilliseconds: undefined,
             ready: false,
@@ -94,16 +94,16 @@
     nodes: readonly NodeStatus[],
     path: string,
 ): Promise<ReadonlyMap<string, unknown>> {
-    const answers = new Map<string, unknown>();
+    const responses = new Map<string, unknown>();
     await Promise.all(nodes.map(async node => {
         try {
-            answers.set(node.id, await fetchJson(`http://${node.address}${path}`));
+            responses.set(node.id, await fetchJson(`http://${node.address}${path}`));
         }
         catch {
             // An entry that does not answer is omitted; `rattanlock status` shows it.
         }
     }));
-    return answers;
+    return responses;
 }
 
 async function fetchJson(url: string): Promise<unknown> {
--- a/src/command/operatorCommand.ts
+++ b/src/command/operatorCommand.ts
@@ -65,7 +65,10 @@
         "vm-list": Flags.string({ description: "URL of the platform's VM list.", env: "RATTANLOCK_VM_LIST" }),
         site: Flags.string({ description: "INI file that contains both URLs.", env: "RATTANLOCK_SITE" }),
         timeout: Flags.integer({ description: "Timeout for the platform, in seconds.", default: 15, min: 1 }),
-        author: Flags.string({ description: "Name of the operator who publishes.", default: async () => userInfo().username }),
+        author: Flags.string({
+            description: "Name of the operator who publishes.",
+            default: async () => userInfo().username,
+        }),
         "operator-port": Flags.integer({ description: "Entries' port for operators, if the VM list contains none." }),
     };
 
--- a/src/command/operatorSession.ts
+++ b/src/command/operatorSession.ts
@@ -36,7 +36,7 @@
             client: this.#client,
             clock,
             waitMilliseconds: logWaitMilliseconds,
-            onResult: verdict => this.#handleResult(verdict),
+            onResult: result => this.#handleResult(result),
         });
     }
 
@@ -109,7 +109,8 @@
 function createGapFailure(): Failure {
     return new Failure({
         kind: "gone",
-        message: "The configuration in the log has a gap that no snapshot covers, or a record in the format of a newer release.",
+        message:
+            "The configuration in the log has a gap that no snapshot covers, or a record in the format of a newer release.",
         remedy: "Upgrade this program, or wait until an entry has written a snapshot.",
     });
 }
--- a/src/command/rolloutStart.ts
+++ b/src/command/rolloutStart.ts
@@ -35,7 +35,9 @@
             this.failRefused(`Both ${candidate} and ${baseline} must be in the configuration. Publish them first.`);
         }
         if (candidateVersion.model !== baselineVersion.model) {
-            this.failRefused(`${candidate} and ${baseline} are versions of different models. Use two versions of one model.`);
+            this.failRefused(
+                `${candidate} and ${baseline} are versions of different models. Use two versions of one model.`,
+            );
         }
         if (candidateVersion.status === "withdrawn" || baselineVersion.status !== "serving") {
             this.failRefused(
--- a/src/command/rolloutStatus.ts
+++ b/src/command/rolloutStatus.ts
@@ -11,12 +11,13 @@
 
 /** Shows roll-outs, halts and the lease holder. */
 export class RolloutStatusCommand extends OperatorCommand {
-    static override summary = "Shows roll-outs with their stages, halted versions, and the holder of the roll-out lease.";
+    static override summary =
+        "Shows roll-outs with their stages, halted versions, and the holder of the roll-out lease.";
     static override examples = ["<%= config.bin %> rollout status --site site.ini"];
 
     async run(): Promise<object> {
         const { flags } = await this.parse(RolloutStatusCommand);
-        const waiting = await this.#fetchWaiting(flags);
+        const waiting = await this.#fetchWaitingRollouts(flags);
         return this.withControl(flags, async session => {
             const rollouts = session.rollouts.getRollouts();
             const halts = session.rollouts.getHalts();
@@ -42,13 +43,13 @@
     }
 
     /** Fetches the roll-outs that wait for their candidate from the entries. Returns none if no VM list is configured. */
-    async #fetchWaiting(flags: SiteFlags): Promise<ReadonlySet<string>> {
+    async #fetchWaitingRollouts(flags: SiteFlags): Promise<ReadonlySet<string>> {
         const url = this.findUrl(flags, "vm-list");
         if (url === undefined) {
             return new Set();
         }
         const nodes = (await fetchNodeStatuses(url, flags["operator-port"])).unwrapOr([]);
-        const answers = [...(await fetchFromNodes(nodes, "/status")).values()];
-        return new Set(answers.flatMap(answer => (answer as StatusResponse).waitingRollouts ?? []));
+        const responses = [...(await fetchFromNodes(nodes, "/status")).values()];
+        return new Set(responses.flatMap(response => (response as StatusResponse).waitingRollouts ?? []));
     }
 }
--- a/src/command/table.ts
+++ b/src/command/table.ts
@@ -4,12 +4,12 @@
 
 /**
  * Formats rows in columns that are as wide as their widest cell.
- * @param head - The columns' titles.
+ * @param titles - The columns' titles.
  * @param rows - The cells.
  */
-export function formatTable(head: readonly string[], rows: readonly (readonly string[])[]): string {
-    const widths = head.map((title, column) => Math.max(title.length, ...rows.map(row => row[column].length)));
-    const lines = [head, ...rows].map(row =>
+export function formatTable(titles: readonly string[], rows: readonly (readonly string[])[]): string {
+    const widths = titles.map((title, column) => Math.max(title.length, ...rows.map(row => row[column].length)));
+    const lines = [titles, ...rows].map(row =>
         row.map((cell, column) => cell.padEnd(widths[column])).join("  ").trimEnd()
     );
     return lines.join("\n");
--- a/src/command/upstreams.ts
+++ b/src/command/upstreams.ts
@@ -33,8 +33,8 @@
 
     async run(): Promise<object> {
         const { flags } = await this.parse(UpstreamsCommand);
-        const answers = await fetchFromNodes(await this.fetchStatuses(flags), "/status");
-        const upstreams = collectUpstreams([...answers.values()] as readonly StatusResponse[]);
+        const responses = await fetchFromNodes(await this.fetchStatuses(flags), "/status");
+        const upstreams = collectUpstreams([...responses.values()] as readonly StatusResponse[]);
         const rows = [...upstreams.values()].map(upstream => [
             upstream.id,
             upstream.pool,
@@ -51,15 +51,15 @@
     }
 }
 
-function collectUpstreams(answers: readonly StatusResponse[]): ReadonlyMap<string, UpstreamSummary> {
+function collectUpstreams(responses: readonly StatusResponse[]): ReadonlyMap<string, UpstreamSummary> {
     const orders = new Map<string, string>();
-    for (const pool of answers.flatMap(answer => answer.orders ?? [])) {
+    for (const pool of responses.flatMap(response => response.orders ?? [])) {
         for (const { id, loading, isStalled } of pool.runners) {
             orders.set(id, loading !== undefined ? `loads ${loading}` : isStalled ? "does not load" : "as wanted");
         }
     }
     const upstreams = new Map<string, UpstreamSummary>();
-    for (const upstream of answers.flatMap(answer => answer.upstreams ?? [])) {
+    for (const upstream of responses.flatMap(response => response.upstreams ?? [])) {
         const entries = (upstreams.get(upstream.id)?.entries ?? 0) + 1;
         upstreams.set(upstream.id, { ...upstream, entries, orders: orders.get(upstream.id) });
     }
--- a/src/command/versionChange.ts
+++ b/src/command/versionChange.ts
@@ -14,12 +14,12 @@
     status: VersionStatus,
 ): Result<Change, Failure> {
     if (configuration.getVersion(version) === undefined) {
-        const nearest = findClosestName(version, configuration.getVersions().map(known => known.id));
+        const closestName = findClosestName(version, configuration.getVersions().map(knownVersion => knownVersion.id));
         return err(
             new Failure({
                 kind: "invalid-input",
                 message: `There is no version ${version}.`,
-                remedy: nearest === undefined ? "See `rattanlock show versions`." : `Did you mean ${nearest}?`,
+                remedy: closestName === undefined ? "See `rattanlock show versions`." : `Did you mean ${closestName}?`,
             }),
         );
     }
--- a/src/configuration/checkTree.ts
+++ b/src/configuration/checkTree.ts
@@ -22,19 +22,23 @@
  * @param format - The format of the record that contains it.
  */
 export function checkChange(change: Change, format: number = treeFormat): TreeValidationError | undefined {
-    const place = { section: change.section, key: change.key };
+    const location = { section: change.section, key: change.key };
     const schema = findSectionSchema(getTreeSchema(format), change.section);
     if (schema === undefined) {
-        return { ...place, message: "The section is unknown.", remedy: "See docs/SETTINGS.md for the sections." };
+        return { ...location, message: "The section is unknown.", remedy: "See docs/SETTINGS.md for the sections." };
     }
     if (change.key === wholeSection) {
         return change.value === undefined
             ? undefined
-            : { ...place, message: "A change of a whole section cannot have a value.", remedy: "Omit the value to remove the section." };
+            : {
+                ...location,
+                message: "A change of a whole section cannot have a value.",
+                remedy: "Omit the value to remove the section.",
+            };
     }
     const key = getKey(schema, change.key);
     if (key === undefined) {
-        return { ...place, ...describeUnknownKey(change.key, schema) };
+        return { ...location, ...describeUnknownKey(change.key, schema) };
     }
     if (change.value === undefined) {
         return undefined;
@@ -42,7 +46,7 @@
     const parsed = key.parse(change.value);
     return parsed.isOk()
         ? undefined
-        : { ...place, message: `"${change.value}" is not a valid value.`, remedy: parsed.error };
+        : { ...location, message: `"${change.value}" is not a valid value.`, remedy: parsed.error };
 }
 
 /** Checks the sections of a tree against each other. Every value must have passed `checkChange` before. */
@@ -98,29 +102,33 @@
 
 function checkAllowed(tree: Tree, versions: readonly string[]): TreeValidationError[] {
     const errors: TreeValidationError[] = [];
-    const known = new Set([...versions, ...versions.map(getModel)]);
+    const knownNames = new Set([...versions, ...versions.map(getModel)]);
     for (const section of tree.keys()) {
         const patterns = getListItems(tree, section, "allowed");
         if (patterns === undefined) {
             continue;
         }
-        const place = { section, key: "allowed" };
-        const unknown = patterns.filter(pattern => pattern !== "*" && !known.has(pattern));
-        for (const pattern of unknown) {
-            const nearest = findClosestName(pattern, known);
+        const location = { section, key: "allowed" };
+        const unknownPatterns = patterns.filter(pattern => pattern !== "*" && !knownNames.has(pattern));
+        for (const pattern of unknownPatterns) {
+            const closestName = findClosestName(pattern, knownNames);
             errors.push({
-                ...place,
+                ...location,
                 message: `"${pattern}" is not a model or version in this tree.`,
-                remedy: nearest === undefined ? "Add a [version.MODEL@VERSION] for it." : `Did you mean ${nearest}?`,
+                remedy: closestName === undefined
+                    ? "Add a [version.MODEL@VERSION] for it."
+                    : `Did you mean ${closestName}?`,
             });
         }
         const lineage = getScopeLineage(section);
-        const hasRemaining = versions.some(version => isVersionAllowed(tree, lineage, version));
-        if (patterns.length > 0 && unknown.length === 0 && versions.length > 0 && !hasRemaining) {
+        const hasAllowedVersion = versions.some(version => isVersionAllowed(tree, lineage, version));
+        if (patterns.length > 0 && unknownPatterns.length === 0 && versions.length > 0 && !hasAllowedVersion) {
             errors.push({
-                ...place,
+                ...location,
                 message: "No version is allowed here, because the lists of the ancestors allow none of these.",
-                remedy: `Choose from the versions that ${lineage.slice(1).map(ancestor => `[${ancestor}]`).join(", ")} allow.`,
+                remedy: `Choose from the versions that ${
+                    lineage.slice(1).map(ancestor => `[${ancestor}]`).join(", ")
+                } allow.`,
             });
         }
     }
--- a/src/configuration/configurationFile.ts
+++ b/src/configuration/configurationFile.ts
@@ -25,7 +25,7 @@
             })),
             ...checkTree(tree),
         ]
-            .map(mistake => addLocation(mistake, document))
+            .map(error => addLocation(error, document))
             .sort((left, right) => left.line - right.line);
         return errors.length === 0 ? ok(tree) : err(errors);
     });
--- a/src/configuration/configurationFold.ts
+++ b/src/configuration/configurationFold.ts
@@ -76,10 +76,10 @@
             tree: [...this.#configuration.getTree()].map(([section, keys]) => [section, [...keys]]),
             touched: [...this.#latestChanges.getAll()],
             seen: [...this.#seenIds],
-            history: this.#history.map(verdict => ({
-                ...verdict,
-                mistakes: [...verdict.mistakes],
-                withdrawn: [...verdict.withdrawn],
+            history: this.#history.map(result => ({
+                ...result,
+                mistakes: [...result.mistakes],
+                withdrawn: [...result.withdrawn],
             })),
         };
     }
@@ -201,19 +201,19 @@
 }
 
 function checkChanges(changes: readonly Change[], format: number): readonly TreeValidationError[] {
-    return changes.map(change => checkChange(change, format)).filter(mistake => mistake !== undefined);
+    return changes.map(change => checkChange(change, format)).filter(error => error !== undefined);
 }
 
 function checkBasedOn(entry: LogEntry, publication: Publication, changes: readonly Change[]): TreeValidationError[] {
-    const place = { section: "", key: "" };
+    const location = { section: "", key: "" };
     if (publication.basedOn > entry.offset) {
         const message = `It is based on offset ${publication.basedOn}, which is after its own offset.`;
-        return [{ ...place, message, remedy: "Publish again from the tree in force." }];
+        return [{ ...location, message, remedy: "Publish again from the tree in force." }];
     }
     // Key changes are removed after the window. Conflicts with an older base could no longer be detected.
     if (changes.length > 0 && publication.basedOn < entry.offset - basedOnWindow) {
         const message = `It is based on a tree that is more than ${basedOnWindow} records old.`;
-        return [{ ...place, message, remedy: "Compare with the tree in force and publish again." }];
+        return [{ ...location, message, remedy: "Compare with the tree in force and publish again." }];
     }
     return [];
 }
--- a/src/configuration/configurationReader.ts
+++ b/src/configuration/configurationReader.ts
@@ -22,7 +22,7 @@
     /** Called whenever another configuration comes into force. */
     readonly onChange?: (configuration: Configuration) => void;
     /** Called for every record that was folded. */
-    readonly onResult?: (verdict: RecordResult) => void;
+    readonly onResult?: (result: RecordResult) => void;
     /** Timeout of a long poll of the log. */
     readonly waitMilliseconds?: number;
 }
@@ -57,7 +57,7 @@
             waitMilliseconds: options.waitMilliseconds,
             onEntry: entry => this.#handleEntry(entry),
             onGap: earliest => this.#handleGap(earliest),
-            onCaughtUp: askedAt => this.#handleCaughtUp(askedAt),
+            onCaughtUp: requestedAt => this.#handleCaughtUp(requestedAt),
         });
     }
 
--- a/src/configuration/treeSchema.ts
+++ b/src/configuration/treeSchema.ts
@@ -62,8 +62,7 @@
 /** Keys that a child scope inherits from its parent. */
 export const scopeKeys = {
     allowed: list({
-        description:
-            "Models (`plan-large`) and versions (`plan-large@3`) that requests may run on; `*` allows all. A "
+        description: "Models (`plan-large`) and versions (`plan-large@3`) that requests may run on; `*` allows all. A "
             + "child scope can only narrow the list: every ancestor with a list must allow the version too.",
         defaultText: "*",
         example: "plan-large, plan-small@2",
@@ -147,14 +146,21 @@
         max: 604_800,
         unit: "seconds",
     }),
-    max_input_price: createPriceKey("Versions above this input price are not used. A child scope can only lower the limit.", "2.00"),
-    max_output_price: createPriceKey("Versions above this output price are not used. A child scope can only lower the limit.", "8.00"),
+    max_input_price: createPriceKey(
+        "Versions above this input price are not used. A child scope can only lower the limit.",
+        "2.00",
+    ),
+    max_output_price: createPriceKey(
+        "Versions above this output price are not used. A child scope can only lower the limit.",
+        "8.00",
+    ),
 };
 
 /** Keys that only a workspace has. */
 export const workspaceOnlyKeys = {
     keys: list({
-        description: "SHA-256 hashes of the workspace's API keys. List two for a rotation without downtime; `rattanlock key` "
+        description:
+            "SHA-256 hashes of the workspace's API keys. List two for a rotation without downtime; `rattanlock key` "
             + "creates a key and its hash.",
         defaultText: "",
         example: "5d1c...64 hexadecimal digits",
@@ -204,7 +210,8 @@
         unit: "answers",
     }),
     quality_margin: decimal({
-        description: "How far the quality of a candidate may be below the stable version; a candidate below that counts as bad.",
+        description:
+            "How far the quality of a candidate may be below the stable version; a candidate below that counts as bad.",
         defaultText: "0.05",
         example: "0.02",
         min: 0.001,
@@ -250,7 +257,8 @@
         unit: "versions",
     }),
     loads_at_a_time: integer({
-        description: "Maximum number of runners of the pool that load a version concurrently, because the weight store is rate-limited.",
+        description:
+            "Maximum number of runners of the pool that load a version concurrently, because the weight store is rate-limited.",
         defaultText: "2",
         example: "8",
         min: 1,
--- a/src/events/catalogue.ts
+++ b/src/events/catalogue.ts
@@ -23,8 +23,18 @@
 /** The events that rattanlock processes can write. */
 export const events = {
     processStarted: define(100, "process-started", "info", "A process listens and is ready to accept work."),
-    processStopping: define(101, "process-stopping", "info", "A process was requested to stop and finishes the work in flight."),
-    processStopped: define(102, "process-stopped", "info", "A process finished the work in flight and exits with code 0."),
+    processStopping: define(
+        101,
+        "process-stopping",
+        "info",
+        "A process was requested to stop and finishes the work in flight.",
+    ),
+    processStopped: define(
+        102,
+        "process-stopped",
+        "info",
+        "A process finished the work in flight and exits with code 0.",
+    ),
     upstreamEjected: define(
         550,
         "upstream-ejected",
@@ -50,7 +60,12 @@
         "A plan was chosen for a request: a version, or a cascade of versions.",
     ),
     requestDispatched: define(401, "request-dispatched", "info", "A request is sent to an upstream."),
-    requestBilled: define(402, "request-billed", "info", "The bill of a request is stored on a second VM or in the log."),
+    requestBilled: define(
+        402,
+        "request-billed",
+        "info",
+        "The bill of a request is stored on a second VM or in the log.",
+    ),
     requestAnswered: define(403, "request-answered", "info", "A caller received its complete answer."),
     requestRefused: define(404, "request-refused", "info", "A request was refused, with the given outcome."),
     requestCrashed: define(405, "request-crashed", "error", "A request failed because of a bug in the entry."),
@@ -324,7 +339,12 @@
         "info",
         "An attempt at an upstream ended; the fields give the reasons for choosing the upstream and the result.",
     ),
-    requestEnded: define(423, "request-ended", "info", "A request received its final answer, or its caller disconnected."),
+    requestEnded: define(
+        423,
+        "request-ended",
+        "info",
+        "A request received its final answer, or its caller disconnected.",
+    ),
     rolloutOrdered: define(444, "rollout-ordered", "info", "The operator ordered the roll-out of a version to a pool."),
     rolloutProgressed: define(
         445,
@@ -357,5 +377,10 @@
         "warning",
         "The cached compiled code does not match this release or its flags; starts take twice as long until it is rebuilt.",
     ),
-    linesLeftOut: define(110, "lines-left-out", "warning", "The given number of log lines was dropped to bound the volume."),
+    linesLeftOut: define(
+        110,
+        "lines-left-out",
+        "warning",
+        "The given number of log lines was dropped to bound the volume.",
+    ),
 } as const satisfies Record<string, EventDefinition>;
--- a/src/events/lineWriter.ts
+++ b/src/events/lineWriter.ts
@@ -61,9 +61,9 @@
      */
     write(line: EventLine): void {
         this.#refill();
-        const reserve = line.level === "info" ? burstLines / 4 : 0;
+        const reservedLines = line.level === "info" ? burstLines / 4 : 0;
         const pendingLength = this.#output.writableLength + this.#bufferedLength;
-        if (this.#isBroken || this.#availableLines <= reserve || pendingLength > maxPendingBytes) {
+        if (this.#isBroken || this.#availableLines <= reservedLines || pendingLength > maxPendingBytes) {
             this.#droppedSinceReport += 1;
             this.#droppedTotal += 1;
             return;
--- a/src/settings/entrySettings.ts
+++ b/src/settings/entrySettings.ts
@@ -32,7 +32,10 @@
 });
 
 const listenSection = defineSection("listen", "Addresses on which the process listens.", {
-    callers: address({ description: "Address for callers: models, plain services and addresses.", example: "10.0.1.11:8080" }),
+    callers: address({
+        description: "Address for callers: models, plain services and addresses.",
+        example: "10.0.1.11:8080",
+    }),
     peers: address({ description: "Address for the other entries.", example: "10.0.1.11:8081" }),
     operators: address({
         description: "Address for operators: status, metrics, health and time line.",
@@ -129,8 +132,12 @@
 
 const certificateKeys = {
     certificate: optional(text({ description: "PEM file of the certificate.", example: "/etc/rattanlock/entry.pem" })),
-    key: optional(text({ description: "PEM file of the certificate's private key.", example: "/etc/rattanlock/entry.key" })),
-    authority: optional(text({ description: "PEM file of the certificate authority.", example: "/etc/rattanlock/authority.pem" })),
+    key: optional(
+        text({ description: "PEM file of the certificate's private key.", example: "/etc/rattanlock/entry.key" }),
+    ),
+    authority: optional(
+        text({ description: "PEM file of the certificate authority.", example: "/etc/rattanlock/authority.pem" }),
+    ),
     server_name: optional(text({
         description: "Name in the peer's certificates, if they contain a site name instead of each VM's IP address.",
         example: "site.catania.example",
@@ -181,7 +188,10 @@
 };
 
 const ledgerSection = defineSection("ledger", "Output of bills.", {
-    output: text({ description: "File to write bills to, one per line; - stands for standard output.", example: "bills.jsonl" }),
+    output: text({
+        description: "File to write bills to, one per line; - stands for standard output.",
+        example: "bills.jsonl",
+    }),
     follow: toggle({
         description: "Whether to continue reading at the end of the stream.",
         defaultText: "true",
--- a/src/settings/settingSchema.ts
+++ b/src/settings/settingSchema.ts
@@ -107,23 +107,23 @@
 
 /** Returns the error for an unknown key in a section, with the closest known key as a suggestion. */
 export function describeUnknownKey(key: string, schema: SectionSchema): Pick<ValidationError, "message" | "remedy"> {
-    const nearest = findClosestName(key, Object.keys(schema.keys));
+    const closestName = findClosestName(key, Object.keys(schema.keys));
     return {
         message: "The key is unknown in this section.",
-        remedy: nearest === undefined
+        remedy: closestName === undefined
             ? `Use one of ${Object.keys(schema.keys).join(", ")}.`
-            : `Did you mean ${nearest}?`,
+            : `Did you mean ${closestName}?`,
     };
 }
 
 function checkSection(file: string, section: SettingSection, schema: SectionSchema): ValidationError[] {
     const errors: ValidationError[] = [];
-    const place = { file, section: section.name };
+    const location = { file, section: section.name };
     for (const setting of section.lines.values()) {
         const key = getKey(schema, setting.key);
         if (key === undefined) {
             errors.push({
-                ...place,
+                ...location,
                 line: setting.line,
                 key: setting.key,
                 ...describeUnknownKey(setting.key, schema),
@@ -133,27 +133,27 @@
         const parsed = key.parse(setting.value);
         if (parsed.isErr()) {
             const message = `"${setting.value}" is not a valid value.`;
-            errors.push({ ...place, line: setting.line, key: setting.key, message, remedy: parsed.error });
+            errors.push({ ...location, line: setting.line, key: setting.key, message, remedy: parsed.error });
         }
     }
     for (const [name, key] of Object.entries(schema.keys)) {
         if (key.isRequired && !section.lines.has(name)) {
             const remedy = `Write, for instance, ${name} = ${key.example}.`;
-            errors.push({ ...place, line: section.line, key: name, message: "The key is missing.", remedy });
+            errors.push({ ...location, line: section.line, key: name, message: "The key is missing.", remedy });
         }
     }
     return errors;
 }
 
 function createUnknownSectionError(file: string, section: SettingSection, schema: SettingSchema): ValidationError {
-    const titles = schema.sections.map(known => known.title);
-    const nearest = findClosestName(section.name, titles);
+    const titles = schema.sections.map(knownSection => knownSection.title);
+    const closestName = findClosestName(section.name, titles);
     return {
         file,
         line: section.line,
         section: section.name,
         key: "",
         message: "The section is unknown.",
-        remedy: nearest === undefined ? `Use one of ${titles.join(", ")}.` : `Did you mean [${nearest}]?`,
+        remedy: closestName === undefined ? `Use one of ${titles.join(", ")}.` : `Did you mean [${closestName}]?`,
     };
 }
--- a/src/settings/validationError.ts
+++ b/src/settings/validationError.ts
@@ -25,19 +25,19 @@
 /**
  * Returns the known name that is closest to a given name, or undefined if none is close enough.
  * @param name - The given name.
- * @param known - The known names.
+ * @param knownNames - The known names.
  */
-export function findClosestName(name: string, known: Iterable<string>): string | undefined {
-    let nearest: string | undefined;
-    let nearestDistance = Math.max(2, Math.floor(name.length / 3)) + 1;
-    for (const candidate of known) {
+export function findClosestName(name: string, knownNames: Iterable<string>): string | undefined {
+    let closestName: string | undefined;
+    let minDistance = Math.max(2, Math.floor(name.length / 3)) + 1;
+    for (const candidate of knownNames) {
         const distance = getEditDistance(name, candidate);
-        if (distance < nearestDistance) {
-            nearest = candidate;
-            nearestDistance = distance;
+        if (distance < minDistance) {
+            closestName = candidate;
+            minDistance = distance;
         }
     }
-    return nearest;
+    return closestName;
 }
 
 /** Returns the Levenshtein distance: the number of insertions, deletions and substitutions that turn one text into another. */
@@ -46,8 +46,8 @@
     for (let row = 1; row <= from.length; row += 1) {
         const current = [row];
         for (let column = 1; column <= to.length; column += 1) {
-            const replaced = previous[column - 1] + (from[row - 1] === to[column - 1] ? 0 : 1);
-            current.push(Math.min(replaced, previous[column] + 1, current[column - 1] + 1));
+            const substitutionCost = previous[column - 1] + (from[row - 1] === to[column - 1] ? 0 : 1);
+            current.push(Math.min(substitutionCost, previous[column] + 1, current[column - 1] + 1));
         }
         previous = current;
     }
--- a/test/command/operatorSession.test.ts
+++ b/test/command/operatorSession.test.ts
@@ -43,8 +43,8 @@
                 while (session.reader.getOffset() === basedOn) {
                     await new Promise(resolve => setTimeout(resolve, 1));
                 }
-                const verdict = (await session.publish([change], basedOn, ""))._unsafeUnwrap();
-                expect([verdict.outcome, verdict.beatenBy?.author]).toEqual(["rejected", "bruno"]);
+                const result = (await session.publish([change], basedOn, ""))._unsafeUnwrap();
+                expect([result.outcome, result.beatenBy?.author]).toEqual(["rejected", "bruno"]);
             });
         });
 
@@ -59,9 +59,9 @@
             };
             await withSession(log, async session => {
                 const publishing = session.publish([change], session.reader.getOffset(), "");
-                const verdict = (await publishing)._unsafeUnwrap();
+                const result = (await publishing)._unsafeUnwrap();
                 expect(log.getEntries().length).toEqual(3);
-                expect([verdict.outcome, verdict.offset]).toEqual(["accepted", 1]);
+                expect([result.outcome, result.offset]).toEqual(["accepted", 1]);
             }, appendTwice);
         });
     });
--- a/test/configuration/configuration.test.ts
+++ b/test/configuration/configuration.test.ts
@@ -141,8 +141,8 @@
 priority = 1
 [workspace.empty]
 `;
-        const mistakes = parseConfigurationFile(content, "tree.ini")._unsafeUnwrapErr().map(formatValidationError);
-        expect(mistakes).toEqual([
+        const errors = parseConfigurationFile(content, "tree.ini")._unsafeUnwrapErr().map(formatValidationError);
+        expect(errors).toEqual([
             "tree.ini:41: [version.plan@3] output_price: A version that can get work needs a price. Write, for instance, "
             + "output_price = 1.60.",
             "tree.ini:45: [workspace.yard] keys: The key aaaaaaaa... already belongs to [workspace.bench]. Create a separate "
--- a/test/configuration/configurationFold.test.ts
+++ b/test/configuration/configurationFold.test.ts
@@ -14,14 +14,14 @@
 
 function foldAll(
     records: readonly LogRecord[],
-): { readonly fold: ConfigurationFold; readonly verdicts: readonly RecordResult[]; } {
+): { readonly fold: ConfigurationFold; readonly results: readonly RecordResult[]; } {
     const fold = new ConfigurationFold();
-    const verdicts = createLogEntries(records).map(entry => fold.apply(entry));
-    return { fold, verdicts };
+    const results = createLogEntries(records).map(entry => fold.apply(entry));
+    return { fold, results };
 }
 
 function getOutcomes(records: readonly LogRecord[]): readonly string[] {
-    return foldAll(records).verdicts.map(verdict => verdict.outcome);
+    return foldAll(records).results.map(result => result.outcome);
 }
 
 const raisePriority: Change = { section: "workspace.bench", key: "priority", value: "1" };
@@ -35,13 +35,13 @@
         // Two operators change the same key concurrently. If readers decided differently, some entries would apply one
         // operator's value and the others the other operator's value.
         it("accepts the first of two concurrent changes and names it in the rejection of the second", () => {
-            const { verdicts } = foldAll([
+            const { results } = foldAll([
                 createPublication(smallTree),
                 createPublication([raisePriority], { basedOn: 1, author: "bruno" }),
                 createPublication([lowerPriority], { basedOn: 1, author: "carla" }),
             ]);
-            expect(verdicts.map(verdict => verdict.outcome)).toEqual(["accepted", "accepted", "rejected"]);
-            expect(verdicts[2].beatenBy).toEqual({
+            expect(results.map(result => result.outcome)).toEqual(["accepted", "accepted", "rejected"]);
+            expect(results[2].beatenBy).toEqual({
                 offset: 1,
                 author: "bruno",
                 section: "workspace.bench",
@@ -81,25 +81,25 @@
         // An operator edits the version's status while another withdraws the version because its answers are wrong. If the
         // withdrawal were rejected, callers would continue to receive these answers.
         it("never rejects a withdrawal because of a concurrent change", () => {
-            const { fold, verdicts } = foldAll([
+            const { fold, results } = foldAll([
                 createPublication(smallTree),
                 createPublication([{ ...servePlan, value: "draining" }], { basedOn: 1 }),
                 createPublication([withdrawPlan], { basedOn: 1 }),
                 createPublication([servePlan], { basedOn: 2 }),
             ]);
-            expect(verdicts.map(verdict => verdict.outcome)).toEqual(["accepted", "accepted", "accepted", "rejected"]);
+            expect(results.map(result => result.outcome)).toEqual(["accepted", "accepted", "accepted", "rejected"]);
             expect(fold.getConfiguration().getVersionOrThrow("plan@1").status).toEqual("withdrawn");
         });
 
         it("puts a withdrawal in force although the rest of its record is superseded or invalid", () => {
             for (const other of [lowerPriority, { ...raisePriority, value: "urgent" }]) {
-                const { fold, verdicts } = foldAll([
+                const { fold, results } = foldAll([
                     createPublication(smallTree),
                     createPublication([raisePriority], { basedOn: 1 }),
                     createPublication([withdrawPlan, other], { basedOn: 1 }),
                 ]);
-                expect(verdicts[2].outcome).toEqual("rejected");
-                expect(verdicts[2].withdrawn).toEqual(["plan@1"]);
+                expect(results[2].outcome).toEqual("rejected");
+                expect(results[2].withdrawn).toEqual(["plan@1"]);
                 expect(fold.getConfiguration().getVersionOrThrow("plan@1").status).toEqual("withdrawn");
                 expect(fold.getConfiguration().getEffective({ workspace: "bench" })._unsafeUnwrap().priority).toEqual(
                     1,
@@ -134,7 +134,7 @@
             const early = createPublication([{ section: "workspace.bench", key: "allowed", value: "new@1" }], {
                 basedOn: 1,
             });
-            const { fold, verdicts } = foldAll([
+            const { fold, results } = foldAll([
                 createPublication(smallTree),
                 early,
                 createPublication([
@@ -143,7 +143,7 @@
                 ], { basedOn: 2 }),
                 early,
             ]);
-            expect(verdicts.map(verdict => verdict.outcome)).toEqual(["accepted", "rejected", "accepted", "repeated"]);
+            expect(results.map(result => result.outcome)).toEqual(["accepted", "rejected", "accepted", "repeated"]);
             expect(fold.getConfiguration().getTree().get("workspace.bench")?.has("allowed")).toEqual(false);
         });
 
@@ -159,9 +159,9 @@
             ];
             for (const change of wrong) {
                 const records = [createPublication(smallTree), createPublication([setShare, change], { basedOn: 1 })];
-                const { fold, verdicts } = foldAll(records);
-                expect(verdicts[1].outcome).toEqual("rejected");
-                expect(verdicts[1].mistakes.length).toEqual(1);
+                const { fold, results } = foldAll(records);
+                expect(results[1].outcome).toEqual("rejected");
+                expect(results[1].mistakes.length).toEqual(1);
                 expect(fold.getConfiguration().getOffset()).toEqual(1);
             }
         });
@@ -185,11 +185,11 @@
         it("validates a record by its own format, and writes a record in a newer format only if its sections require it", () => {
             const orders: Change = { section: "pool.lm-pool", key: "orders", value: "true" };
             const older = foldAll([createPublication(smallTree), createPublication([orders], { basedOn: 1 })]);
-            expect(older.verdicts.map(verdict => verdict.outcome)).toEqual(["accepted", "rejected"]);
+            expect(older.results.map(result => result.outcome)).toEqual(["accepted", "rejected"]);
             expect(older.fold.toSnapshot().format).toEqual(1);
             const record = createPublishRecord({ author: "a", reason: "", basedOn: 1, changes: [orders] }, "a");
             const newer = foldAll([createPublication(smallTree), record]);
-            expect([record.format, newer.verdicts[1].outcome]).toEqual([2, "accepted"]);
+            expect([record.format, newer.results[1].outcome]).toEqual([2, "accepted"]);
             expect(newer.fold.toSnapshot().format).toEqual(2);
             expect(newer.fold.getConfiguration().getPool("lm-pool").orders).toEqual(true);
             const plain = createPublishRecord({ author: "a", reason: "", basedOn: 1, changes: [setShare] }, "a");
@@ -199,12 +199,12 @@
         // A newer release publishes a format that this release does not support. If the record were skipped, this entry would
         // report a diverged tree as up to date.
         it("stops at a record of a newer format and folds no later record", () => {
-            const { fold, verdicts } = foldAll([
+            const { fold, results } = foldAll([
                 createPublication(smallTree),
                 createPublication([raisePriority], { basedOn: 1, format: treeFormat + 1 }),
                 createPublication([setShare], { basedOn: 1 }),
             ]);
-            expect(verdicts.map(verdict => verdict.outcome)).toEqual(["accepted", "unreadable", "unreadable"]);
+            expect(results.map(result => result.outcome)).toEqual(["accepted", "unreadable", "unreadable"]);
             expect(fold.getOffset()).toEqual(1);
         });
     });
@@ -241,16 +241,16 @@
                 const fold = new ConfigurationFold();
                 let withdrawnAt: number | undefined;
                 for (const entry of createLogEntries(records)) {
-                    const verdict = fold.apply(entry);
+                    const result = fold.apply(entry);
                     const { basedOn } = entry.record.body as { basedOn: number; };
                     const isWithdrawn = fold.getConfiguration().getVersion("plan@1")?.status === "withdrawn";
                     if (withdrawnAt !== undefined && !isWithdrawn) {
                         expect(basedOn > withdrawnAt).toEqual(true);
                     }
-                    if (verdict.withdrawn.includes("plan@1")) {
-                        expect(isWithdrawn || verdict.outcome === "accepted").toEqual(true);
+                    if (result.withdrawn.includes("plan@1")) {
+                        expect(isWithdrawn || result.outcome === "accepted").toEqual(true);
                     }
-                    const isNew = isWithdrawn && (withdrawnAt === undefined || verdict.withdrawn.includes("plan@1"));
+                    const isNew = isWithdrawn && (withdrawnAt === undefined || result.withdrawn.includes("plan@1"));
                     withdrawnAt = !isWithdrawn ? undefined : isNew ? entry.offset : withdrawnAt;
                 }
             }));
--- a/test/configuration/configurationReader.test.ts
+++ b/test/configuration/configurationReader.test.ts
@@ -210,7 +210,7 @@
 
 describe("SnapshotWriter", () => {
     describe("writeIfDue", () => {
-        it("writes a snapshot when the interval or the maximum number of records is reached, and a new reader starts from it", async () => {
+        it("writes a snapshot after the interval or the maximum number of records, and a new reader starts from it", async () => {
             const log = new MemoryLog();
             fillLog(log, 3, 4);
             const { reader, client, clock } = createReader(log);
--- a/test/settings/entrySettings.test.ts
+++ b/test/settings/entrySettings.test.ts
@@ -76,7 +76,7 @@
 
     it("reports names of built-in object properties as unknown keys", () => {
         const errors = getErrors(validEntry.replace("[timing]", "[timing]\nconstructor = 1\n__proto__ = 2"));
-        expect(errors.map(mistake => mistake.includes("unknown") || mistake.includes("not a section")))
+        expect(errors.map(error => error.includes("unknown") || error.includes("not a section")))
             .toEqual([true, true]);
     });
 });
