--- a/src/command/controlSession.ts
+++ b/src/command/controlSession.ts
@@ -64,7 +64,7 @@
     }
 
     /**
-     * Appends a record exactly once and waits until it is folded here, as every entry folds it.
+     * Appends a record once and waits until it is folded here, as it is on every entry.
      * @param kind - Kind of the record.
      * @param body - Body of the record.
      * @returns The record's offset.
--- a/test/configuration/configurationReader.test.ts
+++ b/test/configuration/configurationReader.test.ts
@@ -94,7 +94,7 @@
 
         // The records between the snapshot and the earliest retained record have expired too. Folding on would lose their
         // changes.
-        it("does not start from a snapshot that does not reach the oldest record", async () => {
+        it("does not start from a snapshot that does not reach the earliest retained record", async () => {
             const log = new MemoryLog();
             fillLog(log, 3, 4, 5);
             log.append(createSnapshotRecord(1, createState(log, 1), "holder"));
