--- a/src/configuration/checkTree.ts
+++ b/src/configuration/checkTree.ts
@@ -25,15 +25,15 @@
     const location = { section: change.section, key: change.key };
     const schema = findSectionSchema(getTreeSchema(format), change.section);
     if (schema === undefined) {
-        return { ...location, message: "The section is unknown.", remedy: "See docs/SETTINGS.md for the sections." };
+        return { ...location, message: "The section is not known.", remedy: "See docs/SETTINGS.md for the sections." };
     }
     if (change.key === wholeSection) {
         return change.value === undefined
             ? undefined
             : {
                 ...location,
-                message: "A change of a whole section cannot have a value.",
-                remedy: "Omit the value to remove the section.",
+                message: "A whole section has no value.",
+                remedy: "Leave the value out to remove it.",
             };
     }
     const key = getKey(schema, change.key);
@@ -46,7 +46,7 @@
     const parsed = key.parse(change.value);
     return parsed.isOk()
         ? undefined
-        : { ...location, message: `"${change.value}" is not a valid value.`, remedy: parsed.error };
+        : { ...location, message: `"${change.value}" cannot be used.`, remedy: parsed.error };
 }
 
 /** Checks the sections of a tree against each other. Every value must have passed `checkChange` before. */
@@ -75,7 +75,7 @@
                 errors.push({
                     section,
                     key,
-                    message: "A version that can get work needs a price.",
+                    message: "A version that can take work needs a price.",
                     remedy: `Write, for instance, ${key} = ${versionKeys[key].example}.`,
                 });
             }
@@ -92,7 +92,7 @@
             errors.push({
                 section,
                 key: "",
-                message: `The workspace [${match[1]}] of this section does not exist.`,
+                message: `Its workspace [${match[1]}] does not exist.`,
                 remedy: `Add [${match[1]}] with its keys, or remove this section.`,
             });
         }
@@ -114,7 +114,7 @@
             const closestName = findClosestName(pattern, knownNames);
             errors.push({
                 ...location,
-                message: `"${pattern}" is not a model or version in this tree.`,
+                message: `"${pattern}" is no model or version of this tree.`,
                 remedy: closestName === undefined
                     ? "Add a [version.MODEL@VERSION] for it."
                     : `Did you mean ${closestName}?`,
@@ -125,10 +125,8 @@
         if (patterns.length > 0 && unknownPatterns.length === 0 && versions.length > 0 && !hasAllowedVersion) {
             errors.push({
                 ...location,
-                message: "No version is allowed here, because the lists of the ancestors allow none of these.",
-                remedy: `Choose from the versions that ${
-                    lineage.slice(1).map(ancestor => `[${ancestor}]`).join(", ")
-                } allow.`,
+                message: "No version remains, because the lists of its ancestors allow none of these.",
+                remedy: `Choose from what ${lineage.slice(1).map(ancestor => `[${ancestor}]`).join(", ")} allow.`,
             });
         }
     }
@@ -145,8 +143,8 @@
                 errors.push({
                     section,
                     key: "keys",
-                    message: `The key ${hash.slice(0, 8)}... already belongs to [${owner}].`,
-                    remedy: "Create a separate key with `rattanlock key`.",
+                    message: `The key ${hash.slice(0, 8)}... belongs to [${owner}] already.`,
+                    remedy: "Make a key of its own with `rattanlock key`.",
                 });
             }
             owners.set(hash, section);
--- a/src/configuration/configurationFold.ts
+++ b/src/configuration/configurationFold.ts
@@ -117,7 +117,7 @@
         }
         const parsed = publicationSchema.safeParse(entry.record.body);
         if (!parsed.success) {
-            const error = { section: "", key: "", message: "The record has no valid body.", remedy: "Publish again." };
+            const error = { section: "", key: "", message: "The record has no valid body.", remedy: "Publish anew." };
             return createRecordResult(entry, "rejected", { mistakes: [error] });
         }
         return this.#applyPublication(entry, parsed.data);
@@ -207,13 +207,13 @@
 function checkBasedOn(entry: LogEntry, publication: Publication, changes: readonly Change[]): TreeValidationError[] {
     const location = { section: "", key: "" };
     if (publication.basedOn > entry.offset) {
-        const message = `It is based on offset ${publication.basedOn}, which is after its own offset.`;
-        return [{ ...location, message, remedy: "Publish again from the tree in force." }];
+        const message = `It names the offset ${publication.basedOn}, which came after it.`;
+        return [{ ...location, message, remedy: "Publish anew from the tree in force." }];
     }
     // Key changes are removed after the window. Conflicts with an older base could no longer be detected.
     if (changes.length > 0 && publication.basedOn < entry.offset - basedOnWindow) {
         const message = `It is based on a tree that is more than ${basedOnWindow} records old.`;
-        return [{ ...location, message, remedy: "Compare with the tree in force and publish again." }];
+        return [{ ...location, message, remedy: "Compare with the tree in force and publish anew." }];
     }
     return [];
 }
--- a/src/settings/settingSchema.ts
+++ b/src/settings/settingSchema.ts
@@ -109,7 +109,7 @@
 export function describeUnknownKey(key: string, schema: SectionSchema): Pick<ValidationError, "message" | "remedy"> {
     const closestName = findClosestName(key, Object.keys(schema.keys));
     return {
-        message: "The key is unknown in this section.",
+        message: "The key is not known here.",
         remedy: closestName === undefined
             ? `Use one of ${Object.keys(schema.keys).join(", ")}.`
             : `Did you mean ${closestName}?`,
@@ -132,7 +132,7 @@
         }
         const parsed = key.parse(setting.value);
         if (parsed.isErr()) {
-            const message = `"${setting.value}" is not a valid value.`;
+            const message = `"${setting.value}" cannot be used.`;
             errors.push({ ...location, line: setting.line, key: setting.key, message, remedy: parsed.error });
         }
     }
@@ -153,7 +153,7 @@
         line: section.line,
         section: section.name,
         key: "",
-        message: "The section is unknown.",
+        message: "The section is not known.",
         remedy: closestName === undefined ? `Use one of ${titles.join(", ")}.` : `Did you mean [${closestName}]?`,
     };
 }
--- a/test/configuration/configuration.test.ts
+++ b/test/configuration/configuration.test.ts
@@ -143,14 +143,14 @@
 `;
         const errors = parseConfigurationFile(content, "tree.ini")._unsafeUnwrapErr().map(formatValidationError);
         expect(errors).toEqual([
-            "tree.ini:41: [version.plan@3] output_price: A version that can get work needs a price. Write, for instance, "
+            "tree.ini:41: [version.plan@3] output_price: A version that can take work needs a price. Write, for instance, "
             + "output_price = 1.60.",
-            "tree.ini:45: [workspace.yard] keys: The key aaaaaaaa... already belongs to [workspace.bench]. Create a separate "
-            + "key with `rattanlock key`.",
-            "tree.ini:46: [workspace.yard] allowed: \"tog\" is not a model or version in this tree. Did you mean tag?",
-            "tree.ini:48: [workspace.depot] allowed: No version is allowed here, because the lists of the ancestors allow "
-            + "none of these. Choose from the versions that [root] allow.",
-            "tree.ini:49: [workspace.gone.application.desk] The workspace [workspace.gone] of this section does not exist. Add "
+            "tree.ini:45: [workspace.yard] keys: The key aaaaaaaa... belongs to [workspace.bench] already. Make a key of its "
+            + "own with `rattanlock key`.",
+            "tree.ini:46: [workspace.yard] allowed: \"tog\" is no model or version of this tree. Did you mean tag?",
+            "tree.ini:48: [workspace.depot] allowed: No version remains, because the lists of its ancestors allow none of "
+            + "these. Choose from what [root] allow.",
+            "tree.ini:49: [workspace.gone.application.desk] Its workspace [workspace.gone] does not exist. Add "
             + "[workspace.gone] with its keys, or remove this section.",
             "tree.ini:51: [workspace.empty] The section has no keys. Add a key, or remove the section: a scope without a "
             + "section inherits all settings.",
--- a/test/settings/entrySettings.test.ts
+++ b/test/settings/entrySettings.test.ts
@@ -50,13 +50,13 @@
             + "replace-me-with-32-random-characters.",
             "entry.ini:3: [process] name: The key is missing. Write, for instance, name = entry-1.",
             "entry.ini:4: [process] The line is not a section, key or comment. Write key = value, [section] or ; comment.",
-            "entry.ini:8: [listen] callers: \"entry.example:8080\" is not a valid value. Write an IP address and a port, "
-            + "such as 10.0.1.11:8080; host names are not resolved.",
-            "entry.ini:17: [timing] lease_tern_ms: The key is unknown in this section. Did you mean lease_term_ms?",
-            "entry.ini:18: [timing] log_wait_ms: \"2s\" is not a valid value. Write a whole number of milliseconds from 1 to "
-            + "600000, such as 2000.",
+            "entry.ini:8: [listen] callers: \"entry.example:8080\" cannot be used. Write an IP address and a port, such as "
+            + "10.0.1.11:8080; host names are not resolved.",
+            "entry.ini:17: [timing] lease_tern_ms: The key is not known here. Did you mean lease_term_ms?",
+            "entry.ini:18: [timing] log_wait_ms: \"2s\" cannot be used. Write a whole number of milliseconds from 1 to 600000, "
+            + "such as 2000.",
             "entry.ini:19: [timing] log_wait_ms: The key is already set on line 18. Remove one of the two.",
-            "entry.ini:20: [sesion] The section is unknown. Did you mean [session]?",
+            "entry.ini:20: [sesion] The section is not known. Did you mean [session]?",
         ]);
     });
 
@@ -76,7 +76,7 @@
 
     it("reports names of built-in object properties as unknown keys", () => {
         const errors = getErrors(validEntry.replace("[timing]", "[timing]\nconstructor = 1\n__proto__ = 2"));
-        expect(errors.map(error => error.includes("unknown") || error.includes("not a section")))
+        expect(errors.map(error => error.includes("not known") || error.includes("not a section")))
             .toEqual([true, true]);
     });
 });
