--- a/src/configuration/configurationFold.ts
+++ b/src/configuration/configurationFold.ts
@@ -134,9 +134,13 @@
         const errors = checkBasedOn(entry, publication, otherChanges);
         errors.push(...checkChanges(otherChanges, entry.record.format));
         for (const change of otherChanges) {
-            const beatenBy = this.#latestChanges.findSuperseding(change, publication.basedOn);
-            if (beatenBy !== undefined) {
-                return createRecordResult(entry, "rejected", { ...details, beatenBy, mistakes: errors });
+            const supersedingChange = this.#latestChanges.findSuperseding(change, publication.basedOn);
+            if (supersedingChange !== undefined) {
+                return createRecordResult(entry, "rejected", {
+                    ...details,
+                    beatenBy: supersedingChange,
+                    mistakes: errors,
+                });
             }
         }
         if (errors.length > 0) {
--- a/src/decisions/dispatch/index.ts
+++ b/src/decisions/dispatch/index.ts
@@ -1,9 +1,5 @@
 /** Selection of a registered upstream for a request, and the statistics that it is based on. */
 export { getUnitRank } from "../placement/rendezvous.js";
-export type {
-    PromptDescription as PromptLoad,
-    UpstreamPick as Pick,
-    UpstreamPickOptions as PickOptions,
-} from "./pick.js";
+export type { PromptDescription, UpstreamPick, UpstreamPickOptions } from "./pick.js";
 export * from "./upstreamPicker.js";
 export type { CallOutcome } from "./upstreamStatus.js";
--- a/src/decisions/dispatch/upstreamPicker.ts
+++ b/src/decisions/dispatch/upstreamPicker.ts
@@ -171,7 +171,7 @@
      * Removes the recorded state of an upstream.
      * @param upstream - Identifier of the upstream.
      */
-    forget(upstream: string): void {
+    remove(upstream: string): void {
         this.#statuses.delete(upstream);
         this.#subsets.forget(upstream);
         this.#holders.forget(upstream);
--- a/src/decisions/limits/admissionController.ts
+++ b/src/decisions/limits/admissionController.ts
@@ -276,7 +276,7 @@
             budget.addRequest();
             return 0;
         }
-        return budget.take() ? 0 : 1;
+        return budget.tryAcquire() ? 0 : 1;
     }
 
     #getRetryBudget(workspace: string): RetryBudget {
--- a/src/decisions/limits/retryBudget.ts
+++ b/src/decisions/limits/retryBudget.ts
@@ -23,7 +23,7 @@
     }
 
     /** Returns the number of retries left. */
-    getLeft(): number {
+    getRemaining(): number {
         return Math.floor(this.#tokens);
     }
 
@@ -36,7 +36,7 @@
      * Takes a retry or hedged request from the budget.
      * @returns Whether there was one. If not, the failure has to be passed on to the caller.
      */
-    take(): boolean {
+    tryAcquire(): boolean {
         if (this.#tokens < 1) {
             return false;
         }
--- a/src/decisions/model/evidence.ts
+++ b/src/decisions/model/evidence.ts
@@ -199,7 +199,7 @@
      * Marks a node as departed. Its counts are retained until they are negligible.
      * @param origin - The node's name.
      */
-    forget(origin: string): void {
+    markDeparted(origin: string): void {
         const known = this.#others.get(origin);
         if (known !== undefined) {
             known.departed = true;
--- a/src/decisions/retries/windowedRetryBudget.ts
+++ b/src/decisions/retries/windowedRetryBudget.ts
@@ -52,7 +52,7 @@
     }
 
     /** Returns the number of retries left in the window. */
-    getLeft(): number {
+    getRemaining(): number {
         this.#removeExpired();
         let requests = 0;
         let retries = 0;
@@ -71,7 +71,7 @@
      * @returns Whether there was one.
      */
     take(reserve = 0): boolean {
-        if (this.getLeft() - reserve < 1) {
+        if (this.getRemaining() - reserve < 1) {
             return false;
         }
         this.#getSlice().retries += 1;
--- a/src/entry/attemptRunner.ts
+++ b/src/entry/attemptRunner.ts
@@ -105,7 +105,7 @@
         if (call.sink.started || call.disconnectSignal.aborted || call.deadlineSignal.aborted) {
             return false;
         }
-        return this.#options.retries.take();
+        return this.#options.retries.tryAcquire();
     }
 
     async #runAttempt(
--- a/src/entry/servicePipeline.ts
+++ b/src/entry/servicePipeline.ts
@@ -206,7 +206,7 @@
             combinedOutcome = combineOutcomes(combinedOutcome, called.error.outcome);
             const repeatable = idempotentMethods.has(request.method) && request.idempotencyKey === undefined;
             const mayRetry = called.error.retriable && (repeatable || combinedOutcome === "not-run");
-            if (!mayRetry || attempt + 1 >= maxAttempts || !this.#options.retries.take()) {
+            if (!mayRetry || attempt + 1 >= maxAttempts || !this.#options.retries.tryAcquire()) {
                 return err({ failure: called.error.failure, outcome: combinedOutcome });
             }
         }
--- a/src/entry/sharedState.ts
+++ b/src/entry/sharedState.ts
@@ -23,7 +23,7 @@
 /** Options of the shared state. */
 export interface SharedStateOptions {
     readonly gossip: Pick<Gossip, "get" | "onUpdate" | "set">;
-    readonly evidence: Pick<Evidence, "exportOwn" | "forget" | "merge">;
+    readonly evidence: Pick<Evidence, "exportOwn" | "markDeparted" | "merge">;
     readonly exposures: Pick<Exposures, "exportOwn" | "merge">;
     readonly rollouts: Pick<RolloutFold, "addHalt">;
     readonly runners: Pick<RunnerChooser, "markLeaving">;
@@ -167,7 +167,7 @@
         const incarnationKey = this.#incarnationKeys.get(origin);
         if (incarnationKey !== undefined && incarnationKey !== this.#getIncarnationKey(origin)) {
             this.#incarnationKeys.delete(origin);
-            this.#options.evidence.forget(incarnationKey);
+            this.#options.evidence.markDeparted(incarnationKey);
         }
     }
 
--- a/src/forwarding/attempts.ts
+++ b/src/forwarding/attempts.ts
@@ -3,7 +3,13 @@
  */
 import { err, ok, type Result } from "neverthrow";
 import type { Clock } from "../common/index.js";
-import type { CallOutcome, Pick, PromptLoad, UpstreamPicker, WindowedRetryBudget } from "../decisions/index.js";
+import type {
+    CallOutcome,
+    PromptDescription,
+    UpstreamPick,
+    UpstreamPicker,
+    WindowedRetryBudget,
+} from "../decisions/index.js";
 import { events, type Journal } from "../events/index.js";
 import type { RegisteredUpstream, UpstreamRegistry } from "../fleet/index.js";
 import type { VersionSelection } from "../rollouts/index.js";
@@ -43,7 +49,7 @@
     readonly model: string | undefined;
     readonly lastEventId: string | undefined;
     /** Undefined for plain services. */
-    readonly prompt: PromptLoad | undefined;
+    readonly prompt: PromptDescription | undefined;
     /**
      * Returns the timeout for the head of the answer, in milliseconds. Undefined waits until the deadline of the request: a
      * separate timer of the same length would race with the deadline, and callers that ran out of time would receive an upstream
@@ -89,7 +95,7 @@
      * @param exchange - The request.
      * @param prompt - The prompt.
      */
-    estimate(exchange: Exchange, prompt: PromptLoad): number | undefined {
+    estimate(exchange: Exchange, prompt: PromptDescription): number | undefined {
         const { upstreams } = this.#select(exchange);
         const pick = this.#options.picker.pick({
             pool: exchange.pool,
@@ -140,7 +146,7 @@
 
     async #send(
         request: AttemptRequest,
-        pick: Pick,
+        pick: UpstreamPick,
         versionReason: string | undefined,
     ): Promise<Result<Attempt, AttemptFailure>> {
         const { exchange, prompt } = request;
--- a/src/forwarding/streamExchange.ts
+++ b/src/forwarding/streamExchange.ts
@@ -2,7 +2,12 @@
  * Forwards requests that are answered by a stream of events.
  */
 import { Failure, type Refusal } from "../common/index.js";
-import { chooseFirstModel, chooseNextModel, type PromptLoad, type WindowedRetryBudget } from "../decisions/index.js";
+import {
+    chooseFirstModel,
+    chooseNextModel,
+    type PromptDescription,
+    type WindowedRetryBudget,
+} from "../decisions/index.js";
 import type { Attempt, AttemptFailure, Attempts } from "./attempts.js";
 import { EventSplitter } from "./eventSplitter.js";
 import { createTimeoutRefusal, type Exchange } from "./exchange.js";
@@ -67,7 +72,7 @@
                 exchange,
                 model: this.#model,
                 lastEventId: this.#lastEventId,
-                prompt: this.#getPromptLoad(this.#model),
+                prompt: this.#getPromptDescription(this.#model),
                 getHeadTimeout: expected => this.#getHeadTimeout(expected),
             });
             if (attempt.isErr()) {
@@ -100,7 +105,7 @@
         }
         return chooseFirstModel({
             models: route.models,
-            retriesLeft: this.#budget.getLeft(),
+            retriesLeft: this.#budget.getRemaining(),
             attemptsLeft: route.maxAttempts - attempts,
             isContinued: request.lastEventId !== undefined,
         });
@@ -111,7 +116,7 @@
         if (this.#model === undefined || reply.hasStarted || answer.status !== 200) {
             return undefined;
         }
-        if (attempts >= route.maxAttempts || this.#budget.getLeft() < 1) {
+        if (attempts >= route.maxAttempts || this.#budget.getRemaining() < 1) {
             return undefined;
         }
         return chooseNextModel({
@@ -124,7 +129,7 @@
 
     /** Returns whether another model's answer is expected to start within the route's objective. */
     #isInTime(model: string | undefined): boolean {
-        const expected = this.#attempts.estimate(this.#exchange, this.#getPromptLoad(model));
+        const expected = this.#attempts.estimate(this.#exchange, this.#getPromptDescription(model));
         return expected !== undefined
             && this.#exchange.getElapsed() + expected <= this.#exchange.route.objectiveMilliseconds;
     }
@@ -133,7 +138,7 @@
      * Returns the load of the prompt. Its last part belongs to the request only; the parts before it may be shared with other
      * requests.
      */
-    #getPromptLoad(chosen: string | undefined): PromptLoad {
+    #getPromptDescription(chosen: string | undefined): PromptDescription {
         const generation = this.#exchange.request.generation;
         const shared = generation?.parts.slice(0, -1) ?? [];
         let sharedTokens = 0;
@@ -197,7 +202,7 @@
 
     #canRepeat(): boolean {
         const { route, attempts } = this.#exchange;
-        return attempts < route.maxAttempts && this.#budget.getLeft() >= 1;
+        return attempts < route.maxAttempts && this.#budget.getRemaining() >= 1;
     }
 
     async #relayBody(attempt: Attempt): Promise<RelayResult> {
--- a/src/measure/cost/costRun.ts
+++ b/src/measure/cost/costRun.ts
@@ -14,7 +14,7 @@
     requestInterval,
     runMilliseconds,
 } from "./costEnvironment.js";
-import { type ChosenStep as Step, CostExcess } from "./costExcess.js";
+import { type ChosenStep, CostExcess } from "./costExcess.js";
 import { Oracle } from "./oracle.js";
 
 const entryCount = 4;
@@ -117,13 +117,13 @@
         const size = 0.5 + this.#random.next();
         const last = answers.length - 1;
         const oracle = this.#oracle.getPlan(classIndex, time);
-        const single = (version: number): readonly Step[] => [{ version, acceptScore: undefined }];
-        const pair = (first: number, second: number, acceptScore: number): readonly Step[] => [
+        const single = (version: number): readonly ChosenStep[] => [{ version, acceptScore: undefined }];
+        const pair = (first: number, second: number, acceptScore: number): readonly ChosenStep[] => [
             { version: first, acceptScore },
             { version: second, acceptScore: undefined },
         ];
         const plan = this.#choose(classIndex, time, size);
-        const steps: Readonly<Record<CostStrategy, readonly Step[]>> = {
+        const steps: Readonly<Record<CostStrategy, readonly ChosenStep[]>> = {
             "rattanlock": toSteps(plan, this.#environment.getVersions(time).map(({ id }) => id)),
             "oracle": oracle.acceptScore === 0
                 ? single(oracle.first)
@@ -183,7 +183,7 @@
         classIndex: number;
         time: number;
         size: number;
-        steps: readonly Step[];
+        steps: readonly ChosenStep[];
         answers: readonly number[];
         ratings: readonly number[];
         isRatedInTime: boolean;
@@ -300,6 +300,6 @@
     result.squareSum += quality ** 2;
 }
 
-function toSteps(plan: Plan, ids: readonly string[]): readonly Step[] {
+function toSteps(plan: Plan, ids: readonly string[]): readonly ChosenStep[] {
     return plan.steps.map(({ version, acceptScore }) => ({ version: ids.indexOf(version.id), acceptScore }));
 }
--- a/src/measure/limitsTrial.ts
+++ b/src/measure/limitsTrial.ts
@@ -235,7 +235,7 @@
                     return;
                 }
                 excluded.add(runner.options.vm.id);
-                if (excluded.size < maxUpstreams && this.#budgets[entry].take()) {
+                if (excluded.size < maxUpstreams && this.#budgets[entry].tryAcquire()) {
                     this.#serve(work);
                     return;
                 }
--- a/src/platform/node.ts
+++ b/src/platform/node.ts
@@ -96,7 +96,7 @@
     #forgetRemovedUpstreams(): void {
         const { registry, picker, upstreamClient } = this.getParts();
         registry.onRemoved(({ id }) => {
-            picker.forget(id);
+            picker.remove(id);
             upstreamClient.forget(id);
         });
     }
--- a/src/platform/statusWriter.ts
+++ b/src/platform/statusWriter.ts
@@ -59,9 +59,9 @@
             { key: `${recordKeys.rolloutPrefix}${order.pool}`, value: encodeRolloutStatus(order, progress) },
         ];
         const position = {
-            matter: `${recordKeys.progressPrefix}${order.pool}`,
+            producer: `${recordKeys.progressPrefix}${order.pool}`,
             epoch: order.id,
-            number: progress.step,
+            sequenceNumber: progress.step,
         };
         const appended = await store.append(topics.status, records, position);
         if (appended.isErr() || appended.value === "out-of-turn") {
--- a/src/platform/storeClient.ts
+++ b/src/platform/storeClient.ts
@@ -38,11 +38,11 @@
 /** Position of an append in the sequence of its producer. The store accepts one append for each position. */
 export interface AppendPosition {
     /** Identifies the sequence. */
-    readonly matter: string;
+    readonly producer: string;
     /** A later epoch restarts the sequence and fences off earlier ones. */
     readonly epoch: number;
     /** Sequence number; follows the number of the last append in the epoch. */
-    readonly number: number;
+    readonly sequenceNumber: number;
 }
 
 /** Calls the store. */
@@ -97,9 +97,9 @@
     ): Promise<Result<AppendOutcome, Failure>> {
         const query = new URLSearchParams({ topic, part: "0" });
         if (position !== undefined) {
-            query.set("producer", position.matter);
+            query.set("producer", position.producer);
             query.set("epoch", String(position.epoch));
-            query.set("seq_no", String(position.number));
+            query.set("seq_no", String(position.sequenceNumber));
         }
         const response = await this.#call(
             "POST",
--- a/src/rollouts/planRollout.ts
+++ b/src/rollouts/planRollout.ts
@@ -15,8 +15,8 @@
     /** Whether the new version was found bad. */
     readonly isBad: boolean;
     /** Number of upstreams of the new version that accept requests, and of those of other versions. */
-    readonly candidates: number;
-    readonly currents: number;
+    readonly candidateCount: number;
+    readonly currentCount: number;
     /** Requests of all nodes that are in flight at upstreams of the old version. */
     readonly currentInFlight: number;
     /** Maximum share of all requests that a bad version may get until the deadline. */
@@ -87,8 +87,8 @@
  * Checks whether the time is over and no upstream of the new version accepts requests, although the pool has other
  * upstreams.
  */
-function hasNoCandidateAtDeadline({ candidates, currents }: RolloutSituation, elapsedShare: number): boolean {
-    return elapsedShare >= 1 && candidates === 0 && currents > 0;
+function hasNoCandidateAtDeadline({ candidateCount, currentCount }: RolloutSituation, elapsedShare: number): boolean {
+    return elapsedShare >= 1 && candidateCount === 0 && currentCount > 0;
 }
 
 function getFirstShare({ exposureShare, members }: RolloutSituation): number {
@@ -96,10 +96,10 @@
 }
 
 function getShare(
-    { candidates, announcementAgeMilliseconds, progress }: RolloutSituation,
+    { candidateCount, announcementAgeMilliseconds, progress }: RolloutSituation,
     elapsedShare: number,
 ): number {
-    if (candidates === 0) {
+    if (candidateCount === 0) {
         return 0;
     }
     if (elapsedShare < firstPhaseEnd) {
@@ -108,9 +108,12 @@
     return elapsedShare < secondPhaseEnd ? secondShare : 1;
 }
 
-function canComplete({ candidates, currentInFlight, currents }: RolloutSituation, elapsedShare: number): boolean {
-    if (candidates === 0 || elapsedShare < secondPhaseEnd + minFullPhaseShare) {
+function canComplete(
+    { candidateCount, currentInFlight, currentCount }: RolloutSituation,
+    elapsedShare: number,
+): boolean {
+    if (candidateCount === 0 || elapsedShare < secondPhaseEnd + minFullPhaseShare) {
         return false;
     }
-    return currents === 0 || currentInFlight === 0 || elapsedShare >= forcedCompletionShare;
+    return currentCount === 0 || currentInFlight === 0 || elapsedShare >= forcedCompletionShare;
 }
--- a/src/soak/faultInjector.ts
+++ b/src/soak/faultInjector.ts
@@ -138,9 +138,9 @@
         }
     }
 
-    async #freeze(process: { freeze(): void; wake(): void; }): Promise<Repair> {
-        process.freeze();
-        return async () => process.wake();
+    async #freeze(process: { pause(): void; resume(): void; }): Promise<Repair> {
+        process.pause();
+        return async () => process.resume();
     }
 
     async #setLinkFaults(link: string, faults: object, restored: object): Promise<Repair> {
--- a/src/soak/soak.ts
+++ b/src/soak/soak.ts
@@ -90,7 +90,7 @@
         ...watch.getViolations(),
         ...await checkSoak(site, records),
     ];
-    const events = group.getAll().flatMap(member => member.getEvents());
+    const events = group.getProcesses().flatMap(member => member.getEvents());
     return {
         violations,
         timeLine: formatTimeLine(soakEvents, events, violations),
--- a/src/testbench/processGroup.ts
+++ b/src/testbench/processGroup.ts
@@ -32,7 +32,7 @@
     }
 
     /** Returns all processes that were started, including those that have exited. */
-    getAll(): readonly RunningProcess[] {
+    getProcesses(): readonly RunningProcess[] {
         return this.#processes;
     }
 
--- a/src/testbench/runningProcess.ts
+++ b/src/testbench/runningProcess.ts
@@ -111,12 +111,12 @@
     }
 
     /** Pauses the process with SIGSTOP, like a stalled VM. */
-    freeze(): void {
+    pause(): void {
         this.#child.kill("SIGSTOP");
     }
 
     /** Resumes a paused process with SIGCONT. */
-    wake(): void {
+    resume(): void {
         this.#child.kill("SIGCONT");
     }
 
--- a/test/claims/claimClient.test.ts
+++ b/test/claims/claimClient.test.ts
@@ -114,7 +114,7 @@
         // again.
         it("releases a claim that it abandoned", async () => {
             const log = new MemoryLog();
-            const node = createNode({ log, name: "cut", decideMilliseconds: 1_000 });
+            const node = createNode({ log, name: "cut", decisionTimeoutMilliseconds: 1_000 });
             const other = createNode({ log, name: "other" });
             log.isReadingBlocked = true;
             expect(await claim(node, "r1")).toEqual(undefined);
@@ -132,7 +132,7 @@
             for (const [outcome, expected] of [["overloaded", "granted"], ["taken", "held"]] as const) {
                 const log = new MemoryLog();
                 log.decideOutcome = record => record.writer === "dying" ? outcome : "taken";
-                const dying = createNode({ log, name: "dying", decideMilliseconds: 100 });
+                const dying = createNode({ log, name: "dying", decisionTimeoutMilliseconds: 100 });
                 const attempt = claim(dying, "r1");
                 await waitUntil(() => outcome === "overloaded" || hasAnyRecord(log), "the claim was sent");
                 await dying.stop();
@@ -266,7 +266,9 @@
                 const log = new MemoryLog();
                 const outcomes = ["taken", "taken", "lost", "dropped", "overloaded"] as const;
                 log.decideOutcome = () => outcomes[random.nextInteger(outcomes.length)];
-                const entries = ["a", "b", "c", "d"].map(name => createNode({ log, name, decideMilliseconds: 1_500 }));
+                const entries = ["a", "b", "c", "d"].map(name =>
+                    createNode({ log, name, decisionTimeoutMilliseconds: 1_500 })
+                );
                 const runs = new Map<string, number>();
                 const attempts = [];
                 for (let index = 0; index < 40; index += 1) {
@@ -313,7 +315,7 @@
             const hour = 3_600_000;
             for (const [age, isKnown] of [[10 * hour, true], [40 * hour, true], [60 * hour, false]] as const) {
                 const log = new MemoryLog();
-                const node = createNode({ log, decideMilliseconds: 50 });
+                const node = createNode({ log, decisionTimeoutMilliseconds: 50 });
                 const pins = new SessionPins(node.client);
                 const request = { workspace: "agenzia", session: "bench-1", requestId: "r" };
                 await pins.pin({ ...request, proposal: "plan@1" });
--- a/test/claims/claimsOverHttp.test.ts
+++ b/test/claims/claimsOverHttp.test.ts
@@ -19,7 +19,7 @@
     return createClaimNode({
         name,
         collector,
-        decideMilliseconds: 700,
+        decisionTimeoutMilliseconds: 700,
         log: {
             append: (stream, record) => client.append(stream, record),
             follow: options => new LogFollower({ ...options, client, clock, journal, waitMilliseconds: 200 }),
@@ -64,9 +64,9 @@
                     await setFaults(log.getAddress(), { lostAppends: 3 });
                 }
                 if (index === 80) {
-                    log.freeze();
+                    log.pause();
                     await Promise.race(pending.slice(-1));
-                    log.wake();
+                    log.resume();
                 }
                 if (index % 10 === 0) {
                     await Promise.race([pending[index], new Promise(resolve => setTimeout(resolve, 20))]);
@@ -85,11 +85,11 @@
             const log = await group.startStandin("log", addresses.next());
             const node = createNode("a", `http://${log.getAddress()}`);
             stopLater([node]);
-            log.freeze();
+            log.pause();
             const key = createRunKey("dalisay", "label-1");
             const refused = await node.client.claim({ key, value: "r1", requestId: "r1" });
             expect(refused._unsafeUnwrapErr().mayHaveTakenEffect).toEqual(true);
-            log.wake();
+            log.resume();
             await waitUntil(async () => {
                 const claimed = await node.client.claim({ key, value: "r2", requestId: "r2" });
                 return claimed.isOk() && claimed.value.kind === "granted";
--- a/test/decisions/dispatch/upstreamPicker.test.ts
+++ b/test/decisions/dispatch/upstreamPicker.test.ts
@@ -1,7 +1,7 @@
 import { expect } from "earl";
 import { describe, it } from "node:test";
 import { ManualClock, RandomSource } from "../../../src/common/index.js";
-import { type PromptLoad, UpstreamPicker } from "../../../src/decisions/index.js";
+import { type PromptDescription, UpstreamPicker } from "../../../src/decisions/index.js";
 import type { RegisteredUpstream } from "../../../src/fleet/index.js";
 import { createUpstream, createUpstreams } from "../../fixtures/upstreams.js";
 import { replayManyNodes } from "./manyNodes.js";
@@ -19,7 +19,7 @@
     return { clock, picker, ejected };
 }
 
-function createPrompt(options: Partial<PromptLoad> = {}): PromptLoad {
+function createPrompt(options: Partial<PromptDescription> = {}): PromptDescription {
     return { model: "large", tokens: 1_000, bytes: 1_000, sharedTokens: 0, sharedKey: "large subject", ...options };
 }
 
--- a/test/decisions/limits/retryBudget.test.ts
+++ b/test/decisions/limits/retryBudget.test.ts
@@ -10,7 +10,7 @@
             let taken = 0;
             for (let index = 0; index < 1_000; index += 1) {
                 budget.addRequest();
-                taken += budget.take() ? 1 : 0;
+                taken += budget.tryAcquire() ? 1 : 0;
             }
             expect(taken >= 100 && taken <= 105).toEqual(true);
         });
@@ -20,7 +20,7 @@
             for (let index = 0; index < 100; index += 1) {
                 budget.addRequest();
             }
-            expect(budget.getLeft()).toEqual(3);
+            expect(budget.getRemaining()).toEqual(3);
         });
     });
 });
--- a/test/decisions/model/evidence.test.ts
+++ b/test/decisions/model/evidence.test.ts
@@ -54,10 +54,10 @@
             const staying = new Evidence({ clock });
             departing.addRating({ version, requestClass, score: 0.5 });
             staying.merge("departing", departing.exportOwn());
-            staying.forget("departing");
+            staying.markDeparted("departing");
             expect(describeCounts(staying).ratings).toEqual(1);
             clock.advance(10 * 3_600_000);
-            staying.forget("departing");
+            staying.markDeparted("departing");
             expect(describeCounts(staying).ratings).toEqual(0);
         });
     });
--- a/test/platform/storeClient.test.ts
+++ b/test/platform/storeClient.test.ts
@@ -24,27 +24,28 @@
     // Any node may write a step of a roll-out. If two nodes could write the same step, one would complete what the other has just
     // reverted.
     it("appends once for each position and refuses an append that is out of turn", async () => {
-        const position = { matter: "progress/app", epoch: 7, number: 1 };
+        const position = { producer: "progress/app", epoch: 7, sequenceNumber: 1 };
         expect((await client.append(topic, createRecord("first"), position))._unsafeUnwrap()).toEqual("appended");
         await client.append(topic, createRecord("repeated"), position);
         expect(store.get(topic, "progress/app")).toEqual("first");
-        expect((await client.append(topic, createRecord("early"), { ...position, number: 3 }))._unsafeUnwrap()).toEqual(
-            "out-of-turn",
-        );
+        expect((await client.append(topic, createRecord("early"), { ...position, sequenceNumber: 3 }))._unsafeUnwrap())
+            .toEqual(
+                "out-of-turn",
+            );
         expect((await client.append(topic, createRecord("old"), { ...position, epoch: 6 }))._unsafeUnwrap()).toEqual(
             "out-of-turn",
         );
-        await client.append(topic, createRecord("second"), { ...position, number: 2 });
+        await client.append(topic, createRecord("second"), { ...position, sequenceNumber: 2 });
         expect(store.get(topic, "progress/app")).toEqual("second");
     });
 
     // Nodes write their own records to the same topic. If a step had to be the topic's next record, each of these records would
     // make it fail, and a roll-out would not progress.
     it("appends consecutive positions although other records are written in between", async () => {
-        const position = { matter: "progress/app", epoch: 8, number: 1 };
+        const position = { producer: "progress/app", epoch: 8, sequenceNumber: 1 };
         await client.append(topic, createRecord("first"), position);
         await client.append(topic, [{ key: "member/n-1", value: Buffer.from("{}") }]);
-        await client.append(topic, createRecord("second"), { ...position, number: 2 });
+        await client.append(topic, createRecord("second"), { ...position, sequenceNumber: 2 });
         expect(store.get(topic, "progress/app")).toEqual("second");
     });
 });
--- a/test/proofs/atMostOnce.test.ts
+++ b/test/proofs/atMostOnce.test.ts
@@ -113,7 +113,7 @@
         try {
             const first = print(proof, "entry-1", "frozen", 1500);
             await waitUntil(async () => hasClaim(proof, "frozen"), { description: "the claim to be in the log" });
-            claimant.process.freeze();
+            claimant.process.pause();
             calls.push(await first);
             const second = await print(proof, "entry-2", "frozen");
             expect([second.record.status, second.record.outcome]).toEqual([409, "unknown"]);
@@ -121,7 +121,7 @@
         }
         finally {
             await setServiceLinkFaults(proof, "entry-1", { freeze: false });
-            claimant.process.wake();
+            claimant.process.resume();
             await site.waitUntilReady();
         }
         // The delayed call may run now, or fail because its connection has timed out meanwhile. In that case it is
--- a/test/proofs/leases.test.ts
+++ b/test/proofs/leases.test.ts
@@ -27,14 +27,14 @@
         const { site } = proof;
         const first = await waitForHolder(proof, entries);
         const others = entries.filter(entry => entry !== first);
-        site.getEntryOrThrow(first).process.freeze();
+        site.getEntryOrThrow(first).process.pause();
         await startRollout(proof, "paused");
         const second = await waitForHolder(proof, others);
         await waitUntil(async () => (await readLeaseHistory(proof)).grants.some(grant => grant.rollout === "paused"), {
             description: "a grant by the new holder",
         });
         const resumeOffset = (await site.readStream("control")).length;
-        site.getEntryOrThrow(first).process.wake();
+        site.getEntryOrThrow(first).process.resume();
         await waitUntil(async () => (await site.getStatus(first)).holdsLease === false, {
             description: "the resumed entry to detect the loss of its lease",
         });
--- a/test/proofs/orders.test.ts
+++ b/test/proofs/orders.test.ts
@@ -64,7 +64,7 @@
 
     after(async () => {
         for (const name of entries) {
-            getProof().site.getEntryOrThrow(name).process.wake();
+            getProof().site.getEntryOrThrow(name).process.resume();
         }
     });
 
@@ -146,7 +146,7 @@
         await publishPool(proof, { loads_at_a_time: "2" });
         const formerHolder = await findHolder(proof, entries);
         const { fence } = (await site.getStatus(formerHolder)).lease;
-        site.getEntryOrThrow(formerHolder).process.freeze();
+        site.getEntryOrThrow(formerHolder).process.pause();
         const others = entries.filter(name => name !== formerHolder);
         await publishVersion(proof, "label-late@1", "withdrawn");
         await publishVersion(proof, mediumVersion);
@@ -165,7 +165,7 @@
         );
         expect(outcomes).toEqual(["refused", "followed"]);
         await waitForRepair(proof);
-        site.getEntryOrThrow(formerHolder).process.wake();
+        site.getEntryOrThrow(formerHolder).process.resume();
         await site.waitUntilReady();
         const records = await load.stop();
         await waitForRepair(proof);
--- a/test/rollouts/planRollout.test.ts
+++ b/test/rollouts/planRollout.test.ts
@@ -13,8 +13,8 @@
         elapsedMilliseconds: 0,
         announcementAgeMilliseconds: 0,
         isBad: false,
-        candidates: 3,
-        currents: 3,
+        candidateCount: 3,
+        currentCount: 3,
         currentInFlight: 4,
         exposureShare: 0.15,
         members: 8,
@@ -92,14 +92,14 @@
     // The new version's upstreams never start, or all of them crash. Without an end the roll-out would stay in progress
     // forever, and the operator would never be notified that the old version continues to serve.
     it("is reverted when its time is over and no upstream runs the new version", () => {
-        const steps = runRollout(() => ({ candidates: 0 }));
+        const steps = runRollout(() => ({ candidateCount: 0 }));
         expect([steps.at(-1)?.at, steps.at(-1)?.progress.state]).toEqual([20_000, "reverted"]);
-        const unknown = runRollout(() => ({ candidates: 0, currents: 0 }));
+        const unknown = runRollout(() => ({ candidateCount: 0, currentCount: 0 }));
         expect(unknown.at(-1)?.progress.state).toEqual("moving");
     });
 
     it("waits for upstreams of the new version", () => {
-        const steps = runRollout(elapsed => ({ candidates: elapsed < 3_000 ? 0 : 2 }));
+        const steps = runRollout(elapsed => ({ candidateCount: elapsed < 3_000 ? 0 : 2 }));
         expect(steps.slice(0, 2).map(step => [step.at, step.progress.share])).toEqual([[0, 0], [3_000, 0.0675]]);
     });
 
--- a/test/rollouts/sessionVersions.test.ts
+++ b/test/rollouts/sessionVersions.test.ts
@@ -26,7 +26,7 @@
         it(`stay on the old version in the first half, also at a node that has not served them, at ${nodes} nodes`, async () => {
             for (const seed of [1, 2, 3]) {
                 const fleet = await runRollout(nodes, requestsPerSecond, seed);
-                const early = fleet.changes.filter(({ at, to }) => to === "v2" && at < durationMilliseconds / 2);
+                const early = fleet.versionChanges.filter(({ at, to }) => to === "v2" && at < durationMilliseconds / 2);
                 expect(early).toEqual([]);
             }
         });
@@ -35,7 +35,7 @@
     it("are not taken back to the old version while the new one is good", async () => {
         for (const seed of [1, 2, 3]) {
             const fleet = await runRollout(90, 405, seed);
-            expect(fleet.changes.filter(({ to }) => to === "v1")).toEqual([]);
+            expect(fleet.versionChanges.filter(({ to }) => to === "v1")).toEqual([]);
             expect(fleet.getProgress()?.state).toEqual("completed");
         }
     });
--- a/test/scenario/readScenario.test.ts
+++ b/test/scenario/readScenario.test.ts
@@ -24,7 +24,7 @@
         },
         { line: "kill a b", expectedMessage: "Write: kill NAME" },
     ];
-    for (const { line, expectedMessage: expectedMessage } of invalidLines) {
+    for (const { line, expectedMessage } of invalidLines) {
         it(`names the remedy for "${line}"`, () => {
             const { message } = readScenario(`set a b\n${line}`, verbs)._unsafeUnwrapErr();
             expect(message).toInclude(`Line 2, "${line}": `);
--- a/test/scenario/runScenario.test.ts
+++ b/test/scenario/runScenario.test.ts
@@ -35,7 +35,7 @@
         { step: "freeze nobody", expectedMessage: "There is no process \"nobody\"" },
         { step: "start runner", expectedMessage: "runner is still running. Stop or kill it first" },
     ];
-    for (const { step, expectedMessage: expectedMessage } of failingSteps) {
+    for (const { step, expectedMessage } of failingSteps) {
         it(`fails at "${step}"`, async () => {
             const text = `send r to=runner model=plan@1\nwait-until reply r status=200\n${step}\n`;
             const { message } = (await runScenario(text, site))._unsafeUnwrapErr();
--- a/test/testbench/processGroup.test.ts
+++ b/test/testbench/processGroup.test.ts
@@ -32,7 +32,7 @@
         let standin: RunningProcess | undefined;
         const failing = withProcesses(async group => {
             standin = await group.startStandin("log", addresses.next());
-            standin.freeze();
+            standin.pause();
             throw new Error("the work failed");
         });
         await expect(failing).toBeRejectedWith("the work failed");
@@ -50,9 +50,9 @@
         await withProcesses(async group => {
             const standin = await group.startStandin("log", addresses.next());
             const address = standin.getAddress();
-            standin.freeze();
+            standin.pause();
             await expect(call({ address, path: "/faults", timeoutMilliseconds: 200 })).toBeRejected();
-            standin.wake();
+            standin.resume();
             await waitUntil(() => setFaults(address, {}).then(() => true, () => false), {
                 description: "the process to be resumed",
             });
