--- a/src/entry/entry.ts
+++ b/src/entry/entry.ts
@@ -84,7 +84,7 @@
         await parts.lease.stop();
         await parts.rolloutDriver.stop();
         await parts.orderDriver.stop();
-        // An entry that has not heard the news yet may still hand out this one's address, for callers to keep.
+        // Entries that have not received the update yet may still hand out this entry's address, which callers then cache.
         await sleep(timing.addressesKeepMilliseconds + parts.gossip.getSuspicionTimeoutMilliseconds());
         await this.#drain();
         await parts.servicePipeline.waitForCompletions();
