--- a/src/command/operatorSession.ts
+++ b/src/command/operatorSession.ts
@@ -102,7 +102,7 @@
     return new Failure({
         kind: "unavailable",
         message: `The log at ${url} does not answer.`,
-        remedy: "Check --log or the site file, or retry when the log is available again; nothing was published.",
+        remedy: "Check --log or the site file, or try again when the log is back; nothing was published.",
     });
 }
 
--- a/test/claims/collector.test.ts
+++ b/test/claims/collector.test.ts
@@ -10,12 +10,12 @@
 const key = createRunKey("dalisay", "label-1");
 const stream = `claims-${getPartition(key, partitions)}`;
 /** Timeout of claims that are expected to fail. */
-const decideMilliseconds = 200;
+const decisionTimeoutMilliseconds = 200;
 const nodes: ClaimNode[] = [];
 
 function createNode(
     log: MemoryLog,
-    options: { name: string; snapshotMilliseconds?: number; decideMilliseconds?: number; },
+    options: { name: string; snapshotIntervalMilliseconds?: number; decisionTimeoutMilliseconds?: number; },
 ): ClaimNode {
     const node = createClaimNode({ log, ...options });
     nodes.push(node);
@@ -84,7 +84,7 @@
             await claim(createNode(log, { name: "old" }), "r1");
             log.put(stream, { id: "x", kind: "other", format: 1, writer: "test", body: {} });
             log.expire(stream, 1);
-            const claimed = await claim(createNode(log, { name: "fresh", decideMilliseconds }), "r2");
+            const claimed = await claim(createNode(log, { name: "fresh", decisionTimeoutMilliseconds }), "r2");
             expect(claimed.isErr()).toEqual(true);
         });
 
@@ -95,7 +95,11 @@
             await claim(createNode(log, { name: "old" }), "r1");
             log.put(stream, { id: "x", kind: "other", format: 1, writer: "test", body: {} });
             log.expire(stream, 1);
-            const fresh = createNode(log, { name: "fresh", decideMilliseconds, snapshotMilliseconds: 20 });
+            const fresh = createNode(log, {
+                name: "fresh",
+                decisionTimeoutMilliseconds,
+                snapshotIntervalMilliseconds: 20,
+            });
             fresh.clock.advance(1_000);
             expect((await claim(fresh, "r2")).isErr()).toEqual(true);
             expect(countRecords(log, "claims-snapshot")).toEqual(0);
@@ -103,7 +107,7 @@
 
         it("continues from a snapshot that was written before the expiry", async () => {
             const log = new MemoryLog();
-            const old = createNode(log, { name: "old", snapshotMilliseconds: 20 });
+            const old = createNode(log, { name: "old", snapshotIntervalMilliseconds: 20 });
             await claim(old, "r1");
             await waitUntil(() => {
                 old.clock.advance(1_000);
@@ -120,7 +124,7 @@
         it("does not apply a snapshot that omits records", async () => {
             const log = new MemoryLog();
             log.put(stream, { id: "x", kind: "other", format: 1, writer: "test", body: {} });
-            const writer = createNode(log, { name: "old", snapshotMilliseconds: 20 });
+            const writer = createNode(log, { name: "old", snapshotIntervalMilliseconds: 20 });
             await waitUntil(() => {
                 writer.clock.advance(1_000);
                 return countRecords(log, "claims-snapshot") > 0;
@@ -130,7 +134,7 @@
             await claim(createNode(log, { name: "claimant" }), "r1");
             const late = log.put(stream, { ...snapshots[0].record, id: "late" });
             log.expire(stream, late.offset);
-            const fresh = createNode(log, { name: "fresh", decideMilliseconds });
+            const fresh = createNode(log, { name: "fresh", decisionTimeoutMilliseconds });
             expect((await claim(fresh, "r2")).isErr()).toEqual(true);
             expect(fresh.lines.filter(line => line.name === "claims-restored")).toEqual([]);
         });
--- a/test/rollouts/planRollout.test.ts
+++ b/test/rollouts/planRollout.test.ts
@@ -104,10 +104,13 @@
     });
 
     it("never decreases the share and never leaves a final state", () => {
-        const events = fc.array(fc.record({ isBad: fc.boolean(), candidates: fc.nat(3), currentInFlight: fc.nat(3) }), {
-            minLength: 121,
-            maxLength: 121,
-        });
+        const events = fc.array(
+            fc.record({ isBad: fc.boolean(), candidateCount: fc.nat(3), currentInFlight: fc.nat(3) }),
+            {
+                minLength: 121,
+                maxLength: 121,
+            },
+        );
         fc.assert(
             fc.property(events, changes => {
                 const steps = runRollout(elapsed => changes[elapsed / 200]).map(step => step.progress);
