--- a/src/decisions/dispatch/promptHolders.ts
+++ b/src/decisions/dispatch/promptHolders.ts
@@ -20,7 +20,7 @@
      * Removes the cached hash of a runner.
      * @param id - Identifier of the runner.
      */
-    forget(id: string): void {
+    remove(id: string): void {
         this.#points.delete(id);
     }
 
--- a/src/decisions/dispatch/runnerSubsets.ts
+++ b/src/decisions/dispatch/runnerSubsets.ts
@@ -36,7 +36,7 @@
      * Removes the cached rank of a runner.
      * @param id - Identifier of the runner.
      */
-    forget(id: string): void {
+    remove(id: string): void {
         this.#ranks.delete(id);
     }
 
--- a/src/decisions/dispatch/upstreamPicker.ts
+++ b/src/decisions/dispatch/upstreamPicker.ts
@@ -173,8 +173,8 @@
      */
     remove(upstream: string): void {
         this.#statuses.delete(upstream);
-        this.#subsets.forget(upstream);
-        this.#holders.forget(upstream);
+        this.#subsets.remove(upstream);
+        this.#holders.remove(upstream);
     }
 
     #getStatus(id: string): UpstreamStatus {
--- a/src/decisions/dispatch/upstreamStatus.ts
+++ b/src/decisions/dispatch/upstreamStatus.ts
@@ -30,8 +30,8 @@
 export type CallOutcome = "ok" | "error" | "failed" | "silent" | "refused" | "cancelled";
 
 /**
- * If other data was received from an upstream within this time, an unresponsive call is not taken as a sign that the upstream is
- * unreachable, in milliseconds.
+ * Time after other data was received from an upstream, in milliseconds, within which an unresponsive call does not count towards
+ * `maxUnresponsiveFailures`: that single call has failed, and the upstream is still reachable.
  */
 const recentlySeenMilliseconds = 800;
 
--- a/test/decisions/dispatch/upstreamPicker.test.ts
+++ b/test/decisions/dispatch/upstreamPicker.test.ts
@@ -136,9 +136,11 @@
             const pickerWaits = replay(jobs, runners, job => {
                 clock.advance(job.at + 10_000 - clock.monotonic());
                 for (
-                    const done of prefills.splice(0).filter(entry => entry.until > clock.monotonic() || !finish(entry))
+                    const pending of prefills.splice(0).filter(entry =>
+                        entry.until > clock.monotonic() || !finish(entry)
+                    )
                 ) {
-                    prefills.push(done);
+                    prefills.push(pending);
                 }
                 const prompt = createPrompt({ tokens: job.tokens, sharedKey: `large ${job.at}` });
                 const pick = picker.pick({ pool: "app", candidates: runners, excluded: new Set(), prompt });
