--- a/src/decisions/exposure/grants.ts
+++ b/src/decisions/exposure/grants.ts
@@ -2,11 +2,11 @@
  * Distributes a roll-out's exposure budget over the entries in several steps.
  *
  * Ratings arrive late: a stage that exposed its whole share of callers at once would expose hundreds of them before the
- * first rating. So callers are released as earlier ones have been evaluated, a handful at first and then increasingly
- * more.
+ * first rating. So callers are released as earlier ones have been evaluated, a handful at first and then in growing
+ * numbers.
  */
 
-/** The input of a distribution. */
+/** Input of the distribution of grants. */
 export interface GrantInput {
     /** Grants so far, as a total for each entry. */
     readonly grants: Readonly<Record<string, number>>;
@@ -21,7 +21,7 @@
     /** For each evaluated caller, this number of further callers may be exposed without being evaluated yet. */
     readonly pendingPerEvaluated: number;
     /** Returns how many callers an entry has exposed. */
-    readonly getSpent: (entry: string) => number;
+    readonly getExposedCallers: (entry: string) => number;
 }
 
 /** New grants are recorded only if they add at least this part of the callers that may be pending. */
@@ -54,7 +54,7 @@
     let unused = 0;
     for (const [entry, granted] of Object.entries(input.grants)) {
         if (!input.entries.includes(entry)) {
-            unused += Math.max(0, granted - input.getSpent(entry));
+            unused += Math.max(0, granted - input.getExposedCallers(entry));
         }
     }
     return unused;
@@ -65,7 +65,7 @@
     let selected = input.entries[0];
     let minUnused = Infinity;
     for (const entry of input.entries) {
-        const unused = (grants[entry] ?? 0) - input.getSpent(entry);
+        const unused = (grants[entry] ?? 0) - input.getExposedCallers(entry);
         if (unused < minUnused) {
             minUnused = unused;
             selected = entry;
--- a/src/decisions/exposure/rolloutEvaluator.ts
+++ b/src/decisions/exposure/rolloutEvaluator.ts
@@ -57,7 +57,7 @@
     readonly clock: Clock;
     /**
      * Returns the policy of a model. It is called in each evaluation, so that a change applies from the next one on,
-     * also to roll-outs in progress. Returns the default policy by default.
+     * also to roll-outs in progress. If omitted, the default policy applies to all models.
      */
     readonly getPolicy?: (model: string) => RolloutPolicy;
 }
@@ -131,7 +131,7 @@
             version,
             isGuarded ? result.strength * falseHaltMilliseconds / policy.falseHoldMilliseconds : 0,
         );
-        if (result.bad) {
+        if (result.isBad) {
             return {
                 action: "halt",
                 version,
@@ -221,17 +221,20 @@
             evaluatedCallers: Math.min(candidateCounts.evaluated, exposed),
             firstCallers: isUnconfirmed ? maxUnconfirmedCallers : policy.firstCallers,
             pendingPerEvaluated: isSuspicious ? 0 : pendingPerEvaluated,
-            getSpent: entry =>
+            getExposedCallers: entry =>
                 entry === self ? this.#exposures.getOwn(rollout.id) : this.#exposures.getForNode(entry, rollout.id),
         });
         if (grants !== undefined) {
-            return { action: "grant", grants, reason: "Earlier callers are judged." };
+            return { action: "grant", grants, reason: "Earlier callers are evaluated." };
         }
         const reason = isSuspicious ? "The evidence against the candidate grows." : "More ratings are needed.";
         return { action: "wait", reason, strength };
     }
 
-    /** Counts the candidate's answers in total, and those that are old enough for their ratings to have arrived. */
+    /**
+     * Counts the candidate's ratings, and its evaluated answers: those that are rated, or old enough for their ratings
+     * to have arrived. Also checks whether the older answers have enough ratings for the exposure to increase.
+     */
     #countCandidate(strata: readonly Stratum[], policy: RolloutPolicy) {
         const mature = new Tally();
         const total = new Tally();
--- a/src/decisions/exposure/sequentialTest.ts
+++ b/src/decisions/exposure/sequentialTest.ts
@@ -47,7 +47,7 @@
 
 /** The result of a test. */
 export interface TestResult {
-    readonly bad: boolean;
+    readonly isBad: boolean;
     /** The capital reached, as a part of the threshold. At 1 or more the version is bad. */
     readonly strength: number;
     /** The metric with the largest contribution. */
@@ -97,7 +97,7 @@
             }
         }
         const strength = total / this.#options.threshold;
-        return { bad: strength >= 1, strength, metric: metricName, requestClass };
+        return { isBad: strength >= 1, strength, metric: metricName, requestClass };
     }
 
     #evaluateMetric(metric: Metric, strata: readonly Stratum[], orderedBuckets: readonly StratumBucket[]) {
--- a/test/decisions/exposure/rolloutEvaluator.test.ts
+++ b/test/decisions/exposure/rolloutEvaluator.test.ts
@@ -51,8 +51,8 @@
             expect(evaluation.reason.length > 0).toEqual(true);
         });
 
-        // The rating service fails for the candidate's answers only. Without ratings there is no evidence against it,
-        // and a roll-out that continued would expose all callers to an unrated version.
+        // Guards against exposing all callers to an unrated version. If the rating service fails for the candidate's
+        // answers only, there is no evidence against it, and the roll-out would continue.
         it("does not increase the exposure while ratings of the candidate are missing", () => {
             const { evaluate, expose, answer, clock } = createFixture();
             expose(30);
@@ -63,8 +63,9 @@
             expect(evaluation.reason.includes("missing")).toEqual(true);
         });
 
-        // Bad answers are rated less often than others, so the existing ratings look nearly unchanged. A roll-out that
-        // relied on them alone would increase the exposure, and callers would get bad answers that no rating reports.
+        // Guards against bad answers that are rated less often than others, so that the existing ratings look nearly
+        // unchanged. A roll-out that relied on ratings alone would increase the exposure, and callers would get bad
+        // answers that no rating reports.
         it("exposes few callers and then halts where fewer answers are confirmed than for the baseline", () => {
             const { evaluate, answerWithBoth, expose, clock } = createFixture();
             expose(20);
@@ -78,8 +79,8 @@
             expect([evaluation.action, evaluation.reason.includes("rated good")]).toEqual(["halt", true]);
         });
 
-        // The rating service is unavailable for a while. Neither version is rated then, which is no evidence against
-        // the candidate.
+        // Guards against a halt because of an outage of the rating service. Neither version is rated then, which is no
+        // evidence against the candidate.
         it("does not count an outage of the rating service against the candidate", () => {
             const { evaluate, answer, answerWithBoth, expose, clock } = createFixture();
             expose(50);
@@ -92,8 +93,8 @@
             expect(evaluate().reason === "The evidence against the candidate grows.").toEqual(false);
         });
 
-        // An operator lifts a halt. The old evidence still exists: unless the evaluation starts afresh, the next one
-        // would halt the version again at once.
+        // Guards against a new halt right after an operator has lifted one. The old evidence still exists: if the
+        // evaluation included it, it would halt the version again at once.
         it("starts afresh after a lift", () => {
             const { evaluate, append, answer, clock } = createFixture();
             answer("label@2", 60, 0.4, 1);
@@ -104,9 +105,9 @@
     });
 
     describe("getPolicy", () => {
-        // An operator changes the rules of a model while its roll-out is in progress. If the evaluator kept the rules
-        // from the start, it would continue to increase the exposure, or halt a version that the operator wants to
-        // accept.
+        // Guards against outdated rules when an operator changes those of a model during its roll-out. With the rules
+        // from the start, the evaluator would continue to increase the exposure, or halt a version that the operator
+        // wants to accept.
         it("is called at each evaluation, so that each rule applies to a roll-out in progress", () => {
             const { evaluate, expose, answer, clock, setRules } = createFixture();
             expose(40);
@@ -146,8 +147,9 @@
             expect(evaluateStable("label@1").action).toEqual("halt");
         });
 
-        // A version becomes bad soon after its roll-out. Until the evidence suffices for a halt, all callers would get
-        // bad answers, so most new callers get the previous version as soon as there is considerable evidence.
+        // Guards against bad answers for all callers when a version becomes bad soon after its roll-out. Until the
+        // evidence suffices for a halt, most new callers get the previous version, as soon as there is considerable
+        // evidence.
         it("holds a version back soon after its roll-out, and releases it when it is good after all", () => {
             const { evaluateStable, isHeld, append, answer, clock } = createFixture();
             append("rollout-advance", { rollout, stage: 1, fence: fencingToken });
--- a/test/decisions/exposure/rolloutRouter.test.ts
+++ b/test/decisions/exposure/rolloutRouter.test.ts
@@ -14,9 +14,10 @@
             expect(pickMany("a", 2000)).toEqual(0);
         });
 
-        // Entries receive the counts of each other's callers with a delay. If each of them used up what it estimates to
-        // be left, eight entries together would expose several times the budget to a version that may be bad.
-        it("keeps the callers of all entries within the budget without information about each other", async () => {
+        // Guards against exceeding the budget. Entries receive the counts of each other's callers with a delay. If each
+        // of them used up the remaining budget by its own estimate, eight entries together would expose several times
+        // the budget to a version that may be bad.
+        it("keeps the callers of all entries within the budget without an exchange of counts", async () => {
             const { append, pickMany } = await createFixture();
             append("rollout-grant", { rollout, fence: fencingToken, grants: { a: 10, b: 10, c: 10 } });
             let exposed = 0;
@@ -48,8 +49,9 @@
         });
     });
 
-    // A version looks bad soon after its roll-out. If all callers still got it until the evidence suffices, many more
-    // would get bad answers. If none got it, the evidence would never suffice.
+    // Guards against both extremes when a version looks bad soon after its roll-out. If all callers still got it until
+    // the evidence suffices for a halt, many more would get bad answers. If none got it, the evidence would never
+    // suffice.
     describe("isHeld", () => {
         it("sends few callers, always the same, to a finished candidate that is held back", async () => {
             const { append, pickMany, held } = await createFixture();
--- a/test/decisions/exposure/sequentialTest.test.ts
+++ b/test/decisions/exposure/sequentialTest.test.ts
@@ -23,16 +23,16 @@
             expect(result.requestClass).toEqual("allergens");
         });
 
-        // A version is good for an hour and then becomes bad. Summed over the whole hour its answers would still look
-        // good, and callers would get bad answers for as long again.
+        // Guards against late detection of a version that becomes bad after a good hour. Summed over the whole hour its
+        // answers would still look good, and callers would get bad answers for as long again.
         it("detects a version that becomes bad after a long good time", () => {
             const fixture = createFixture();
             for (let epoch = 0; epoch < 200; epoch += 1) {
                 fixture.add(epoch, 20, { bad: 0.03, failed: 0, slow: 0 });
             }
-            expect(fixture.evaluate().bad).toEqual(false);
+            expect(fixture.evaluate().isBad).toEqual(false);
             let epochs = 0;
-            while (!fixture.evaluate().bad && epochs < 30) {
+            while (!fixture.evaluate().isBad && epochs < 30) {
                 fixture.add(200 + epochs, 10, { bad: 0.4, failed: 0, slow: 0 });
                 epochs += 1;
             }
@@ -48,7 +48,7 @@
                 const fixture = createFixture(seed);
                 for (let epoch = 0; epoch < 60; epoch += 1) {
                     fixture.add(epoch, 8, { bad: 0.04, failed: 0.015, slow: 0.1 });
-                    if (fixture.evaluate().bad) {
+                    if (fixture.evaluate().isBad) {
                         halted += 1;
                         break;
                     }
@@ -60,7 +60,7 @@
         it("finds nothing without a reference", () => {
             const fixture = createFixture(1, 0);
             fixture.add(0, 100, { bad: 1, failed: 1, slow: 1 });
-            expect(fixture.evaluate().bad).toEqual(false);
+            expect(fixture.evaluate().isBad).toEqual(false);
         });
     });
 });
@@ -78,7 +78,7 @@
     for (let epoch = 0; epoch < 100; epoch += 1) {
         fixture.add(epoch, 4, chances, badClasses);
         const result = fixture.evaluate();
-        if (result.bad) {
+        if (result.isBad) {
             return result;
         }
     }
