--- a/src/decisions/limits/fairQueue.ts
+++ b/src/decisions/limits/fairQueue.ts
@@ -56,7 +56,7 @@
     }
 
     /**
-     * Charges a workspace for tokens.
+     * Charges a workspace for tokens without advancing the virtual time.
      * @param workspace - The workspace.
      * @param share - Share of the workspace.
      * @param tokens - Number of tokens.
--- a/test/decisions/limits/admissionController.test.ts
+++ b/test/decisions/limits/admissionController.test.ts
@@ -22,12 +22,12 @@
         // Guards against late refusals. At twice the capacity, a caller that is held until its deadline can neither go elsewhere nor
         // retry in time; a caller that is refused at once can.
         it("decides at once, or within the short queue time", () => {
-            const { offer, fill, pass } = createController(8);
+            const { offer, fill, advance } = createController(8);
             fill();
             const decisions = Array.from({ length: 20 }).map(() => offer());
             const waiting = decisions.filter(decision => decision() === undefined);
             expect(waiting.length <= 1).toEqual(true);
-            pass(50);
+            advance(50);
             for (const decision of decisions) {
                 expect(decision()!._unsafeUnwrapErr().retryAfterMilliseconds! >= 1_000).toEqual(true);
             }
@@ -42,12 +42,12 @@
         });
 
         it("admits the next request when a slot is released, and cancels its timer", () => {
-            const { offer, fill, pass, controller } = createController(2);
+            const { offer, fill, advance, controller } = createController(2);
             const [first] = fill();
             const decision = offer();
             release(first);
             expect(decision()!.isOk()).toEqual(true);
-            pass(1_000);
+            advance(1_000);
             expect([controller.getInFlight(), controller.getQueueLength()]).toEqual([2, 0]);
         });
 
@@ -88,11 +88,11 @@
         });
 
         function getServedRatio(options: { readonly capacity: number; readonly every: number; }): number {
-            const { controller, pass } = createController(options.capacity);
+            const { controller, advance } = createController(options.capacity);
             const served = new Map([["large", 0], ["small", 0]]);
             const inFlight: { readonly until: number; readonly ticket: Ticket; }[] = [];
             for (let step = 0; step < 20_000; step += 1) {
-                pass(10);
+                advance(10);
                 while (inFlight.length > 0 && inFlight[0].until <= step) {
                     release(inFlight.shift()!.ticket);
                 }
@@ -144,16 +144,16 @@
 
     describe("admit, when callers retry", () => {
         function refuseMany(count: number): readonly number[] {
-            const { offer, fill, pass } = createController(10);
+            const { offer, fill, advance } = createController(10);
             fill({ workspace: "loud" });
             const decisions = Array.from({ length: count }).map(() => offer({ workspace: "loud" }));
-            pass(50);
+            advance(50);
             return decisions.map(decision => decision()!._unsafeUnwrapErr().retryAfterMilliseconds!);
         }
 
         // Guards against synchronized retries. If all callers that are refused within one second get the same retry time, they retry
         // at once and most are refused again.
-        it("spreads the retries, later with more refusals, up to a minute", () => {
+        it("distributes retries over time, up to a minute, and later with more refusals", () => {
             const few = refuseMany(10);
             const many = refuseMany(400);
             expect(Math.max(...few) < Math.max(...many)).toEqual(true);
@@ -168,11 +168,11 @@
 
         // Guards against callers that ignore the retry time. Each early retry gets a longer wait, and its workspace is charged.
         it("increases the wait of a caller that retries too early", () => {
-            const { offer, fill, pass } = createController(4);
+            const { offer, fill, advance } = createController(4);
             fill({ workspace: "loud" });
             const requestRetryAfter = (): number => {
                 const decision = offer({ workspace: "loud", caller: "clerk" });
-                pass(50);
+                advance(50);
                 return decision()!._unsafeUnwrapErr().retryAfterMilliseconds!;
             };
             requestRetryAfter();
@@ -195,12 +195,12 @@
         // Guards against overloading slow upstreams. When they slow down without reporting it, an unchanged limit only makes their queues
         // longer.
         it("falls when answers slow down and recovers when they are fast again", () => {
-            const { controller, fill, pass, answer } = createController(20);
+            const { controller, fill, advance, answer } = createController(20);
             answer(100, 40);
             const serveRounds = (firstTokenMilliseconds: number, rounds: number): number => {
                 for (let round = 0; round < rounds; round += 1) {
                     for (const ticket of fill()) {
-                        pass(60);
+                        advance(60);
                         ticket.release({ outcome: "ok", firstTokenMilliseconds, tokens: 100 });
                     }
                 }
--- a/test/decisions/limits/fixtures.ts
+++ b/test/decisions/limits/fixtures.ts
@@ -19,7 +19,7 @@
     };
 }
 
-/** Creates a controller whose timers run when the test calls `pass`. */
+/** Creates a controller whose timers run when the test calls `advance`. */
 export function createController(capacity: number, options: Partial<LimitOptions> = {}) {
     const clock = new ManualClock(1_000);
     const timers: { at: number; run: () => void; }[] = [];
@@ -34,7 +34,7 @@
         },
     });
     controller.setCapacity(capacity);
-    const pass = (milliseconds: number): void => {
+    const advance = (milliseconds: number): void => {
         clock.advance(milliseconds);
         for (const timer of timers.filter(candidate => candidate.at <= clock.monotonic())) {
             timer.run();
@@ -63,9 +63,9 @@
     const answer = (firstTokenMilliseconds: number, times: number, outcome: "ok" | "failed" = "ok"): void => {
         for (let index = 0; index < times; index += 1) {
             const ticket = offer()()!._unsafeUnwrap();
-            pass(100);
+            advance(100);
             ticket.release({ outcome, firstTokenMilliseconds, tokens: 100 });
         }
     };
-    return { controller, clock, pass, offer, fill, answer };
+    return { controller, clock, advance, offer, fill, answer };
 }
--- a/test/decisions/limits/retryBudget.test.ts
+++ b/test/decisions/limits/retryBudget.test.ts
@@ -3,7 +3,7 @@
 import { RetryBudget } from "../../../src/decisions/limits/index.js";
 
 describe("RetryBudget", () => {
-    describe("take", () => {
+    describe("tryAcquire", () => {
         // Guards against multiplied load. If all upstreams fail at once and each request is attempted three times, the load triples.
         it("allows no more retries than its share of the requests once the burst is used up", () => {
             const budget = new RetryBudget({ ratio: 0.1, burst: 5 });
