--- a/src/decisions/loading/index.ts
+++ b/src/decisions/loading/index.ts
@@ -1,4 +1,4 @@
-/** Decision which versions each runner of a pool loads. */
+/** Version loading: decides which versions each runner of a pool loads. */
 export * from "./loading.js";
 export * from "./loadingOrders.js";
 export * from "./versionPlacement.js";
--- a/src/decisions/loading/loadingOrders.ts
+++ b/src/decisions/loading/loadingOrders.ts
@@ -112,7 +112,7 @@
             for (const [version, holders] of this.#placement) {
                 if (holders.has(runner.id) && !runner.versions.includes(version)) {
                     const isInProgress = runner.loading.includes(version);
-                    loads.push({ runner, version, isInProgress, rank: this.#rank(version, runner.failureDomain) });
+                    loads.push({ runner, version, isInProgress, rank: this.#getRank(version, runner.failureDomain) });
                 }
             }
         }
@@ -122,7 +122,7 @@
     }
 
     /** Ranks a load: the first copy of a version comes first, then the first in a second failure domain, then the remaining copies. */
-    #rank(version: string, failureDomain: string): number {
+    #getRank(version: string, failureDomain: string): number {
         const domains = this.#ready.get(version) ?? new Map<string, number>();
         if (domains.size < minFailureDomains) {
             return domains.has(failureDomain) ? 1 : domains.size / minFailureDomains;
--- a/src/decisions/loading/versionPlacement.ts
+++ b/src/decisions/loading/versionPlacement.ts
@@ -144,7 +144,7 @@
     readonly request: LoadingRequest;
 }
 
-/** Places a version on runners of alternating failure domains until it has its number of copies. */
+/** Places a version on runners until it has its number of copies, each time in the failure domain with the fewest copies. */
 function assignCopies({ id, placement, assignments, count, request }: CopyAssignment): void {
     const assigned = placement.get(id) ?? new Set<string>();
     const domains = countDomains(request.runners, assigned);
@@ -170,7 +170,7 @@
     }
 }
 
-/** Groups runners by failure domain, with the fewest placed versions first. */
+/** Groups runners by failure domain, with the fewest placed versions first. Among equal ones, runners with a free slot come first. */
 function groupByDomain(
     assignments: readonly RunnerAssignment[],
     isFree: (assignment: RunnerAssignment) => boolean,
@@ -201,7 +201,10 @@
     return runner.versions.length >= versionsPerRunner;
 }
 
-/** Finds the failure domain with the fewest copies that has a runner left. Ties go to the runner with the fewest placed versions. */
+/**
+ * Finds the failure domain with the fewest copies that has a runner left. Among equal ones, it is the domain whose next runner has the
+ * fewest placed versions.
+ */
 function findLeastCoveredDomain(
     queues: ReadonlyMap<string, readonly RunnerAssignment[]>,
     domains: ReadonlyMap<string, number>,
