--- a/src/decisions/model/evidence.ts
+++ b/src/decisions/model/evidence.ts
@@ -91,7 +91,7 @@
 
 interface NodeCounts {
     sequence: number;
-    departed: boolean;
+    isDeparted: boolean;
     /** By version, then by class. */
     readonly cells: Map<string, Map<string, Cell>>;
     escalations: Escalations;
@@ -202,7 +202,7 @@
     markDeparted(origin: string): void {
         const known = this.#others.get(origin);
         if (known !== undefined) {
-            known.departed = true;
+            known.isDeparted = true;
         }
         this.#dropExpired();
     }
@@ -301,7 +301,7 @@
     #dropExpired(): void {
         const earliestRetainedEpoch = this.getEpoch(this.#clock.wall()) - retainedHalfLives * this.#halfLifeEpochs;
         for (const [origin, node] of this.#others) {
-            if (node.departed && getLatestEpoch(node) < earliestRetainedEpoch) {
+            if (node.isDeparted && getLatestEpoch(node) < earliestRetainedEpoch) {
                 this.#others.delete(origin);
                 this.#revision += 1;
                 this.#droppedAtRevision = this.#revision;
@@ -315,7 +315,7 @@
 }
 
 function createNodeCounts(): NodeCounts {
-    return { sequence: 0, departed: false, cells: new Map(), escalations: new Escalations() };
+    return { sequence: 0, isDeparted: false, cells: new Map(), escalations: new Escalations() };
 }
 
 function getLatestEpoch(node: NodeCounts): number {
--- a/src/decisions/model/modelChooser.ts
+++ b/src/decisions/model/modelChooser.ts
@@ -38,7 +38,7 @@
 const maxPlanAgeMilliseconds = 10 * refreshMilliseconds;
 /** Maximum share of a class's requests that explore. */
 const maxExplorationShare = 0.2;
-/** Maximum of the saved surplus quality, so that a long good period does not pay for a burst of bad answers. */
+/** Maximum of the saved surplus quality, so that a long good period cannot pay for a burst of bad answers. */
 const maxCredit = 5;
 /** Surplus quality that a new class starts with as an advance; it is earned back later. */
 const initialCredit = 1;
@@ -181,8 +181,9 @@
             return undefined;
         }
         const explorations = state.getExplorations();
-        // No credit is earned while no version meets the target. Without this exception a version with a few unluckily
-        // low ratings would never be explored again, and the class would stay below its target permanently.
+        // No credit is earned while no version meets the target, so explorations need none then. Otherwise a version
+        // with a few unluckily low ratings would never be explored again, and the class would stay below its target
+        // permanently.
         const isTargetUnmet = best.quality < request.targetQuality;
         const fallback = getCheapest(state.sufficientSingles, request) ?? state.highestQuality;
         const weights: number[] = [];
--- a/test/decisions/model/answerTimes.test.ts
+++ b/test/decisions/model/answerTimes.test.ts
@@ -17,8 +17,8 @@
             expect(Math.round(times.getCascadeWaitMilliseconds(requestClass, "small", "large") ?? 0)).toEqual(1750);
         });
 
-        // An entry has just started or a class is new. If it assumed a short wait, a caller of a cascade might wait for
-        // seconds without a token.
+        // Guards against long waits of callers while a class is new or the entry has just started. If a short wait were
+        // assumed without any durations, the caller of a cascade might wait for seconds without a token.
         it("returns undefined before the first answer of a class", () => {
             const { times, addAnswers } = createFixture();
             addAnswers("large", 200, 4000);
--- a/test/decisions/model/evidence.test.ts
+++ b/test/decisions/model/evidence.test.ts
@@ -45,9 +45,9 @@
         });
     });
 
-    describe("forget", () => {
-        // An entry is replaced. If the ratings of a bad version that it counted were lost, its successors would send as
-        // many requests to that version again.
+    describe("markDeparted", () => {
+        // Guards against losing the counts of an entry that is replaced. Without its ratings of a bad version, its
+        // successors would send as many requests to that version again.
         it("retains the counts of a departed node until they are old", () => {
             const clock = new ManualClock(startTime);
             const departing = new Evidence({ clock });
--- a/test/decisions/model/modelChooser.test.ts
+++ b/test/decisions/model/modelChooser.test.ts
@@ -54,10 +54,10 @@
             let sum = 0;
             const count = 5000;
             for (let request = 0; request < count; request += 1) {
-                const hard = random.next() < 0.4;
-                const firstScore = (hard ? 0.3 : 0.84) + 0.02 * random.nextNormal();
-                const final = steps[0].version === large || firstScore < steps[0].acceptScore!;
-                sum += final ? (hard ? 0.7 : 0.97) : firstScore;
+                const isDifficult = random.next() < 0.4;
+                const firstScore = (isDifficult ? 0.3 : 0.84) + 0.02 * random.nextNormal();
+                const isAnsweredByLarge = steps[0].version === large || firstScore < steps[0].acceptScore!;
+                sum += isAnsweredByLarge ? (isDifficult ? 0.7 : 0.97) : firstScore;
             }
             expect(sum / count >= 0.8).toEqual(true);
         });
@@ -117,8 +117,8 @@
             expect(plan.steps[0].version.id).toEqual(large.id);
         });
 
-        // A cheap version is good for an hour and then becomes bad. Its many good ratings would outweigh the new bad
-        // ones for a long time, and callers would continue to get bad answers.
+        // Guards against a late reaction to a version that becomes bad after a good hour. Its many good ratings would
+        // outweigh the new bad ones for a long time, and callers would continue to get bad answers.
         it("stops choosing a version soon after it became bad", () => {
             const { addRatings, choose, clock } = createFixture();
             addRatings(large, 400, 0.95, 0.02);
@@ -133,8 +133,9 @@
             expect(choose({ ratingsAvailable: false }).steps[0].version.id).toEqual(large.id);
         });
 
-        // A good version got three unluckily low ratings. If it were never explored again, the class would stay with a
-        // version that is known to miss the target, although a better one is available.
+        // Guards against excluding a good version permanently after three unluckily low ratings. If it were never
+        // explored again, the class would stay with a version that is known to miss the target, although a better one is
+        // available.
         it("continues to explore a version that may meet the target while none is known to", () => {
             const { addRatings, choose } = createFixture();
             addRatings(medium, 500, 0.7, 0.02);
@@ -147,8 +148,8 @@
             expect(lateExplorations > 0).toEqual(true);
         });
 
-        // Creating plans takes longer than callers may wait for their next token. It runs in steps after the request,
-        // and the previous plans are used until the last step is done.
+        // Guards against delayed tokens. Creating plans takes longer than callers may wait for their next token, so it
+        // runs in steps after the request, and the previous plans are used until the last step is done.
         it("refreshes due plans after the request, in steps", () => {
             const steps: (() => void)[] = [];
             const { addRatings, choose, clock } = createFixture({ schedule: step => steps.push(step) });
@@ -170,8 +171,8 @@
             expect(getVersion()).toEqual(large.id);
         });
 
-        // A class had no requests for a while, and meanwhile a version became bad. The old plans would send the next
-        // callers to that version.
+        // Guards against outdated plans. If a version becomes bad while a class has no requests, the old plans would send
+        // the next callers to that version.
         it("refreshes outdated plans before it chooses", () => {
             const { addRatings, choose, clock } = createFixture({ schedule: () => {} });
             addRatings(medium, 400, 0.88, 0.02);
--- a/test/decisions/model/qualityModel.test.ts
+++ b/test/decisions/model/qualityModel.test.ts
@@ -13,8 +13,8 @@
 const [small, medium, large] = versions;
 
 describe("QualityModel", () => {
-    // A class is new. Without the ratings of other classes and versions its callers would pay for the most expensive
-    // version until each cheaper one has enough ratings of its own.
+    // Guards against high costs of a new class. Without the ratings of other classes and versions, its callers would pay
+    // for the most expensive version until each cheaper one has enough ratings of its own.
     it("estimates a version in a new class from other classes and other versions", () => {
         const { model, addRatings, refreshAll } = createFixture();
         for (const [index, ease] of [0, 0.05, -0.05, 0.02].entries()) {
@@ -31,9 +31,9 @@
         expect(deviation < 0.1).toEqual(true);
     });
 
-    // The expensive version answers only what the cheap one answered badly, so all its ratings belong to difficult
-    // requests. Uncorrected, they would conceal that it meets the target by itself when ratings are unavailable and
-    // cascades stop.
+    // Guards against underestimating a version that answers only what a cheaper one answered badly. All its ratings
+    // belong to difficult requests. Uncorrected, they would conceal that it meets the target by itself when ratings are
+    // unavailable and cascades stop.
     it("estimates a version that only answers second", () => {
         const { model, evidence, random, addRatings, refreshAll } = createFixture();
         addRatings(small, "plans", 400, 0.6);
