--- a/src/decisions/placement/candidateSet.ts
+++ b/src/decisions/placement/candidateSet.ts
@@ -121,7 +121,10 @@
             && (pool === undefined || runner.vm.pool === pool);
     }
 
-    /** Skips a returning runner at random, less and less often as its ramp rises, so that its cache and threads warm up. */
+    /**
+     * Returns whether a runner may be compared. A returning runner is excluded at random, less and less often as its ramp rises, so that
+     * its cache and threads warm up.
+     */
     #passesRamp(runner: Runner): boolean {
         const ramp = runner.health.getRamp(this.#now);
         return ramp >= 1 || this.#random.next() < ramp;
--- a/src/decisions/placement/poolStatistics.ts
+++ b/src/decisions/placement/poolStatistics.ts
@@ -43,9 +43,9 @@
         this.#serviceMilliseconds += smoothing * (milliseconds - this.#serviceMilliseconds);
     }
 
-    /** Adds the prefill time per token of a request that did not have to wait. */
-    addPrefillSample(milliseconds: number): void {
-        this.#prefillMillisecondsPerToken += smoothing * (milliseconds - this.#prefillMillisecondsPerToken);
+    /** Adds the prefill time per prompt token of a request that did not have to wait. */
+    addPrefillSample(millisecondsPerToken: number): void {
+        this.#prefillMillisecondsPerToken += smoothing * (millisecondsPerToken - this.#prefillMillisecondsPerToken);
     }
 
     /** Adds the ratio of the measured to the expected time to first token of an answer. */
--- a/src/decisions/placement/prefixTable.ts
+++ b/src/decisions/placement/prefixTable.ts
@@ -82,7 +82,7 @@
     }
 
     /** Removes a departed runner. Its remaining hints in the table are ignored. */
-    forget(upstream: string): void {
+    removeUpstream(upstream: string): void {
         this.#generations.delete(upstream);
         this.#minValidGenerations.delete(upstream);
     }
--- a/src/decisions/placement/runner.ts
+++ b/src/decisions/placement/runner.ts
@@ -12,7 +12,7 @@
 /** Fixed cost of a request, expressed in prompt tokens. */
 const fixedTokens = 64;
 /**
- * Smoothing factor for a single answer, which may be slow or fast because of a short queue or a wrong cache hint. Several consecutive
+ * Smoothing factor for a single answer, which may be slow or fast because of a temporary queue or a wrong cache hint. Several consecutive
  * answers that deviate in the same direction are strong evidence and get the larger factor below.
  */
 const slowdownSmoothing = 0.03;
@@ -74,8 +74,9 @@
     }
 
     /**
-     * Returns the ratio of measured to expected times to first token. It depends on measured times alone, so it detects a runner that
-     * reports too little load. It decays over time, so that the runner gets requests again.
+     * Returns the ratio of measured times to first token to those that follow from the reported load. It is updated by answers only, so
+     * it reveals a runner that reports too little load: its answers take longer than the reports imply. It decays towards 1, so that
+     * the runner gets requests again.
      */
     getSlowdown(now: number): number {
         return Math.exp(this.#logSlowdown * Math.exp(-(now - this.#slowdownUpdatedAt) / slowdownLifetimeMilliseconds));
--- a/src/decisions/placement/runnerChooser.ts
+++ b/src/decisions/placement/runnerChooser.ts
@@ -20,8 +20,8 @@
 import { RunnerIndex } from "./runnerIndex.js";
 import { Work } from "./work.js";
 
-/** Minimum time before the retry of a refused request. */
-const minRetryMilliseconds = 1_000;
+/** Base of the retry time of a refused request. The excess over its deadline is added, and jitter of up to 25 % in both directions. */
+const baseRetryMilliseconds = 1_000;
 const ownDomainMilliseconds = 0;
 
 /** Selects runners for one entry and tracks their state. */
@@ -74,7 +74,7 @@
             if (!listed.has(id)) {
                 this.#runners.delete(id);
                 this.#index.remove(runner);
-                this.#prefixes.forget(id);
+                this.#prefixes.removeUpstream(id);
             }
         }
         this.#index.setEntries(entries);
@@ -225,7 +225,7 @@
         }
         if (this.#candidates.isEmpty()) {
             // If the subset has no eligible runner, any runner is used, even an ejected one: an attempt may succeed, while a refusal
-            // fails for certain.
+            // is certainly a failure.
             this.#candidates.addIncludingEjected(list.all);
         }
         const placement = this.#candidates.getBest();
@@ -363,7 +363,7 @@
     }
 
     #getRetryAfter(excessMilliseconds: number): number {
-        return Math.round((minRetryMilliseconds + excessMilliseconds) * (0.75 + this.#random.next() / 2));
+        return Math.round((baseRetryMilliseconds + excessMilliseconds) * (0.75 + this.#random.next() / 2));
     }
 }
 
--- a/test/decisions/placement/pollSchedule.test.ts
+++ b/test/decisions/placement/pollSchedule.test.ts
@@ -88,7 +88,7 @@
         expect(schedule.take(createCandidates(100), 60_000).length).toEqual(4);
     });
 
-    it("reads cache events with every fourth poll", () => {
+    it("reads cache events with the first of every four polls", () => {
         const rounds = takeRounds(createSchedule(100), 8, () => createCandidates(1));
         expect(rounds.flat().map(poll => poll.hasCacheEvents))
             .toEqual([false, false, false, true, false, false, false, true]);
--- a/test/decisions/placement/prefixTable.test.ts
+++ b/test/decisions/placement/prefixTable.test.ts
@@ -32,7 +32,7 @@
         it("does not return a removed runner", () => {
             const table = new PrefixTable(100);
             table.add("runner-0", "a");
-            table.forget("runner-0");
+            table.removeUpstream("runner-0");
             expect(table.getMatches(["a"], 3)).toEqual([]);
         });
     });
--- a/test/decisions/placement/runnerChooser.test.ts
+++ b/test/decisions/placement/runnerChooser.test.ts
@@ -28,7 +28,7 @@
             expect([...counts.keys()].sort()).toEqual(["runner-1", "runner-2", "runner-3"]);
         });
 
-        // Callers of a doubtful version are sent to its predecessor only if enough runners have the predecessor.
+        // Callers of a version that is held back get the previous one only if enough runners have it loaded.
         it("counts the runners that have a version and aren't leaving", () => {
             const { chooser } = createChooser(createVms(4));
             chooser.setVersions("runner-0", ["wear-small@1"]);
