--- a/test/decisions/retries/windowedRetryBudget.test.ts
+++ b/test/decisions/retries/windowedRetryBudget.test.ts
@@ -17,31 +17,31 @@
 }
 
 describe("WindowedRetryBudget", () => {
-    // Guards against retry storms. If every runner fails every request and each request is repeated as often as its route allows, the
-    // runners would get three times their load when they can handle the least.
+    // Guards against retry storms. If every runner fails every request and each request is retried as often as its route allows,
+    // the runners would get three times their load when they can handle the least.
     it("keeps retries below their ratio in every window while all requests fail", () => {
         const { clock, budget } = createBudget();
-        const sent: { readonly at: number; readonly isRepeat: boolean; }[] = [];
+        const sent: { readonly at: number; readonly isRetry: boolean; }[] = [];
         for (let step = 0; step < 4_000; step += 1) {
             clock.advance(10);
             const rate = step < 2_000 ? 1 : 5;
             if (step % rate === 0) {
                 budget.addRequest();
-                sent.push({ at: clock.monotonic(), isRepeat: false });
+                sent.push({ at: clock.monotonic(), isRetry: false });
             }
-            for (let repeat = 0; repeat < 2; repeat += 1) {
+            for (let retry = 0; retry < 2; retry += 1) {
                 if (budget.take()) {
-                    sent.push({ at: clock.monotonic(), isRepeat: true });
+                    sent.push({ at: clock.monotonic(), isRetry: true });
                 }
             }
         }
         for (let from = 100_000; from < 130_000; from += 500) {
             const window = sent.filter(({ at }) => at >= from && at < from + windowMilliseconds);
             const before = sent.filter(({ at }) => at >= from - windowMilliseconds && at < from && from > 110_000);
-            const requests = window.filter(({ isRepeat }) => !isRepeat).length;
-            const requestsBefore = before.filter(({ isRepeat }) => !isRepeat).length;
-            const repeats = window.length - requests;
-            expect(repeats <= 0.9 * Math.max(requests, requestsBefore)).toEqual(true);
+            const requests = window.filter(({ isRetry }) => !isRetry).length;
+            const requestsBefore = before.filter(({ isRetry }) => !isRetry).length;
+            const retries = window.length - requests;
+            expect(retries <= 0.9 * Math.max(requests, requestsBefore)).toEqual(true);
         }
     });
 
