--- a/src/entry/answerRelay.ts
+++ b/src/entry/answerRelay.ts
@@ -78,8 +78,8 @@
     readonly #options: RelayOptions;
     #lastId: number;
     #usage: TokenUsage = { inputTokens: 0, cachedTokens: 0, outputTokens: 0 };
-    #started = false;
-    #billingFailed = false;
+    #hasStarted = false;
+    #hasBillingFailed = false;
 
     constructor(options: RelayOptions) {
         this.#options = options;
@@ -95,7 +95,7 @@
     }
 
     hasBillingFailed(): boolean {
-        return this.#billingFailed;
+        return this.#hasBillingFailed;
     }
 
     async run(answer: EngineAnswer): Promise<UpstreamFailure | undefined> {
@@ -114,8 +114,8 @@
     }
 
     async #handleEvent(event: EngineEvent): Promise<UpstreamFailure | undefined> {
-        if (!this.#started) {
-            this.#started = true;
+        if (!this.#hasStarted) {
+            this.#hasStarted = true;
             this.#options.onFirstEvent();
         }
         const usage = event.data === endOfStream ? undefined : readUsage(event.data);
@@ -123,7 +123,7 @@
             this.#usage = usage;
             const billed = await this.#options.beforeEnd(usage);
             if (billed.isErr()) {
-                this.#billingFailed = true;
+                this.#hasBillingFailed = true;
                 return { failure: billed.error, outcome: "ran" };
             }
         }
--- a/src/entry/answerSink.ts
+++ b/src/entry/answerSink.ts
@@ -9,7 +9,7 @@
 /** Receives an answer for a caller. */
 export interface AnswerSink {
     /** Whether any byte of the answer has been sent. */
-    readonly started: boolean;
+    readonly hasStarted: boolean;
     /**
      * Starts the response.
      * @param headers - Headers besides the content type.
@@ -38,7 +38,7 @@
         this.#requestId = requestId;
     }
 
-    get started(): boolean {
+    get hasStarted(): boolean {
         return this.#started;
     }
 
@@ -87,7 +87,7 @@
     }
 
     /** Always false: nothing is sent before the answer is complete, so the answer can always be run again. */
-    get started(): boolean {
+    get hasStarted(): boolean {
         return false;
     }
 
--- a/src/entry/attemptRunner.ts
+++ b/src/entry/attemptRunner.ts
@@ -99,10 +99,10 @@
 
     #mayRetry(options: AttemptOptions, attempt: number, refusal: AttemptRefusal): boolean {
         const { call } = options;
-        if (!refusal.retriable || attempt + 1 >= maxAttempts) {
+        if (!refusal.isRetriable || attempt + 1 >= maxAttempts) {
             return false;
         }
-        if (call.sink.started || call.disconnectSignal.aborted || call.deadlineSignal.aborted) {
+        if (call.sink.hasStarted || call.disconnectSignal.aborted || call.deadlineSignal.aborted) {
             return false;
         }
         return this.#options.retries.tryAcquire();
@@ -199,7 +199,7 @@
                     // has no reader and no bill: its load would include the work, and the bills would not.
                     await this.#abandon(options, runner, streamId);
                 }
-                return err({ ...this.#toDeadlineRefusal(call, answered.error), retriable: true });
+                return err({ ...this.#toDeadlineRefusal(call, answered.error), isRetriable: true });
             }
             const answer = answered.value;
             if (answer.version !== version.id) {
@@ -254,7 +254,7 @@
         }
         finishWork(work, signal.aborted ? "cancelled" : "failed", milliseconds, answer);
         await this.#abandon(options, runner, streamId);
-        return err({ ...this.#toDeadlineRefusal(call, relayed.error), retriable: true });
+        return err({ ...this.#toDeadlineRefusal(call, relayed.error), isRetriable: true });
     }
 
     /**
@@ -288,7 +288,7 @@
             found: answer.version,
         });
         return {
-            retriable: true,
+            isRetriable: true,
             outcome: "ran",
             failure: new Failure({
                 kind: "upstream-failed",
@@ -328,11 +328,11 @@
 
 interface AttemptRefusal extends Refusal {
     /** Whether an attempt on another runner may succeed. */
-    readonly retriable: boolean;
+    readonly isRetriable: boolean;
 }
 
 function createFinalRefusal(failure: Failure): AttemptRefusal {
-    return { ...createNotRunRefusal(failure), retriable: false };
+    return { ...createNotRunRefusal(failure), isRetriable: false };
 }
 
 function finishWork(
--- a/src/entry/callerServer.ts
+++ b/src/entry/callerServer.ts
@@ -50,8 +50,8 @@
 export class CallerServer {
     readonly #options: CallerServerOptions;
     readonly #server: Server;
-    readonly #running = new Set<ServerResponse>();
-    #leaving = false;
+    readonly #openResponses = new Set<ServerResponse>();
+    #isLeaving = false;
 
     constructor(options: CallerServerOptions) {
         this.#options = options;
@@ -83,12 +83,12 @@
 
     /** Returns the number of requests in progress. */
     getRunningCount(): number {
-        return this.#running.size;
+        return this.#openResponses.size;
     }
 
     /** Closes each connection after its next response from now on, so that callers connect to another entry. */
     announceLeaving(): void {
-        this.#leaving = true;
+        this.#isLeaving = true;
     }
 
     /** Stops accepting connections, and resolves when every accepted request has been answered. */
@@ -107,7 +107,7 @@
         const router = new Router();
         router.get("/health", context => {
             context.status = this.#options.isReady() ? 200 : 503;
-            context.body = { ready: this.#options.isReady(), leaving: this.#leaving };
+            context.body = { ready: this.#options.isReady(), leaving: this.#isLeaving };
         });
         router.get("/v1/addresses", context => {
             context.body = createAddressDocument(this.#options.addresses);
@@ -139,7 +139,7 @@
         context.respond = false;
         const response = context.res;
         const requestId = randomUUID();
-        if (this.#leaving) {
+        if (this.#isLeaving) {
             response.setHeader("connection", "close");
         }
         const identity = this.#identify(context.req);
@@ -154,8 +154,8 @@
             disconnectSignal: createDisconnectSignal(response),
             arrivedAt: this.#now(),
         };
-        this.#running.add(response);
-        this.#options.metrics.running.set(this.#running.size);
+        this.#openResponses.add(response);
+        this.#options.metrics.running.set(this.#openResponses.size);
         try {
             const refusal = await serve(call, response);
             this.#report(call, response, refusal);
@@ -164,8 +164,8 @@
             this.#reportCrash(call, response, error);
         }
         finally {
-            this.#running.delete(response);
-            this.#options.metrics.running.set(this.#running.size);
+            this.#openResponses.delete(response);
+            this.#options.metrics.running.set(this.#openResponses.size);
         }
     }
 
@@ -204,7 +204,7 @@
             sink,
             deadlineSignal: deadline,
         });
-        if (result.isErr() && sink.started) {
+        if (result.isErr() && sink.hasStarted) {
             sink.fail(result.error);
         }
         return result.isErr() ? result.error : undefined;
@@ -223,7 +223,7 @@
             sink,
             disconnectSignal: call.disconnectSignal,
         });
-        if (result.isErr() && sink.started) {
+        if (result.isErr() && sink.hasStarted) {
             sink.fail(result.error);
         }
         return result.isErr() ? result.error : undefined;
@@ -344,21 +344,21 @@
 }
 
 function selectForwardedHeaders(request: IncomingMessage): Readonly<Record<string, string>> {
-    const picked: Record<string, string> = {};
+    const selected: Record<string, string> = {};
     for (const name of forwardedHeaders) {
         const value = request.headers[name];
         if (typeof value === "string") {
-            picked[name] = value;
+            selected[name] = value;
         }
     }
-    return picked;
+    return selected;
 }
 
 function sendReply(response: ServerResponse, requestId: string, reply: ServiceReply): void {
     response.writeHead(reply.answer.status, {
         ...reply.answer.headers,
         "x-request-id": requestId,
-        ...(reply.replayed ? { "idempotent-replayed": "true" } : {}),
+        ...(reply.isReplayed ? { "idempotent-replayed": "true" } : {}),
     });
     response.end(reply.answer.body);
 }
--- a/src/entry/credentialFiles.ts
+++ b/src/entry/credentialFiles.ts
@@ -10,7 +10,7 @@
 /** Pause between two checks of the files, in milliseconds. */
 const pollIntervalMilliseconds = 2000;
 
-/** Options of the watch. */
+/** Options of watched certificate files. */
 export interface CredentialFilesOptions {
     /** The settings section that names the files. */
     readonly settings: TlsSettings;
--- a/src/entry/explanations.ts
+++ b/src/entry/explanations.ts
@@ -48,10 +48,10 @@
      * @param request - Identifies the request.
      * @param version - The version that was rated.
      * @param score - The rating; `undefined` if none arrived in time.
-     * @param accepted - Whether the answer was final.
+     * @param isAccepted - Whether the answer was final.
      */
-    addRating(request: string, version: string, score: number | undefined, accepted: boolean): void {
-        this.#add(request, `rating: ${version} ${score ?? "unrated"}, ${accepted ? "accepted" : "escalated"}`);
+    addRating(request: string, version: string, score: number | undefined, isAccepted: boolean): void {
+        this.#add(request, `rating: ${version} ${score ?? "unrated"}, ${isAccepted ? "accepted" : "escalated"}`);
     }
 
     /**
--- a/src/entry/freshness.ts
+++ b/src/entry/freshness.ts
@@ -21,8 +21,8 @@
 export const maxFreshAgeMilliseconds = 5000;
 
 /**
- * An age above this was never measured from a confirmation, neither by the log's end nor by a peer that had read it.
- * Peers send such ages as a very large number.
+ * An age above this was never measured from a confirmation, neither from this entry's own read of the log's end nor
+ * from a peer that had read it. Peers send such ages as a very large number.
  */
 const maxConfirmedAgeMilliseconds = Number.MAX_SAFE_INTEGER / 2;
 
--- a/src/entry/orders/orderDriver.ts
+++ b/src/entry/orders/orderDriver.ts
@@ -19,7 +19,7 @@
  * Maximum age of the configuration at which an entry sends orders. With an older one it might load a withdrawn version.
  */
 const maxConfigurationAgeMilliseconds = 10_000;
-/** Pause for each runner that is read, which limits the cost of reading a large pool. */
+/** Minimum pause between two rounds per runner that is read. It limits the load that a large pool puts on the entry. */
 const pauseMillisecondsPerRunner = 15;
 
 /** Options of a driver. */
--- a/src/entry/orders/poolOrders.ts
+++ b/src/entry/orders/poolOrders.ts
@@ -1,5 +1,5 @@
 /**
- * Brings the runners of one pool to the desired state step by step, and records the orders that were sent.
+ * Brings the runners of one pool to the desired state step by step, and records the orders that it sent.
  */
 import { type Clock } from "../../common/index.js";
 import type { PoolSettings } from "../../configuration/index.js";
@@ -15,7 +15,10 @@
 const readTimeoutMilliseconds = 2_000;
 const maxConcurrentCalls = 32;
 const resendMilliseconds = 10_000;
-/** Average number of copies of a version within the subset of runners from which an entry receives load reports. */
+/**
+ * Average number of copies of a version within the subset of runners from which an entry receives load reports. An
+ * entry detects only by these reports that a runner has loaded a version, so it needs several copies among them.
+ */
 const copiesPerSubset = 8;
 const role = "serve";
 
@@ -54,15 +57,15 @@
     readonly versions: string;
     /** Versions that the engine reported when the order was sent. */
     readonly reported: string;
-    readonly at: number;
+    readonly sentAt: number;
 }
 
 interface PendingLoad {
     readonly version: string;
-    readonly since: number;
+    readonly orderedAt: number;
 }
 
-/** Manages the runners of a pool by orders. */
+/** Sends the runners of a pool orders to load and unload versions. */
 export class PoolOrders {
     readonly #options: PoolOrdersOptions;
     readonly #pendingLoads = new Map<string, PendingLoad>();
@@ -190,7 +193,7 @@
             }
             const pendingLoad = this.#pendingLoads.get(id);
             const isOverdue = pendingLoad !== undefined
-                && now - pendingLoad.since > settings.loadTimeoutSeconds * millisecondsPerSecond;
+                && now - pendingLoad.orderedAt > settings.loadTimeoutSeconds * millisecondsPerSecond;
             if (isOverdue) {
                 this.#pendingLoads.delete(id);
                 this.#stalledUntil.set(id, now + settings.loadTimeoutSeconds * millisecondsPerSecond);
@@ -274,7 +277,7 @@
         }
         for (const [id, version] of loading) {
             if (this.#pendingLoads.get(id)?.version !== version) {
-                this.#pendingLoads.set(id, { version, since: now });
+                this.#pendingLoads.set(id, { version, orderedAt: now });
                 this.#options.journal.write(events.loadOrdered, { engine: id, version });
             }
         }
@@ -285,7 +288,7 @@
         const state = {
             versions: getVersionsKey(versions),
             reported: getVersionsKey(this.#reports.get(runner.id)?.versions ?? []),
-            at: clock.monotonic(),
+            sentAt: clock.monotonic(),
         };
         if (this.#isAlreadySent(runner.id, state)) {
             return;
@@ -307,7 +310,7 @@
     #isAlreadySent(id: string, state: SentOrder): boolean {
         const sent = this.#sentOrders.get(id);
         return sent !== undefined && sent.versions === state.versions
-            && state.at - sent.at < resendMilliseconds;
+            && state.sentAt - sent.sentAt < resendMilliseconds;
     }
 
     /** Warns operators once about each condition that they have to fix. */
--- a/src/entry/planRunner.ts
+++ b/src/entry/planRunner.ts
@@ -176,9 +176,9 @@
         progress.outcome = "ran";
         const line = createBillLine(version, usage);
         const score = await this.#rateNow(call, version, text.getText());
-        const accepted = score !== undefined && step.acceptScore !== undefined && score >= step.acceptScore;
-        this.#options.explanations.addRating(call.requestId, version.id, score, accepted);
-        if (!accepted) {
+        const isAccepted = score !== undefined && step.acceptScore !== undefined && score >= step.acceptScore;
+        this.#options.explanations.addRating(call.requestId, version.id, score, isAccepted);
+        if (!isAccepted) {
             progress.escalatedFrom = score === undefined ? undefined : { version: version.id, score };
             earlierLines.push(line);
             return ok(undefined);
--- a/src/entry/requestBody.ts
+++ b/src/entry/requestBody.ts
@@ -24,9 +24,9 @@
     const timeout = new Promise<Result<Buffer, Failure>>(resolve => {
         timer = setTimeout(() => resolve(err(createTimeoutFailure())), timeoutMilliseconds);
     });
-    const read = getRawBody(request, { limit: maxBytes, length: request.headers["content-length"] })
+    const pendingBody = getRawBody(request, { limit: maxBytes, length: request.headers["content-length"] })
         .then(body => ok(body), error => err(createReadFailure(error, maxBytes)));
-    const result = await Promise.race([read, timeout]);
+    const result = await Promise.race([pendingBody, timeout]);
     clearTimeout(timer);
     return result;
 }
--- a/src/entry/servicePipeline.ts
+++ b/src/entry/servicePipeline.ts
@@ -42,7 +42,7 @@
 export interface ServiceReply {
     readonly answer: ServiceAnswer;
     /** Whether the answer is that of an earlier call with the same key. */
-    readonly replayed: boolean;
+    readonly isReplayed: boolean;
 }
 
 /** Options of the pipeline. */
@@ -166,7 +166,7 @@
         this.#options.journal.write(events.claimHeldElsewhere, { request: existingClaim.value });
         if (existingClaim.kind === "completed" && existingClaim.outcome !== undefined) {
             return unpackAnswer(existingClaim.outcome)
-                .map(answer => ({ answer, replayed: true }))
+                .map(answer => ({ answer, isReplayed: true }))
                 .mapErr(failure => ({ failure, outcome: "ran" as Outcome }));
         }
         return err({
@@ -191,7 +191,7 @@
         if (billed.isErr()) {
             return err({ failure: billed.error, outcome: "ran" });
         }
-        return ok({ answer: called.value, replayed: false });
+        return ok({ answer: called.value, isReplayed: false });
     }
 
     async #callWithRetries(request: ServiceRequest): Promise<Result<ServiceAnswer, Refusal>> {
@@ -204,8 +204,8 @@
                 return ok(called.value);
             }
             combinedOutcome = combineOutcomes(combinedOutcome, called.error.outcome);
-            const repeatable = idempotentMethods.has(request.method) && request.idempotencyKey === undefined;
-            const mayRetry = called.error.retriable && (repeatable || combinedOutcome === "not-run");
+            const isRepeatable = idempotentMethods.has(request.method) && request.idempotencyKey === undefined;
+            const mayRetry = called.error.isRetriable && (isRepeatable || combinedOutcome === "not-run");
             if (!mayRetry || attempt + 1 >= maxAttempts || !this.#options.retries.tryAcquire()) {
                 return err({ failure: called.error.failure, outcome: combinedOutcome });
             }
@@ -215,7 +215,7 @@
     async #callOnce(
         request: ServiceRequest,
         excluded: Set<string>,
-    ): Promise<Result<ServiceAnswer, UpstreamFailure & { readonly retriable: boolean; }>> {
+    ): Promise<Result<ServiceAnswer, UpstreamFailure & { readonly isRetriable: boolean; }>> {
         const { clock, runners, services, journal } = this.#options;
         const timeLeft = request.settings.deadlineMilliseconds - (clock.monotonic() - request.arrivedAt);
         const placed = runners.choose({
@@ -225,7 +225,7 @@
             deadlineMilliseconds: timeLeft,
         });
         if (placed.isErr()) {
-            return err({ failure: placed.error, outcome: "not-run", retriable: false });
+            return err({ failure: placed.error, outcome: "not-run", isRetriable: false });
         }
         const service = placed.value.upstream;
         excluded.add(service.id);
@@ -247,7 +247,7 @@
             milliseconds: clock.monotonic() - startedAt,
             loadHeader: called.isOk() ? called.value.loadHeader : undefined,
         });
-        return called.mapErr(failure => ({ ...failure, retriable: true }));
+        return called.mapErr(failure => ({ ...failure, isRetriable: true }));
     }
 
     #createBill(request: ServiceRequest): Bill {
--- a/src/entry/sharedState.ts
+++ b/src/entry/sharedState.ts
@@ -41,7 +41,7 @@
     readonly #incarnationKeys = new Map<string, string>();
     #evidenceSequence = 0;
     #exposuresSequence = -1;
-    #publishedFresh: boolean | undefined;
+    #publishedFreshness: boolean | undefined;
 
     constructor(options: SharedStateOptions) {
         this.#options = options;
@@ -95,8 +95,8 @@
             this.#set(exposuresKey, exposures, false);
         }
         const isFresh = this.#options.getConfigurationAge() <= maxFreshAgeMilliseconds;
-        if (isFresh !== this.#publishedFresh) {
-            this.#publishedFresh = isFresh;
+        if (isFresh !== this.#publishedFreshness) {
+            this.#publishedFreshness = isFresh;
             this.#set(freshKey, isFresh, false);
         }
     }
--- a/src/entry/stateFetcher.ts
+++ b/src/entry/stateFetcher.ts
@@ -92,20 +92,20 @@
         if (configuration.getAge() < this.#fetchAgeMilliseconds) {
             return;
         }
-        for (const peer of this.#pickPeers()) {
+        for (const peer of this.#selectPeers()) {
             await this.#fetchConfiguration(peer);
             await this.#fetchControl(peer);
         }
     }
 
-    #pickPeers(): readonly Member[] {
+    #selectPeers(): readonly Member[] {
         const { membership, self, nextInteger } = this.#options;
-        const others = membership.getMembers().filter(member => member.id !== self && member.state === "alive");
-        const picked: Member[] = [];
-        while (picked.length < maxPeersPerRound && others.length > 0) {
-            picked.push(...others.splice(nextInteger(others.length), 1));
+        const candidates = membership.getMembers().filter(member => member.id !== self && member.state === "alive");
+        const selected: Member[] = [];
+        while (selected.length < maxPeersPerRound && candidates.length > 0) {
+            selected.push(...candidates.splice(nextInteger(candidates.length), 1));
         }
-        return picked;
+        return selected;
     }
 
     /**
--- a/src/entry/vmWatcher.ts
+++ b/src/entry/vmWatcher.ts
@@ -58,12 +58,12 @@
      * the site.
      */
     async #read(): Promise<void> {
-        const read = await this.#options.client.getVms();
-        if (read.isErr() || read.value === this.#lastList) {
+        const result = await this.#options.client.getVms();
+        if (result.isErr() || result.value === this.#lastList) {
             return;
         }
-        this.#lastList = read.value;
-        this.#vms = new Map(read.value.map(vm => [vm.id, vm]));
-        this.#options.onList(read.value);
+        this.#lastList = result.value;
+        this.#vms = new Map(result.value.map(vm => [vm.id, vm]));
+        this.#options.onList(result.value);
     }
 }
--- a/test/entry/hostileInput.test.ts
+++ b/test/entry/hostileInput.test.ts
@@ -159,7 +159,7 @@
                 outcomes.push(...ownRuns.map(run => run.outcome));
             }
             return outcomes.length === 1 && outcomes[0] === expected;
-        }, { description: `the engines to note ${expected}`, describeState: () => outcomes.join() });
+        }, { description: `the engines to record ${expected}`, describeState: () => outcomes.join() });
     }
 
     function getRunners(): readonly string[] {
--- a/test/entry/stateFetcher.test.ts
+++ b/test/entry/stateFetcher.test.ts
@@ -8,12 +8,12 @@
 const logWaitMilliseconds = 2_000;
 
 /** Runs a fetcher of an entry whose configuration was confirmed some time ago, and counts its requests to peers. */
-async function countRequests(configurationAge: number): Promise<number> {
+async function countRequests(configurationAgeMilliseconds: number): Promise<number> {
     let requests = 0;
     const fetcher = new StateFetcher({
         clock: new ManualClock(),
         configuration: {
-            getAge: () => configurationAge,
+            getAge: () => configurationAgeMilliseconds,
             getOffset: () => 7,
             getFormat: () => 1,
             exportState: () => undefined as never,
--- a/test/entry/upstreamTls.test.ts
+++ b/test/entry/upstreamTls.test.ts
@@ -68,7 +68,7 @@
 
     // Recipes and answers cross a network that is shared with others. The upstreams refuse clients without a
     // certificate, so an entry that connects without TLS gets no answer at all.
-    it("serves models and plain services that ask for a certificate", async () => {
+    it("serves models and plain services that require a client certificate", async () => {
         await expectServed();
     });
 
