--- a/src/configuration/configurationReader.ts
+++ b/src/configuration/configurationReader.ts
@@ -23,7 +23,7 @@
     readonly onChange?: (configuration: Configuration) => void;
     /** Called for every record that was folded. */
     readonly onResult?: (result: RecordResult) => void;
-    /** Timeout of a long poll of the log. */
+    /** Timeout of a long poll of the log, in milliseconds. */
     readonly waitMilliseconds?: number;
 }
 
@@ -91,8 +91,10 @@
         return this.#follower.getContactAge();
     }
 
-    /** Returns the time since the configuration was last confirmed as up to date, in milliseconds. It is infinite before the
-     * first confirmation. */
+    /**
+     * Returns the time since the configuration was last confirmed as up to date, in milliseconds. It is infinite before
+     * the first confirmation.
+     */
     getAge(): number {
         return this.#options.clock.monotonic() - this.#confirmedAt;
     }
@@ -109,10 +111,10 @@
 
     /**
      * Records that the configuration was up to date at a given time, as reported by a peer at the same offset.
-     * @param monotonic - This process's monotonic time before the request to the peer was sent.
+     * @param confirmedAt - This process's monotonic time before the request to the peer was sent, in milliseconds.
      */
-    confirm(monotonic: number): void {
-        this.#confirmedAt = Math.max(this.#confirmedAt, monotonic);
+    confirm(confirmedAt: number): void {
+        this.#confirmedAt = Math.max(this.#confirmedAt, confirmedAt);
     }
 
     /** Returns the format that a reader of the state must support. */
@@ -128,14 +130,15 @@
     /**
      * Adopts a peer's state if it is newer than the state of this process.
      *
-     * The offset that decides is read from the state itself. A state that is older than the reported offset would revert
-     * a change that is in force here; an operator would notice a withdrawn version that answers again.
+     * The decision uses the offset in the state itself. If the reported offset were used, a state that is older than
+     * reported could revert a change that is in force here; an operator would notice a withdrawn version that answers
+     * again.
      * @param state - The peer's state.
      * @param offset - The offset that the state covers, as reported by the peer.
      * @returns Whether the state was adopted.
      */
     importState(state: unknown, offset: number): boolean {
-        // Avoids parsing a state that is reported as not newer. The decisive check is in `#adopt`.
+        // Avoids parsing a state that is reported as not newer. `#adopt` checks the offset in the state.
         if (offset <= this.getOffset()) {
             return false;
         }
--- a/test/configuration/configurationFold.test.ts
+++ b/test/configuration/configurationFold.test.ts
@@ -107,8 +107,8 @@
             }
         });
 
-        // A version's section is removed, withdrawn, and then added again by an author who has not read the withdrawal. If the
-        // version were restored, callers would receive its answers again.
+        // A version's section is removed, the version is withdrawn, and an author who has not read the withdrawal adds the
+        // section again. If this restored the version, callers would receive its answers again.
         it("does not let an author who has not read a withdrawal restore the version", () => {
             const { fold } = foldAll([
                 createPublication(smallTree),
--- a/test/configuration/configurationReader.test.ts
+++ b/test/configuration/configurationReader.test.ts
@@ -13,7 +13,7 @@
 import { MemoryLog, waitFor } from "../log/memoryLog.js";
 import { createPublication, smallTree } from "./records.js";
 
-const started: ConfigurationReader[] = [];
+const startedReaders: ConfigurationReader[] = [];
 
 function createReader(log: MemoryLog) {
     const clock = new ManualClock();
@@ -26,13 +26,13 @@
         journal: new Journal({ process: "test", clock, write: line => names.push(line.name) }),
         onChange: configuration => priorities.push(getPriority(configuration)),
     });
-    started.push(reader);
+    startedReaders.push(reader);
     return { reader, client, clock, names, priorities };
 }
 
 // A reader that still runs after a failed test would keep the test process alive.
 afterEach(async () => {
-    for (const reader of started.splice(0)) {
+    for (const reader of startedReaders.splice(0)) {
         await reader.stop();
     }
 });
