--- a/src/settings/settingDocument.ts
+++ b/src/settings/settingDocument.ts
@@ -2,8 +2,8 @@
  * Parses INI text into sections and keys with their line numbers.
  *
  * Each line is passed to the `ini` library separately. Given a whole file, the library would convert dotted section names
- * to nested objects, merge repeated sections without an error, and discard the line numbers. Error messages need all of
- * these.
+ * to nested objects, merge repeated sections without an error, and discard the line numbers. Error messages need the
+ * names, the repetitions and the lines.
  */
 import { parse } from "ini";
 import type { ValidationError } from "./validationError.js";
