--- a/src/command/controlSession.ts
+++ b/src/command/controlSession.ts
@@ -15,7 +15,7 @@
 export interface ControlSessionOptions {
     readonly logUrl: string;
     readonly clock: Clock;
-    /** Timeout for the platform. */
+    /** Timeout for the platform, in milliseconds. */
     readonly timeoutMilliseconds: number;
     /** Name of the operator. */
     readonly author: string;
--- a/src/command/operatorSession.ts
+++ b/src/command/operatorSession.ts
@@ -13,7 +13,7 @@
 export interface OperatorSessionOptions {
     readonly logUrl: string;
     readonly clock: Clock;
-    /** Timeout for the platform. */
+    /** Timeout for the platform, in milliseconds. */
     readonly timeoutMilliseconds: number;
     /** Name of the operator who publishes. */
     readonly author: string;
--- a/test/command/operatorSession.test.ts
+++ b/test/command/operatorSession.test.ts
@@ -32,8 +32,8 @@
 describe("OperatorSession", () => {
     describe("publish", () => {
         // Another operator's change of the same key arrives after this change was made and before it is appended. The result
-        // must name the superseding change, even if the session has already read it. Otherwise, it would be reverted
-        // unnoticed.
+        // must name the superseding change, even if the session has already read it. Otherwise, the other operator's change
+        // would be reverted unnoticed.
         it("is superseded by a change that was appended after the changes were made", async () => {
             const log = new MemoryLog();
             log.append(createPublication(smallTree));
