--- a/src/configuration/configuration.ts
+++ b/src/configuration/configuration.ts
@@ -133,7 +133,7 @@
     }
 
     /** Returns the maximum deadline over all scopes, in milliseconds. */
-    getMaxDeadline(): number {
+    getMaxDeadlineMilliseconds(): number {
         let maxDeadline = Number(scopeKeys.deadline_ms.defaultText);
         for (const keys of this.#tree.values()) {
             maxDeadline = Math.max(maxDeadline, Number(keys.get("deadline_ms") ?? 0));
--- a/src/entry/attemptRunner.ts
+++ b/src/entry/attemptRunner.ts
@@ -192,8 +192,8 @@
             const headers = createAnswerHeaders(options, { runner: runner.id, streamId }, this.#options);
             const answered = await pendingAnswer;
             if (answered.isErr()) {
-                const refused = answered.error.outcome === "not-run";
-                finishWork(work, refused ? "refused" : "failed", this.#options.clock.monotonic() - startedAt);
+                const isRefused = answered.error.outcome === "not-run";
+                finishWork(work, isRefused ? "refused" : "failed", this.#options.clock.monotonic() - startedAt);
                 if (attemptSignal.signal.aborted) {
                     // The engine may be processing the prompt. Without a cancellation it would complete an answer that
                     // has no reader and no bill: its load would include the work, and the bills would not.
--- a/src/entry/orders/orderDriver.ts
+++ b/src/entry/orders/orderDriver.ts
@@ -125,7 +125,7 @@
             models: settings.models,
             getDemand: version => this.#getDemand(version),
         });
-        return poolOrders.reconcile(runners, settings, desired, configuration.getMaxDeadline());
+        return poolOrders.reconcile(runners, settings, desired, configuration.getMaxDeadlineMilliseconds());
     }
 
     #getDemand(version: string): number {
--- a/src/entry/planRunner.ts
+++ b/src/entry/planRunner.ts
@@ -46,7 +46,7 @@
     /** Combined outcome of the earlier steps: once one of them ran, the request is no longer "not run". */
     outcome: Outcome;
     /** Whether the plan was chosen for exploration. */
-    readonly exploring: boolean;
+    readonly isExploring: boolean;
     /** The rated answer that the next step's answer replaces. */
     escalatedFrom: RatedStep | undefined;
 }
@@ -74,7 +74,7 @@
             earlierLines: [],
             outcome: "not-run",
             escalatedFrom: undefined,
-            exploring: plan.exploring,
+            isExploring: plan.exploring,
         };
         for (let index = 0; index < plan.steps.length; index += 1) {
             const step = plan.steps[index];
@@ -100,9 +100,9 @@
         progress: PlanProgress,
     ): Promise<Result<ServedRequest, Refusal>> {
         const { version } = step;
-        const { earlierLines, escalatedFrom, exploring } = progress;
+        const { earlierLines, escalatedFrom, isExploring } = progress;
         // An exploring plan has a higher cost in order to obtain a rating; without the rating that cost is wasted.
-        const isSampled = escalatedFrom !== undefined || exploring || this.#options.isSampled(call.requestClass);
+        const isSampled = escalatedFrom !== undefined || isExploring || this.#options.isSampled(call.requestClass);
         const text = isSampled ? new AnswerText() : undefined;
         const result = await this.#options.attemptRunner.run({
             call,
@@ -213,8 +213,11 @@
     }
 
     async #rateNow(call: ChatCall, version: ModelVersion, answer: string): Promise<number | undefined> {
-        const timeLeft = getTimeLeft(call, this.#options.clock.monotonic());
-        const timeoutMilliseconds = Math.max(1, Math.min(maxRatingMilliseconds, timeLeft * ratingTimeShare));
+        const timeLeftMilliseconds = getTimeLeft(call, this.#options.clock.monotonic());
+        const timeoutMilliseconds = Math.max(
+            1,
+            Math.min(maxRatingMilliseconds, timeLeftMilliseconds * ratingTimeShare),
+        );
         const startedAt = this.#options.clock.monotonic();
         const score = await this.#rate(call, version, answer, timeoutMilliseconds);
         this.#options.answerTimes.addRating(this.#options.clock.monotonic() - startedAt);
--- a/src/entry/servicePipeline.ts
+++ b/src/entry/servicePipeline.ts
@@ -217,12 +217,12 @@
         excluded: Set<string>,
     ): Promise<Result<ServiceAnswer, UpstreamFailure & { readonly isRetriable: boolean; }>> {
         const { clock, runners, services, journal } = this.#options;
-        const timeLeft = request.settings.deadlineMilliseconds - (clock.monotonic() - request.arrivedAt);
+        const timeLeftMilliseconds = request.settings.deadlineMilliseconds - (clock.monotonic() - request.arrivedAt);
         const placed = runners.choose({
             pool: request.pool,
             blocks: [],
             exclude: excluded,
-            deadlineMilliseconds: timeLeft,
+            deadlineMilliseconds: timeLeftMilliseconds,
         });
         if (placed.isErr()) {
             return err({ failure: placed.error, outcome: "not-run", isRetriable: false });
@@ -239,8 +239,8 @@
             headers: request.headers,
             body: request.body,
             idempotencyKey: request.idempotencyKey,
-            timeoutMilliseconds: Math.max(1, timeLeft),
-            signal: AbortSignal.timeout(Math.max(1, Math.ceil(timeLeft))),
+            timeoutMilliseconds: Math.max(1, timeLeftMilliseconds),
+            signal: AbortSignal.timeout(Math.max(1, Math.ceil(timeLeftMilliseconds))),
         });
         work.finish({
             outcome: called.isOk() ? "ok" : called.error.outcome === "not-run" ? "refused" : "failed",
--- a/src/entry/versionSelection.ts
+++ b/src/entry/versionSelection.ts
@@ -17,7 +17,7 @@
 }
 
 /**
- * Selects the versions that may take work that belongs to no session yet.
+ * Selects the versions that may serve a request without a pinned version.
  * @param options - Options of the selection.
  */
 export function selectVersions(options: SelectionOptions): Result<readonly ModelVersion[], Failure> {
