--- a/src/testbench/site/site.ts
+++ b/src/testbench/site/site.ts
@@ -203,7 +203,7 @@
      * @returns The record's offset.
      */
     async publish(changes: readonly Change[], author = "operator", basedOn?: number): Promise<number> {
-        const baseOffset = basedOn ?? await this.#log.getEnd("config");
+        const baseOffset = basedOn ?? await this.#log.getNextOffset("config");
         const publication = { author, reason: "test", basedOn: baseOffset, changes };
         return this.append("config", createPublishRecord(publication, author));
     }
--- a/src/testbench/site/siteLog.ts
+++ b/src/testbench/site/siteLog.ts
@@ -68,7 +68,7 @@
      * Returns the offset of the next record that is appended to a stream.
      * @param stream - The stream.
      */
-    async getEnd(stream: StreamName): Promise<number> {
+    async getNextOffset(stream: StreamName): Promise<number> {
         const page = await callJson<{ next: number; }>({
             address: this.#getAddress(),
             path: `/streams/${stream}?from=latest`,
--- a/test/testbench/processGroup.test.ts
+++ b/test/testbench/processGroup.test.ts
@@ -62,7 +62,7 @@
 
 describe("waitUntil", () => {
     it("names the condition that did not hold before the timeout", async () => {
-        const waiting = waitUntil(() => false, { description: "the tide", timeoutMilliseconds: 30 });
-        await expect(waiting).toBeRejectedWith("for the tide");
+        const waiting = waitUntil(() => false, { description: "a result", timeoutMilliseconds: 30 });
+        await expect(waiting).toBeRejectedWith("for a result");
     });
 });
