--- a/src/caller/addressResolver.ts
+++ b/src/caller/addressResolver.ts
@@ -52,8 +52,8 @@
 }
 
 /**
- * Fetches the addresses from one entry. Returns undefined when the entry does not answer; the resolver then queries the
- * next one, since no request depends on this entry yet.
+ * Fetches the addresses from one entry. Returns undefined when the entry does not answer, so that the resolver queries
+ * the next one. This is safe because no request has been sent to the entry yet.
  */
 async function fetchAddresses(address: string): Promise<z.infer<typeof addressesSchema> | undefined> {
     try {
