--- a/src/load/loadClient.ts
+++ b/src/load/loadClient.ts
@@ -83,7 +83,7 @@
     }
 
     /**
-     * Sends a request and retries it until it is answered, finally refused, or the maximum number of attempts is reached.
+     * Sends a request and retries it until it is answered, cannot be retried, or has had the maximum number of attempts.
      * Never throws for a failure of the site; the record shows it.
      * @param arrival - The request.
      * @param intendedAt - The intended arrival time on the monotonic clock. All times count from it.
