--- a/src/standins/engine/batch.ts
+++ b/src/standins/engine/batch.ts
@@ -28,7 +28,7 @@
     readonly tokensPerStep: number;
     readonly maximumRunning: number;
     readonly memoryTokens: number;
-    /** Whether the steps of the loop do nothing. */
+    /** Whether steps are skipped, so that no sequence is admitted or produces a token. */
     readonly frozen: boolean;
 }
 
--- a/src/standins/engine/loadedVersions.ts
+++ b/src/standins/engine/loadedVersions.ts
@@ -72,7 +72,7 @@
         this.#role = order.role ?? this.#role;
         const desired = new Set(order.versions);
         if (desired.size === this.#desired.size && order.versions.every(version => this.#desired.has(version))) {
-            // The desired state is unchanged, so that a load in progress continues.
+            // The desired state is unchanged. A load in progress must continue instead of starting again.
             return "followed";
         }
         this.#desired = desired;
@@ -104,7 +104,7 @@
 
     /**
      * Fetches weights. Retries while the store is unavailable or rejects the request because of its rate limit.
-     * @returns Whether the weights were fetched.
+     * @returns Whether the weights were fetched; false when the store does not have the version or a later order applies.
      */
     async #fetchWeights(version: string, isStillDesired: () => boolean): Promise<boolean> {
         const { weightStore } = this.#getConditions();
--- a/src/standins/engine/prefixCache.ts
+++ b/src/standins/engine/prefixCache.ts
@@ -76,7 +76,7 @@
     /**
      * Returns the number of cached blocks at the start of a prompt.
      * @param version - The version that runs the prompt.
-     * @param blocks - The prompt's blocks.
+     * @param blocks - The hashes of the prompt's blocks, in order.
      */
     getCachedCount(version: string, blocks: readonly string[]): number {
         let count = 0;
@@ -108,7 +108,10 @@
         this.#publish("cleared", "", "");
     }
 
-    /** Returns the visible events from a sequence number on, and the sequence number for the next call. */
+    /**
+     * Returns the events from a sequence number on that are at least `cacheEventLagMilliseconds` old, and the sequence
+     * number for the next call.
+     */
     getEvents(from: number): { readonly events: readonly CacheEvent[]; readonly next: number; } {
         const visibleAt = this.#clock.monotonic() - this.#getLimits().cacheEventLagMilliseconds;
         const events: CacheEvent[] = [];
--- a/src/standins/proxy/faultProxy.ts
+++ b/src/standins/proxy/faultProxy.ts
@@ -63,7 +63,7 @@
     }
 
     /**
-     * Changes faults of the route named by `route`, or of all routes without it.
+     * Changes faults of the route that `route` names, or of all routes when `route` is missing.
      * @param change - The body of `POST /faults`.
      */
     async changeFaults(change: object): Promise<Result<unknown, Failure>> {
--- a/src/standins/proxy/proxyRoute.ts
+++ b/src/standins/proxy/proxyRoute.ts
@@ -98,7 +98,7 @@
             await this.start();
         }
         if (!halfOpen && oneWay === "none") {
-            // A connection that lost bytes would deliver data with a gap, which no real network does.
+            // A connection that lost bytes would deliver data with a gap, which TCP never does.
             this.#breakConnections(connection => connection.pumps.some(pump => pump.hasDroppedBytes()));
         }
         for (const connection of this.#connections) {
--- a/src/standins/standinServer.ts
+++ b/src/standins/standinServer.ts
@@ -29,7 +29,7 @@
     readonly addRoutes: (router: Router) => void;
     /** Handles requests that match no route. */
     readonly fallback?: Koa.Middleware;
-    /** Returns whether a request is exempt from outage and delay, such as one that a test sends to control the stand-in. */
+    /** Returns whether a request is exempt from outages and delays, such as one by which a test changes the stand-in. */
     readonly isControlRequest?: (context: Koa.Context) => boolean;
 }
 
--- a/src/standins/vmList.ts
+++ b/src/standins/vmList.ts
@@ -129,7 +129,7 @@
         return this.#snapshots[this.#snapshots.length - 1].vms;
     }
 
-    /** Returns the latest snapshot that is visible under the lag, and removes the earlier ones. */
+    /** Returns the latest snapshot that is at least `lagMilliseconds` old, and removes the earlier ones. */
     #getVisibleSnapshot(): Snapshot {
         const visibleAt = systemClock.wall() - this.#conditions.get().lagMilliseconds;
         let index = this.#snapshots.length - 1;
--- a/test/standins/engine/modelEngine.test.ts
+++ b/test/standins/engine/modelEngine.test.ts
@@ -129,7 +129,7 @@
 
         // The caller disconnects and its entry cancels the request. The engine stops, and a reader that is still connected
         // receives an incomplete stream.
-        it("break off when they are cancelled", async () => {
+        it("end incomplete when they are cancelled", async () => {
             const reply = requestChat({ id: "r", stream: true, tokens: 100_000 });
             await waitUntil(async () => (await getJournalEntry("r"))?.outcome === "running", {
                 description: "the run to start",
--- a/test/standins/proxy/faultProxy.test.ts
+++ b/test/standins/proxy/faultProxy.test.ts
@@ -16,8 +16,8 @@
     let controlAddress: string;
     let route: Address;
     /**
-     * Leads to the same target and has no faults. Once a later exchange on it is complete, bytes on the first route would have
-     * arrived as well.
+     * Leads to the same target and has no faults. Once an exchange on it is complete, bytes that were sent earlier on the
+     * first route would have arrived as well.
      */
     let otherRoute: Address;
     let receivedByTarget = "";
