--- a/src/soak/faultInjector.ts
+++ b/src/soak/faultInjector.ts
@@ -1,5 +1,5 @@
 /**
- * Injects faults into a running site, one after another, and repairs each of them.
+ * Injects faults into a running site and repairs each of them after its duration.
  */
 import { setTimeout as sleep } from "node:timers/promises";
 import { RandomSource } from "../common/index.js";
