--- a/src/demo/summary.ts
+++ b/src/demo/summary.ts
@@ -25,7 +25,8 @@
 export class InvariantViolation extends Error {}
 
 /**
- * Creates the summary. Throws when an invariant did not hold.
+ * Creates the summary.
+ * @throws {InvariantViolation} When an invariant did not hold.
  * @param observations - The data that the demo collected.
  */
 export function createSummary(observations: DemoObservations): readonly string[] {
--- a/src/demo/workload.ts
+++ b/src/demo/workload.ts
@@ -48,7 +48,7 @@
         this.#loops.push(this.#print());
     }
 
-    /** Stops the callers after their current requests. */
+    /** Stops the callers and waits until each has finished its requests, including the remaining turns of a session. */
     async stop(): Promise<void> {
         this.#isStopped = true;
         await Promise.all(this.#loops);
@@ -100,7 +100,8 @@
                     body: `work for ${key}`,
                 });
             const [first, second] = await Promise.all([send(), send()]);
-            // A second call that arrives while the first runs is refused with a conflict, and is sent again for its answer.
+            // A second call that arrives while the first one runs is refused with 409. It is sent again to get the first
+            // one's answer.
             const retried = second.status === conflictStatus ? await send() : second;
             this.#prints.push({ key, first, second: retried });
         }
