--- a/test/proofs/configuration.test.ts
+++ b/test/proofs/configuration.test.ts
@@ -32,7 +32,7 @@
                 first.publish([createPrice(`1.${round}`)], basedOn, "race"),
                 second.publish([createPrice(`2.${round}`)], basedOn, "race"),
             ]);
-            const [left, right] = results.map(verdict => verdict._unsafeUnwrap());
+            const [left, right] = results.map(result => result._unsafeUnwrap());
             const [winner, loser] = left.outcome === "accepted" ? [left, right] : [right, left];
             expect([winner.outcome, loser.outcome]).toEqual(["accepted", "rejected"]);
             expect(loser.beatenBy?.author).toEqual(winner.author);
--- a/test/proofs/leases.test.ts
+++ b/test/proofs/leases.test.ts
@@ -77,7 +77,7 @@
     // another entry takes it, so no entry may hold the lease.
     it("is held by no entry while the log is unavailable", async () => {
         const proof = getProof();
-        const before = Math.max(...(await readLeaseHistory(proof)).fencingTokens);
+        const previousFencingToken = Math.max(...(await readLeaseHistory(proof)).fencingTokens);
         await setFaults(proof.site.getPlatformAddress("log"), { outage: "drop" });
         try {
             await waitUntil(async () => (await getHolders(proof, entries)).length === 0, {
@@ -88,7 +88,7 @@
             await setFaults(proof.site.getPlatformAddress("log"), { outage: "none" });
         }
         await waitForHolder(proof, entries);
-        expect(Math.max(...(await readLeaseHistory(proof)).fencingTokens) > before).toEqual(true);
+        expect(Math.max(...(await readLeaseHistory(proof)).fencingTokens) > previousFencingToken).toEqual(true);
     });
 
     // Guards against false failure detection. A cut lets bytes through in one direction only. An entry that other
@@ -152,13 +152,13 @@
             role: "serve",
         });
         expect(accepted._unsafeUnwrap().versions).toEqual(staleVersions);
-        const before = (await readEngineRuns(site)).length;
+        const previousRunCount = (await readEngineRuns(site)).length;
         for (let round = 0; round < 5; round += 1) {
             const records = await Promise.all(entries.map(entry => requestChat(proof, entry)));
             expect(records.map(record => record.status)).toEqual([200, 200, 200]);
         }
         const runs = (await readEngineRuns(site)).filter(run => run.ran !== run.asked);
-        expect([runs, (await readEngineRuns(site)).length > before]).toEqual([[], true]);
+        expect([runs, (await readEngineRuns(site)).length > previousRunCount]).toEqual([[], true]);
         const repaired = await currentChannel.reconcile(createEngineControl(nonCheckingEngine), {
             engine: nonCheckingEngine,
             versions: desiredVersions,
--- a/test/proofs/membershipChanges.test.ts
+++ b/test/proofs/membershipChanges.test.ts
@@ -20,8 +20,8 @@
         }
     });
 
-    // Guards against state of a replaced VM that is attributed to its successor on the same address. The configuration
-    // of the new VM would look older or newer than it is, and its bills would be dropped.
+    // Guards against a new VM that is mistaken for its predecessor on the same address. If other entries attributed the
+    // predecessor's state to it, its configuration would look older or newer than it is, and its bills would be dropped.
     it("treats a VM that replaces another one on the same address as a new member", async () => {
         const proof = getProof();
         const { site } = proof;
--- a/test/proofs/versions.test.ts
+++ b/test/proofs/versions.test.ts
@@ -116,8 +116,8 @@
             const named = await requestChat(proof, { entry, session: `named-${entry}`, model: "label-medium" });
             expect([named.status, named.outcome]).toEqual([503, "not-run"]);
         }
-        const back = await site.publish([{ section: "version.label-medium@2", key: "status", value: "serving" }]);
-        await site.waitUntilApplied(back);
+        const undoOffset = await site.publish([{ section: "version.label-medium@2", key: "status", value: "serving" }]);
+        await site.waitUntilApplied(undoOffset);
     });
 
     // Guards against answers of a withdrawn version. A bad version is withdrawn under load, one entry cannot reach the
@@ -143,9 +143,11 @@
         const records = await load.stop();
         await site.setLinkFaults("entry-3", "log", { cut: false });
         const runs = (await readEngineRuns(site)).filter(run => run.ran === smallVersion);
-        const last = Math.max(...runs.map(run => run.arrivedAt));
+        const lastArrivedAt = Math.max(...runs.map(run => run.arrivedAt));
         console.log(
-            `last new work on a withdrawn version ${last - startedAt} ms after the change, in force everywhere after ${
+            `last new work on a withdrawn version ${
+                lastArrivedAt - startedAt
+            } ms after the change, in force everywhere after ${
                 inForceAt - startedAt
             } ms, one of three entries without the log, ${records.length} requests`,
         );
