--- a/src/measure/admissionPolicies.ts
+++ b/src/measure/admissionPolicies.ts
@@ -19,7 +19,7 @@
 /** All admission policies, in the order of the tables. */
 export const admissionNames: readonly AdmissionName[] = ["no limit", "fixed limit", "rattanlock"];
 
-/** Receive the decision on a request: exactly one of them is called. */
+/** Callbacks that receive the decision on a request; exactly one of them is called. */
 export interface AdmissionCallbacks {
     readonly admit: (ticket: { readonly priority: number; readonly release: (end: Release) => void; }) => void;
     /** Receives the time after which to retry, where the policy gives one. */
--- a/src/measure/capacity/billSubjects.ts
+++ b/src/measure/capacity/billSubjects.ts
@@ -9,7 +9,7 @@
 
 /**
  * Builds a writer whose bills all have a replica and wait for an unavailable log. Without replicas, the timers of
- * callers that wait for one would be counted too, although they do not remain during an outage.
+ * callers that wait for a replica would be counted too. An outage of the log does not retain these timers.
  * @param count - The number of bills.
  */
 export async function buildWaitingBills(count: number): Promise<BillWriter> {
--- a/src/measure/capacity/measureCapacity.ts
+++ b/src/measure/capacity/measureCapacity.ts
@@ -16,12 +16,12 @@
         const points = await measure();
         const { intercept, slope, standardError } = fitSlope(points);
         const scale = unit === "milliseconds" ? 1000 : 1;
-        const shown = unit === "milliseconds" ? "µs" : "bytes";
+        const shownUnit = unit === "milliseconds" ? "µs" : "bytes";
         rows.push({
             name,
             figures: {
                 "per": per,
-                "unit": shown,
+                "unit": shownUnit,
                 "slope": (slope * scale).toPrecision(3),
                 "standard error": (standardError * scale).toPrecision(2),
                 "at no size": (intercept * scale).toPrecision(3),
--- a/src/measure/capacity/measureControl.ts
+++ b/src/measure/capacity/measureControl.ts
@@ -16,7 +16,7 @@
 /** Number of sites that run concurrently. More would compete for processor time. */
 const sitesAtATime = 2;
 /** Gossip interval between 350 nodes, in milliseconds. */
-const targetGossipInterval = "2100";
+const targetGossipIntervalMilliseconds = "2100";
 /** Equals the defaults of the settings. */
 const timing = {
     gossip_interval_ms: "500",
@@ -34,13 +34,17 @@
 interface ControlCase {
     readonly entries: number;
     readonly runners: number;
-    readonly gossipInterval: string;
+    readonly gossipIntervalMilliseconds: string;
 }
 
-const baseCase: ControlCase = { entries: 3, runners: 2, gossipInterval: timing.gossip_interval_ms };
+const baseCase: ControlCase = { entries: 3, runners: 2, gossipIntervalMilliseconds: timing.gossip_interval_ms };
 const byRunners: readonly ControlCase[] = [2, 8, 20].map(runners => ({ ...baseCase, runners }));
 const byEntries: readonly ControlCase[] = [5, 8].map(entries => ({ ...baseCase, entries }));
-const targetIntervalCase: ControlCase = { ...baseCase, runners: 20, gossipInterval: targetGossipInterval };
+const targetIntervalCase: ControlCase = {
+    ...baseCase,
+    runners: 20,
+    gossipIntervalMilliseconds: targetGossipIntervalMilliseconds,
+};
 const cases: readonly ControlCase[] = [...byRunners, ...byEntries, targetIntervalCase];
 
 interface ControlUsage {
@@ -82,12 +86,17 @@
     return { measurement: "control", seeds: [], tables: [{ title: "Control at rest, one entry", rows }] };
 }
 
-function describe({ entries, runners, gossipInterval }: ControlCase): string {
-    const gossip = gossipInterval === baseCase.gossipInterval ? "" : `, gossip every ${gossipInterval} ms`;
+function describe({ entries, runners, gossipIntervalMilliseconds }: ControlCase): string {
+    const gossip = gossipIntervalMilliseconds === baseCase.gossipIntervalMilliseconds
+        ? ""
+        : `, gossip every ${gossipIntervalMilliseconds} ms`;
     return `${entries} entries, ${runners} runners${gossip}`;
 }
 
-async function measureCase({ entries, runners, gossipInterval }: ControlCase, prefix: string): Promise<ControlCost> {
+async function measureCase(
+    { entries, runners, gossipIntervalMilliseconds }: ControlCase,
+    prefix: string,
+): Promise<ControlCost> {
     const group = new ProcessGroup();
     try {
         const site = await Site.start(group, {
@@ -95,7 +104,7 @@
             prefix,
             entryCount: entries,
             entryEnvironment: { DEBUG: "" },
-            entrySettings: { timing: { ...timing, gossip_interval_ms: gossipInterval } },
+            entrySettings: { timing: { ...timing, gossip_interval_ms: gossipIntervalMilliseconds } },
             runners: { name: "lm-pool", count: runners },
             services: { name: "label-app", count: 1 },
         });
--- a/src/measure/capacity/memberSubjects.ts
+++ b/src/measure/capacity/memberSubjects.ts
@@ -9,7 +9,7 @@
 const wallStart = Date.UTC(2026, 0, 1);
 const domainCount = 17;
 const regionCount = 8;
-/** Longer than the lifetime of the cached list of members. */
+/** Longer than the lifetime of the cached list of members, so that each call recomputes the list. */
 const cacheExpiryMilliseconds = 500;
 
 /** A node that has received the records of other nodes. */
--- a/src/measure/cost/costEnvironment.ts
+++ b/src/measure/cost/costEnvironment.ts
@@ -5,19 +5,19 @@
 import { RandomSource } from "../../common/index.js";
 import type { ModelVersion } from "../../world/index.js";
 
-/** Duration of a run. */
+/** Duration of a run. The times of the events below are in milliseconds from its start. */
 export const runMilliseconds = 3_600_000;
 /** Time between two requests, in milliseconds. */
-export const requestInterval = 50;
+export const requestIntervalMilliseconds = 50;
 
-/** When the quality of one version drops in the class `degradingClass`. */
+/** Time at which the quality of one version drops in the class `degradingClass`. */
 export const degradedAt = 0.15 * runMilliseconds;
 /** The class in which one version has a high quality at first and a low one later. */
 export const degradingClass = "deceiving";
-/** When the prices of two versions change. */
+/** Time at which the prices of two versions change. */
 export const priceChangeAt = 0.5 * runMilliseconds;
 const newClassAt = 0.6 * runMilliseconds;
-/** When the rating service is unavailable: for ten minutes. */
+/** Ten minutes in which the rating service is unavailable. */
 export const outage = { from: 0.3 * runMilliseconds, until: 0.3 * runMilliseconds + 600_000 } as const;
 
 const inputPrices = [0.05, 0.1, 0.15, 0.3, 0.5, 0.8, 1.2, 2, 3, 5, 8];
@@ -96,8 +96,8 @@
      * constant, so the oracle caches its plans by phase.
      */
     getPhase(time: number): number {
-        const limits = [degradedAt, outage.from, outage.until, priceChangeAt];
-        return limits.filter(limit => time >= limit).length;
+        const phaseStarts = [degradedAt, outage.from, outage.until, priceChangeAt];
+        return phaseStarts.filter(start => time >= start).length;
     }
 
     /**
--- a/src/measure/cost/costRun.ts
+++ b/src/measure/cost/costRun.ts
@@ -11,7 +11,7 @@
     CostEnvironment,
     drawRating,
     isRatingUnavailable,
-    requestInterval,
+    requestIntervalMilliseconds,
     runMilliseconds,
 } from "./costEnvironment.js";
 import { type ChosenStep, CostExcess } from "./costExcess.js";
@@ -23,7 +23,7 @@
 const sampledShare = 0.3;
 /** Share of answers that are rated in time for the decision on escalation. */
 const ratedShare = 0.95;
-const meanRatingDelay = 20_000;
+const meanRatingDelayMilliseconds = 20_000;
 const confidence = 0.95;
 /** Number of periods of a run that are reported separately, to distinguish the learning phase from the rest. */
 export const periodCount = 6;
@@ -98,8 +98,8 @@
     /** Runs all requests. */
     run(): void {
         let nextGossip = gossipMilliseconds;
-        for (let time = 0; time < runMilliseconds; time += requestInterval) {
-            this.#clock.advance(requestInterval);
+        for (let time = 0; time < runMilliseconds; time += requestIntervalMilliseconds) {
+            this.#clock.advance(requestIntervalMilliseconds);
             this.#deliverRatings(time);
             if (time >= nextGossip) {
                 nextGossip += gossipMilliseconds;
@@ -117,8 +117,8 @@
         const size = 0.5 + this.#random.next();
         const last = answers.length - 1;
         const oracle = this.#oracle.getPlan(classIndex, time);
-        const single = (version: number): readonly ChosenStep[] => [{ version, acceptScore: undefined }];
-        const pair = (first: number, second: number, acceptScore: number): readonly ChosenStep[] => [
+        const createSingleStep = (version: number): readonly ChosenStep[] => [{ version, acceptScore: undefined }];
+        const createCascade = (first: number, second: number, acceptScore: number): readonly ChosenStep[] => [
             { version: first, acceptScore },
             { version: second, acceptScore: undefined },
         ];
@@ -126,11 +126,11 @@
         const steps: Readonly<Record<CostStrategy, readonly ChosenStep[]>> = {
             "rattanlock": toSteps(plan, this.#environment.getVersions(time).map(({ id }) => id)),
             "oracle": oracle.acceptScore === 0
-                ? single(oracle.first)
-                : pair(oracle.first, oracle.second, oracle.acceptScore),
-            "always-best": single(last),
-            "always-cheapest": single(0),
-            "fixed cascade": pair(0, last, 0.7),
+                ? createSingleStep(oracle.first)
+                : createCascade(oracle.first, oracle.second, oracle.acceptScore),
+            "always-best": createSingleStep(last),
+            "always-cheapest": createSingleStep(0),
+            "fixed cascade": createCascade(0, last, 0.7),
         };
         const costs = new Map<CostStrategy, number>();
         for (const strategy of costStrategies) {
@@ -162,6 +162,7 @@
         return plan;
     }
 
+    /** The entry that chose the plan of the current request. Its evidence receives the answers and ratings. */
     #chosenEntry: Entry | undefined;
     /** Whether the plan was chosen for exploration. All its answers are then sent to the rating service. */
     #isExploring = false;
@@ -229,7 +230,7 @@
             entry.evidence.addRating({ version, requestClass, score });
         }
         else if (this.#random.next() < (this.#isExploring ? ratedShare : sampledShare)) {
-            const second = Math.floor((time + this.#random.nextExponential(meanRatingDelay)) / 1000);
+            const second = Math.floor((time + this.#random.nextExponential(meanRatingDelayMilliseconds)) / 1000);
             const queue = this.#delayedRatings.get(second) ?? [];
             queue.push({ entry, version, requestClass, score, answeredAt, ...first === undefined ? {} : { first } });
             this.#delayedRatings.set(second, queue);
--- a/src/measure/decisionCost.ts
+++ b/src/measure/decisionCost.ts
@@ -37,10 +37,10 @@
     const collectGarbage = getGarbageCollector();
     const vms = createVms(runners);
     collectGarbage();
-    const before = process.memoryUsage().heapUsed;
+    const heapBytesBefore = process.memoryUsage().heapUsed;
     const chooser = createChooser(vms, seed);
     collectGarbage();
-    const keptBytes = process.memoryUsage().heapUsed - before;
+    const keptBytes = process.memoryUsage().heapUsed - heapBytesBefore;
     const requests = createRequests(seed);
     for (const index of getRange(warmUpChoices)) {
         choose(chooser, requests[index % requests.length]);
@@ -94,7 +94,7 @@
     }));
 }
 
-/** Creates the entries. The caller passes one for six runners, as at the target size. */
+/** Creates the entries. The caller requests one entry for every six runners, which is the ratio at the target size. */
 function createEntries(count: number): readonly Vm[] {
     return createVms(count).map((vm, index) => ({ ...vm, id: `entry-${index}`, role: "entry" }));
 }
@@ -124,7 +124,7 @@
     }));
 }
 
-/** Returns Node's garbage collector, which Node exposes only under this flag. */
+/** Returns Node's garbage collector, which Node exposes only with the flag `--expose-gc`. */
 function getGarbageCollector(): () => void {
     setFlagsFromString("--expose-gc");
     return runInNewContext("gc") as () => void;
--- a/src/measure/entry/measureEntry.ts
+++ b/src/measure/entry/measureEntry.ts
@@ -88,16 +88,16 @@
 
     /** Alternates between the entry and a runner, so that the machine's load affects both equally. */
     async compareLatency(): Promise<readonly ReportRow[]> {
-        const through: number[] = [];
+        const throughEntry: number[] = [];
         const direct: number[] = [];
         for (let count = 0; count < comparedRequests; count += 1) {
             direct.push((await this.#requestDirectly()).firstTokenMilliseconds);
-            through.push((await this.#request(answerTokens[0])).firstTokenMilliseconds);
+            throughEntry.push((await this.#request(answerTokens[0])).firstTokenMilliseconds);
         }
-        const added = through.map((value, index) => value - direct[index]);
+        const added = throughEntry.map((value, index) => value - direct[index]);
         return [
             createRow("direct to the runner", direct),
-            createRow("through the entry", through),
+            createRow("through the entry", throughEntry),
             createRow("added by the entry, by pair", added),
         ];
     }
@@ -112,17 +112,17 @@
             const seconds = (performance.now() - startedAt) / 1000;
             const after = await this.#readUsage();
             const processor = getProcessorMicroseconds(after) - getProcessorMicroseconds(before);
-            let produced = 0;
+            let producedTokens = 0;
             for (const record of records) {
-                produced += record.completionTokens;
+                producedTokens += record.completionTokens;
             }
-            points.push({ size: produced / records.length, value: processor / records.length });
+            points.push({ size: producedTokens / records.length, value: processor / records.length });
             rows.push({
                 name: `answers of up to ${tokens} tokens`,
                 figures: {
                     "requests/s": (records.length / seconds).toFixed(0),
-                    "tokens/s": (produced / seconds).toFixed(0),
-                    "tokens an answer": (produced / records.length).toFixed(1),
+                    "tokens/s": (producedTokens / seconds).toFixed(0),
+                    "tokens an answer": (producedTokens / records.length).toFixed(1),
                     "processor µs a request": (processor / records.length).toFixed(0),
                     "resident MB": (after.memory.rss / 1e6).toFixed(0),
                 },
--- a/src/measure/exposure/exposureCase.ts
+++ b/src/measure/exposure/exposureCase.ts
@@ -25,7 +25,7 @@
     readonly onlyClass?: string;
     /** Time from the start of the run until it degrades, in milliseconds. */
     readonly degradesAt: number;
-    readonly meanRatingDelay: number;
+    readonly meanRatingDelayMilliseconds: number;
     /** Share of good answers that are rated; `ratedShareOfBad` is the share of bad ones. */
     readonly ratedShare: number;
     readonly ratedShareOfBad: number;
@@ -49,12 +49,12 @@
     }),
     createCase("first stage, errors only", { chances: { ...goodChances, failed: 0.3 } }),
     createCase("first stage, slow but right", { chances: { ...goodChances, slow: 0.5 } }),
-    createCase("first stage, ratings a minute late", { meanRatingDelay: 60_000 }),
+    createCase("first stage, ratings a minute late", { meanRatingDelayMilliseconds: 60_000 }),
     createCase("first stage, bad answers rated less often", { ratedShareOfBad: 0.1 }),
     createCase("after full roll-out, ratings a minute late", {
         moment: "after full roll-out",
         degradesAt: 30_000,
-        meanRatingDelay: 60_000,
+        meanRatingDelayMilliseconds: 60_000,
     }),
     createCase("long after full roll-out", {
         moment: "after full roll-out",
@@ -64,7 +64,7 @@
     createCase("long after full roll-out, ratings a minute late", {
         moment: "after full roll-out",
         degradesAt: 30_000,
-        meanRatingDelay: 60_000,
+        meanRatingDelayMilliseconds: 60_000,
         policy: withoutGuard,
     }),
 ];
@@ -78,7 +78,7 @@
         moment: "first stage",
         chances: badRatings,
         degradesAt: 0,
-        meanRatingDelay: 5000,
+        meanRatingDelayMilliseconds: 5000,
         ratedShare: 0.5,
         ratedShareOfBad: 0.5,
         ...options,
--- a/src/measure/exposure/exposureRun.ts
+++ b/src/measure/exposure/exposureRun.ts
@@ -1,4 +1,4 @@
-/** One run of the exposure measurement. */
+/** One run of the exposure measurement: a simulated roll-out whose candidate degrades. */
 import type { CallerHash, RolloutPolicy } from "../../decisions/exposure/index.js";
 import { type AnswerChances, type ExposureCase, goodChances } from "./exposureCase.js";
 import {
@@ -13,8 +13,8 @@
 } from "./exposureSite.js";
 
 /** Time between two requests to the whole site, in milliseconds. */
-export const requestInterval = 50;
-const evaluationInterval = 1000;
+export const requestIntervalMilliseconds = 50;
+const evaluationIntervalMilliseconds = 1000;
 /** Length of the history before the run: answers of the baseline and, if it was exposed before, of the candidate. */
 const historyMilliseconds = 1_800_000;
 const historyAnswers = 18_000;
@@ -50,7 +50,7 @@
     readonly durationMilliseconds: number;
     readonly policy?: Partial<RolloutPolicy>;
     /** Time between two exchanges of counts, in milliseconds; one second by default. */
-    readonly gossipInterval?: number;
+    readonly gossipIntervalMilliseconds?: number;
     /** Whether the run ends when all entries have halted the candidate. */
     readonly endsAtHalt: boolean;
 }
@@ -92,14 +92,14 @@
         }
         let halted = false;
         let time = 0;
-        for (; time < this.#options.durationMilliseconds; time += requestInterval) {
-            site.clock.advance(requestInterval);
+        for (; time < this.#options.durationMilliseconds; time += requestIntervalMilliseconds) {
+            site.clock.advance(requestIntervalMilliseconds);
             site.deliver();
             this.#deliverRatings();
-            if (time % (this.#options.gossipInterval ?? evaluationInterval) === 0) {
+            if (time % (this.#options.gossipIntervalMilliseconds ?? evaluationIntervalMilliseconds) === 0) {
                 site.gossip();
             }
-            if (time % evaluationInterval === 0) {
+            if (time % evaluationIntervalMilliseconds === 0) {
                 site.evaluate();
                 halted = site.entries.every(({ fold }) => fold.isHalted(candidate));
                 if (halted && this.#options.endsAtHalt) {
@@ -178,7 +178,7 @@
         const ratedShare = bad ? exposureCase.ratedShareOfBad : exposureCase.ratedShare;
         if (!failed && random.next() < ratedShare) {
             const score = (bad ? badScore : goodScore) + scoreDeviation * random.nextNormal();
-            const delay = input.isRatingDelayed ? random.nextExponential(exposureCase.meanRatingDelay) : 0;
+            const delay = input.isRatingDelayed ? random.nextExponential(exposureCase.meanRatingDelayMilliseconds) : 0;
             this.#schedule({ at: this.#site.clock.wall() + delay, entry, version, requestClass, score, answeredAt });
         }
         return bad || failed || slow && exposureCase.chances.slow > goodChances.slow;
@@ -189,14 +189,14 @@
             rating.entry.evidence.addRating(rating);
             return;
         }
-        const tick = Math.ceil(rating.at / requestInterval);
+        const tick = Math.ceil(rating.at / requestIntervalMilliseconds);
         const queue = this.#delayedRatings.get(tick) ?? [];
         queue.push(rating);
         this.#delayedRatings.set(tick, queue);
     }
 
     #deliverRatings(): void {
-        const tick = Math.floor(this.#site.clock.wall() / requestInterval);
+        const tick = Math.floor(this.#site.clock.wall() / requestIntervalMilliseconds);
         for (const rating of this.#delayedRatings.get(tick) ?? []) {
             rating.entry.evidence.addRating(rating);
         }
--- a/src/measure/exposure/exposureSite.ts
+++ b/src/measure/exposure/exposureSite.ts
@@ -23,9 +23,9 @@
 export const stages: readonly number[] = [0.01, 0.05, 0.25, 1];
 
 const budgets: readonly number[] = [60, 400, 4000, 1_000_000];
-const gossipDelay = 1000;
-const haltDelay = 500;
-const logDelay = 500;
+const gossipDelayMilliseconds = 1000;
+const haltDelayMilliseconds = 500;
+const logDelayMilliseconds = 500;
 const fencingToken = 1;
 
 /** One entry. */
@@ -68,7 +68,7 @@
     }
 
     /** Appends a record that takes effect everywhere after the log's delay. */
-    append(kind: string, body: unknown, delay = logDelay): void {
+    append(kind: string, body: unknown, delay = logDelayMilliseconds): void {
         const offset = this.#offset;
         this.#offset += 1;
         const time = this.clock.wall();
@@ -128,7 +128,7 @@
         if (!this.#sharesState) {
             return;
         }
-        const at = this.clock.wall() + gossipDelay;
+        const at = this.clock.wall() + gossipDelayMilliseconds;
         for (const entry of this.entries) {
             const counts: EvidenceCounts = entry.evidence.exportOwn(entry.publishedSequence);
             const callers = entry.exposures.exportOwn();
@@ -175,7 +175,7 @@
                     fold.addHalt(halt);
                 }
             };
-            this.#pendingDeliveries.push({ at: this.clock.wall() + haltDelay, deliver });
+            this.#pendingDeliveries.push({ at: this.clock.wall() + haltDelayMilliseconds, deliver });
         }
     }
 
--- a/src/measure/exposure/measureExposure.ts
+++ b/src/measure/exposure/measureExposure.ts
@@ -4,16 +4,16 @@
 import type { SeededRequest } from "../measurement.js";
 import { formatSummary, type Report, type ReportRow, summarize } from "../report.js";
 import { type ExposureCase, exposureCases, goodCase, goodChances } from "./exposureCase.js";
-import { type ExposureResult, ExposureRun, type ExposureStrategy, requestInterval } from "./exposureRun.js";
+import { type ExposureResult, ExposureRun, type ExposureStrategy, requestIntervalMilliseconds } from "./exposureRun.js";
 import { stages } from "./exposureSite.js";
 import { drawAnswerCount, drawSampleCount } from "./knownRatesTest.js";
 
 const defaultSeedCount = 12;
 const goodRollouts = 300;
-const goodDuration = 900_000;
+const goodDurationMilliseconds = 900_000;
 /** Good roll-outs exchange counts less often, to shorten the measurement. */
-const goodGossipInterval = 2000;
-const badDuration = 900_000;
+const goodGossipIntervalMilliseconds = 2000;
+const badDurationMilliseconds = 900_000;
 const knownRatesDraws = 4000;
 const delayedDraws = 1000;
 const falseHaltProbability = 0.01;
@@ -53,7 +53,7 @@
             "known rates, same ratings": getKnownRatesOfRatings(exposureCase, seeds[0]).toFixed(1),
             "known rates, same delays": getKnownRatesDelayed(exposureCase, seeds[0]).toFixed(1),
             "halted": `${shared.filter(result => result.halted).length} of ${seeds.length}`,
-            "seconds": formatSummary(shared.map(result => (result.detectedAfter ?? badDuration) / 1000), 0),
+            "seconds": formatSummary(shared.map(result => (result.detectedAfter ?? badDurationMilliseconds) / 1000), 0),
         },
     };
 }
@@ -64,7 +64,14 @@
     seed: number,
     hash: CallerHash,
 ): ExposureResult {
-    const options = { exposureCase, strategy, seed, hash, durationMilliseconds: badDuration, endsAtHalt: true };
+    const options = {
+        exposureCase,
+        strategy,
+        seed,
+        hash,
+        durationMilliseconds: badDurationMilliseconds,
+        endsAtHalt: true,
+    };
     return new ExposureRun(options).run();
 }
 
@@ -110,10 +117,10 @@
  * ratings as late as the router, and the candidate gets the whole share of the stage in the meantime.
  */
 function getKnownRatesDelayed(exposureCase: ExposureCase, seed: number): number {
-    const { chances, ratedShare, meanRatingDelay } = exposureCase;
+    const { chances, ratedShare, meanRatingDelayMilliseconds } = exposureCase;
     const kind = getKind(exposureCase);
     const random = new RandomSource(seed);
-    const interval = requestInterval / getShare(exposureCase);
+    const interval = requestIntervalMilliseconds / getShare(exposureCase);
     let harmed = 0;
     for (let draw = 0; draw < delayedDraws; draw += 1) {
         const samples = Math.round(drawSampleCount(goodChances[kind], chances[kind], falseHaltProbability, random));
@@ -122,7 +129,7 @@
         // More than twice as many arrivals as needed, so that late ratings of early answers are counted in order.
         for (let time = 0; arrivals.length < 2 * samples + 2000; time += interval) {
             if (random.next() < ratedShareOfKind) {
-                arrivals.push(time + (kind === "bad" ? random.nextExponential(meanRatingDelay) : 0));
+                arrivals.push(time + (kind === "bad" ? random.nextExponential(meanRatingDelayMilliseconds) : 0));
             }
         }
         arrivals.sort((left, right) => left - right);
@@ -144,7 +151,7 @@
     const { chances, onlyClass } = exposureCase;
     const share = getShare(exposureCase);
     const harm = Math.max(chances.bad, chances.failed, chances.slow) * (onlyClass === undefined ? 1 : 1 / 3);
-    return share * operatorReactionMilliseconds / requestInterval * harm;
+    return share * operatorReactionMilliseconds / requestIntervalMilliseconds * harm;
 }
 
 /** Counts the halts of good versions. This is a separate measurement because it takes long. */
@@ -158,8 +165,8 @@
         const options = { exposureCase: goodCase, strategy: "shared", seed, hash, endsAtHalt: true } as const;
         const result = new ExposureRun({
             ...options,
-            durationMilliseconds: goodDuration,
-            gossipInterval: goodGossipInterval,
+            durationMilliseconds: goodDurationMilliseconds,
+            gossipIntervalMilliseconds: goodGossipIntervalMilliseconds,
         }).run();
         halted += result.halted ? 1 : 0;
         finished += result.finished ? 1 : 0;
--- a/src/measure/limitsRecord.ts
+++ b/src/measure/limitsRecord.ts
@@ -11,7 +11,7 @@
     readonly attemptedAt: number;
     readonly firstTokenAt: number;
     /** Milliseconds from the caller's first attempt to the first token, including refused attempts. */
-    readonly sinceFirstAttempt: number;
+    readonly millisecondsSinceFirstAttempt: number;
     readonly isInTime: boolean;
 }
 
--- a/src/measure/limitsTrial.ts
+++ b/src/measure/limitsTrial.ts
@@ -156,7 +156,7 @@
     }
 
     #scheduleArrivals(workspace: WorkspaceLoad): void {
-        const mean = 1_000 / (workspace.load * this.#capacityPerSecond);
+        const meanIntervalMilliseconds = 1_000 / (workspace.load * this.#capacityPerSecond);
         const arrive = (): void => {
             if (this.#queue.now() >= limitsTimes.end * 1_000) {
                 return;
@@ -173,9 +173,9 @@
             };
             this.#record.addRequest(request.workspace.name, this.#queue.now());
             this.#attempt(request);
-            this.#queue.schedule(this.#random.nextExponential(mean), arrive);
+            this.#queue.schedule(this.#random.nextExponential(meanIntervalMilliseconds), arrive);
         };
-        this.#queue.schedule(this.#random.nextExponential(mean), arrive);
+        this.#queue.schedule(this.#random.nextExponential(meanIntervalMilliseconds), arrive);
     }
 
     /**
@@ -207,11 +207,11 @@
         readonly excluded: Set<string>;
     }): void {
         const { request, entry, attemptedAt, ticket, excluded } = work;
-        const sent = this.#queue.now();
+        const sentAt = this.#queue.now();
         const choice = this.#policies[entry].choose({
             blocks: [],
             exclude: excluded,
-            deadlineMilliseconds: deadlineMilliseconds - (sent - attemptedAt),
+            deadlineMilliseconds: deadlineMilliseconds - (sentAt - attemptedAt),
         });
         if (choice === undefined) {
             ticket.release({ outcome: "refused", tokens: 0 });
@@ -224,10 +224,10 @@
         runner.start({ blocks: [], outputTokens: request.outputTokens, priority: ticket.priority }, {
             onFirstToken: header => {
                 firstTokenAt = this.#queue.now();
-                choice.reportFirstToken(firstTokenAt - sent, header);
+                choice.reportFirstToken(firstTokenAt - sentAt, header);
             },
             onEnd: outcome => {
-                choice.reportEnd({ outcome, milliseconds: this.#queue.now() - sent });
+                choice.reportEnd({ outcome, milliseconds: this.#queue.now() - sentAt });
                 if (outcome === "ok") {
                     const wait = firstTokenAt === undefined ? undefined : firstTokenAt - attemptedAt;
                     ticket.release({ outcome, firstTokenMilliseconds: wait, tokens: request.outputTokens + 64 });
@@ -245,14 +245,14 @@
         });
     }
 
-    #addAnswer(request: TrialRequest, attemptedAt: number, wait: number): void {
+    #addAnswer(request: TrialRequest, attemptedAt: number, firstTokenMilliseconds: number): void {
         this.#record.addAnswer({
             workspace: request.workspace.name,
             priority: request.priority,
             attemptedAt,
-            firstTokenAt: attemptedAt + wait,
-            sinceFirstAttempt: attemptedAt - request.firstAttemptAt + wait,
-            isInTime: wait <= deadlineMilliseconds,
+            firstTokenAt: attemptedAt + firstTokenMilliseconds,
+            millisecondsSinceFirstAttempt: attemptedAt - request.firstAttemptAt + firstTokenMilliseconds,
+            isInTime: firstTokenMilliseconds <= deadlineMilliseconds,
         });
     }
 
@@ -269,9 +269,9 @@
         }
         request.retries += 1;
         const backoffMilliseconds = 500 * 2 ** (request.retries - 1) * (0.75 + this.#random.next() / 2);
-        const wait = request.retriesEarly
+        const retryDelayMilliseconds = request.retriesEarly
             ? 200 + this.#random.next() * 800
             : retryAfterMilliseconds ?? backoffMilliseconds;
-        this.#queue.schedule(wait, () => this.#attempt(request));
+        this.#queue.schedule(retryDelayMilliseconds, () => this.#attempt(request));
     }
 }
--- a/src/measure/loadTrial.ts
+++ b/src/measure/loadTrial.ts
@@ -162,13 +162,13 @@
             sessionShare,
             meanOutputTokens,
         });
-        const mean = 1 / (this.#scenario.load * this.#getCapacityPerMillisecond());
+        const meanIntervalMilliseconds = 1 / (this.#scenario.load * this.#getCapacityPerMillisecond());
         const arrive = (): void => {
             if (this.#queue.now() >= end) {
                 return;
             }
             this.#startRequest(workload.draw());
-            this.#queue.schedule(this.#random.nextExponential(mean), arrive);
+            this.#queue.schedule(this.#random.nextExponential(meanIntervalMilliseconds), arrive);
         };
         arrive();
     }
--- a/src/measure/simulatedRunner.ts
+++ b/src/measure/simulatedRunner.ts
@@ -16,7 +16,7 @@
     readonly priority: number;
 }
 
-/** Receive the progress of a request. */
+/** Callbacks that receive the progress of a request. */
 export interface AnswerCallbacks {
     readonly onFirstToken: (loadHeader: string) => void;
     readonly onEnd: (outcome: "ok" | "failed" | "refused") => void;
@@ -29,7 +29,7 @@
     readonly version: string;
     /** Maximum number of requests that run concurrently. */
     readonly capacity: number;
-    /** Factor on all its times; 2 takes twice as long. */
+    /** Factor by which all service times are multiplied; with 2, requests take twice as long. */
     readonly slowness: number;
     /** Whether it always reports that it is idle. */
     readonly reportsNoLoad: boolean;
@@ -57,7 +57,7 @@
 /** A simulated runner. */
 export class SimulatedRunner {
     readonly options: SimulatedRunnerOptions;
-    /** Further factor on all its times; raised during a brown-out. */
+    /** Additional factor for all service times; raised during a brown-out. */
     slowdown = 1;
     readonly #running = new Set<Job>();
     #waiting: Job[] = [];
