--- a/test/load/loadClient.test.ts
+++ b/test/load/loadClient.test.ts
@@ -76,7 +76,7 @@
         expect(await send(createArrival())).toEqual(expect.subset({ end: "refused", attempts: 2, outcome: "not-run" }));
     });
 
-    it("does not retry a chat completion whose refusal does not say that it was not run", async () => {
+    it("does not retry a chat completion that was refused without the outcome not-run", async () => {
         const { send } = createClient({ chat: async () => ({ ...createRefusal(1), outcome: "unknown" }) });
         expect(await send(createArrival())).toEqual(expect.subset({ end: "refused", attempts: 1 }));
     });
