--- a/test/standins/engine/modelEngine.test.ts
+++ b/test/standins/engine/modelEngine.test.ts
@@ -112,11 +112,11 @@
 
     describe("streams", () => {
         it("are resumed after an event", async () => {
-            const whole = (await requestChat({ id: "r", stream: true })).text;
-            const rest = await call({ address, path: "/streams/r", headers: { "Last-Event-ID": "4" } });
-            expect(rest.text.startsWith("id: 5\n")).toEqual(true);
-            expect(whole.endsWith(rest.text)).toEqual(true);
-            expect(whole.endsWith("data: [DONE]\n\n")).toEqual(true);
+            const completeStream = (await requestChat({ id: "r", stream: true })).text;
+            const resumedStream = await call({ address, path: "/streams/r", headers: { "Last-Event-ID": "4" } });
+            expect(resumedStream.text.startsWith("id: 5\n")).toEqual(true);
+            expect(completeStream.endsWith(resumedStream.text)).toEqual(true);
+            expect(completeStream.endsWith("data: [DONE]\n\n")).toEqual(true);
         });
 
         it("are removed after their retention time", async () => {
