--- a/test/testbench/endWithParent.test.ts
+++ b/test/testbench/endWithParent.test.ts
@@ -28,7 +28,7 @@
 describe("endWithParent", () => {
     // Guards against processes that outlive a test file. A test file that fails while its nodes run may exceed its
     // timeout and is then ended by a signal. If its nodes kept running, CI would never finish.
-    it("ends the children of a process that a signal ends", async () => {
+    it("kills the children of a process that SIGTERM ends", async () => {
         const parent = spawn(process.execPath, ["--input-type=module", "-e", program], {
             stdio: ["ignore", "pipe", "inherit"],
         });
