--- a/src/measure/entry/measureEntry.ts
+++ b/src/measure/entry/measureEntry.ts
@@ -159,8 +159,8 @@
         const gaps: number[] = [];
         for (let count = 0; count < 8; count += 1) {
             const record = await this.#request(answerTokens[2]);
-            const rest = record.milliseconds - record.firstTokenMilliseconds;
-            gaps.push(rest / Math.max(1, record.completionTokens - 1));
+            const decodeMilliseconds = record.milliseconds - record.firstTokenMilliseconds;
+            gaps.push(decodeMilliseconds / Math.max(1, record.completionTokens - 1));
         }
         await pendingWork;
         return gaps;
