--- a/src/rollouts/evaluateRollout.ts
+++ b/src/rollouts/evaluateRollout.ts
@@ -17,7 +17,8 @@
 /** Maximum by which the new version's failure share may exceed that of the old one. */
 const maxFailureShareIncrease = 0.12;
 /**
- * Standard errors between the two versions' failure shares. A false alarm occurs in one of some thousand evaluations.
+ * Minimum difference between the two versions' failure shares, in standard errors. A false alarm occurs about once in
+ * several thousand evaluations.
  */
 const failureStandardErrors = 4.5;
 /**
@@ -30,6 +31,7 @@
 const minTimedAnswers = 6;
 /** Maximum ratio of the new version's time to that of the old one, as geometric means. */
 const maxSlowdownRatio = 2.5;
+/** Minimum difference between the two versions' mean logarithms of times, in standard errors. */
 const slowdownStandardErrors = 4;
 
 /**
--- a/src/rollouts/planRollout.ts
+++ b/src/rollouts/planRollout.ts
@@ -41,8 +41,9 @@
  */
 const announcementLeadMilliseconds = 1_500;
 /**
- * Until half of the time is over, sessions that started on the old version stay there and only new ones go to the new
- * version. The value is slightly above one half, since nodes do not receive an order at the same moment.
+ * Part of the time during which sessions that started on the old version stay there and only new ones go to the new
+ * version. That is required for half of the time. The value is slightly above one half, since nodes do not receive an
+ * order at the same moment.
  */
 const firstPhaseEnd = 0.53;
 /** Share of the second step, and the part of the time after which the last step follows it. */
--- a/src/rollouts/poolRollout.ts
+++ b/src/rollouts/poolRollout.ts
@@ -1,6 +1,6 @@
 /**
- * A roll-out of one pool at this node. It chooses versions for requests, collects evidence, evaluates it, and takes the
- * next step when it is this node's turn.
+ * Handles the roll-out of one pool at this node: chooses versions for requests, collects and evaluates evidence, and
+ * takes the next step when it is this node's turn.
  */
 import { events } from "../events/index.js";
 import type { RegisteredUpstream } from "../fleet/index.js";
@@ -215,8 +215,8 @@
             return;
         }
         this.#dueSince ??= now;
-        const tookLastStep = this.#progress !== undefined && this.#progress.step === this.#lastWrittenStep;
-        const delay = getTurnDelay({ rank, tookLastStep });
+        const hasTakenLastStep = this.#progress !== undefined && this.#progress.step === this.#lastWrittenStep;
+        const delay = getTurnDelay({ rank, hasTakenLastStep });
         if (now - this.#dueSince < delay || now - this.#lastWriteAt < minWriteIntervalMilliseconds) {
             return;
         }
@@ -228,15 +228,15 @@
     #plan({ currentInFlight }: ReportTotal, now: number): RolloutProgress | undefined {
         const { clock, registry, exposureShare, getMemberCount } = this.#options;
         const upstreams = registry.getAvailable(this.order.pool);
-        const candidates = upstreams.filter(upstream => upstream.version === this.order.version).length;
+        const candidateCount = upstreams.filter(upstream => upstream.version === this.order.version).length;
         return planRollout({
             order: this.order,
             progress: this.#progress,
             elapsedMilliseconds: now - this.#orderedAt,
             announcementAgeMilliseconds: this.#announcedAt === undefined ? 0 : now - this.#announcedAt,
             isBad: this.#isHalted,
-            candidateCount: candidates,
-            currentCount: upstreams.length - candidates,
+            candidateCount,
+            currentCount: upstreams.length - candidateCount,
             currentInFlight,
             exposureShare,
             members: getMemberCount(),
--- a/src/rollouts/rollouts.ts
+++ b/src/rollouts/rollouts.ts
@@ -1,5 +1,5 @@
 /**
- * All roll-outs at one node. They choose versions for requests, collect evidence and take further steps.
+ * Handles all roll-outs at one node: chooses versions for requests, collects evidence and takes further steps.
  *
  * Every node can take the next step, and the store accepts each step once. Nodes wait in the order of their rank, so
  * that usually only the first one writes.
@@ -62,7 +62,7 @@
         }
     }
 
-    /** Makes a version eligible again after a reversion, since it may be ordered again. */
+    /** Makes a reverted version eligible again when it is ordered once more. */
     #clearReverted({ pool, version }: RolloutOrder): void {
         const remaining = [...this.#revertedVersions.get(pool) ?? []].filter(reverted => reverted !== version);
         this.#revertedVersions.set(pool, new Set(remaining));
@@ -90,7 +90,7 @@
     setHalted(pool: string, order: number): void {
         const rollout = this.#rollouts.get(pool);
         if (rollout !== undefined && rollout.order.id === order) {
-            rollout.halt("heard from a peer");
+            rollout.halt("reported by a peer");
         }
     }
 
--- a/src/rollouts/stepTurn.ts
+++ b/src/rollouts/stepTurn.ts
@@ -23,11 +23,11 @@
      * Whether this node took the previous step. The nodes before it did not take it, so it does not wait for them
      * again.
      */
-    readonly tookLastStep: boolean;
+    readonly hasTakenLastStep: boolean;
 }
 
 /** Returns how long a node waits for the nodes before it to take a due step, in milliseconds. */
-export function getTurnDelay({ rank, tookLastStep }: StepTurn): number {
+export function getTurnDelay({ rank, hasTakenLastStep: tookLastStep }: StepTurn): number {
     if (tookLastStep) {
         return 0;
     }
