--- a/src/control/rollout.ts
+++ b/src/control/rollout.ts
@@ -28,7 +28,8 @@
         stages.every((value, index) => index === 0 || value > stages[index - 1])
     ),
     /**
-     * Maximum number of callers exposed in the whole system up to the end of each stage. Without a number: no limit.
+     * Maximum number of callers exposed in the whole system up to the end of each stage. A stage without a number has
+     * no limit.
      */
     budget: z.union([countSchema, z.array(countSchema)]),
     startedBy: z.string(),
--- a/src/control/rolloutFold.ts
+++ b/src/control/rolloutFold.ts
@@ -26,12 +26,12 @@
 /** Options of `RolloutFold`. */
 export interface RolloutFoldOptions {
     /** Checks whether a fencing token is that of the current lease at this offset of the stream. */
-    readonly isCurrentFencingToken: (fence: number) => boolean;
+    readonly isCurrentFencingToken: (fencingToken: number) => boolean;
 }
 
 /** The state of all roll-outs and halts. */
 export class RolloutFold {
-    readonly #isCurrentFencingToken: (fence: number) => boolean;
+    readonly #isCurrentFencingToken: (fencingToken: number) => boolean;
     readonly #rollouts = new Map<string, Rollout>();
     readonly #halts = new RolloutHalts();
     readonly #stableVersions = new StableVersions();
@@ -228,7 +228,7 @@
         if (!parsed.success) {
             return reject("The body is malformed.");
         }
-        const rollout = this.#getActiveForLeasedRecord(parsed.data);
+        const rollout = this.#getActiveRollout(parsed.data);
         if (typeof rollout === "string") {
             return reject(rollout);
         }
@@ -249,7 +249,7 @@
         if (!parsed.success) {
             return reject("The body is malformed.");
         }
-        const rollout = this.#getActiveForLeasedRecord(parsed.data);
+        const rollout = this.#getActiveRollout(parsed.data);
         if (typeof rollout === "string") {
             return reject(rollout);
         }
@@ -266,7 +266,7 @@
         if (!parsed.success) {
             return reject("The body is malformed.");
         }
-        const rollout = this.#getActiveForLeasedRecord(parsed.data);
+        const rollout = this.#getActiveRollout(parsed.data);
         if (typeof rollout === "string") {
             return reject(rollout);
         }
@@ -316,7 +316,7 @@
     }
 
     /** Returns the active roll-out of a record that requires the lease, or the reason for rejecting the record. */
-    #getActiveForLeasedRecord(body: { readonly rollout: string; readonly fence: number; }): Rollout | string {
+    #getActiveRollout(body: { readonly rollout: string; readonly fence: number; }): Rollout | string {
         // A node that was paused while its lease expired may still write, but its fencing token is no longer the
         // current one. Without this check two holders could each advance the same roll-out.
         if (!this.#isCurrentFencingToken(body.fence)) {
--- a/test/control/leaseHolder.test.ts
+++ b/test/control/leaseHolder.test.ts
@@ -16,7 +16,7 @@
     isDisconnected: boolean;
 }
 
-/** Creates a node that wants the lease. It observes the lease at once, and the test calls `check`. */
+/** Creates a node that tries to take the lease. It observes the lease at once, and the test calls `check`. */
 function createCandidate(log: MemoryLog, id: string): Candidate {
     const clock = new ManualClock();
     const fold = new LeaseFold();
