--- a/src/forwarding/attempts.ts
+++ b/src/forwarding/attempts.ts
@@ -79,7 +79,7 @@
     readonly cancel: () => void;
 }
 
-/** Maximum urgency value. 0 is the most urgent. */
+/** Urgency of the least urgent priorities. 0 is the most urgent. */
 const maxUrgencyValue = 8;
 
 /** Makes attempts at upstreams. */
--- a/src/forwarding/forwarder.ts
+++ b/src/forwarding/forwarder.ts
@@ -32,7 +32,7 @@
     readonly getConfigurationAge: () => number;
     /** Returns the maximum age of the configuration at which API keys are accepted, in milliseconds. */
     readonly getMaxKeyAge: () => number;
-    /** Returns the maximum age of the configuration at which the absence of a route or key is trusted, in milliseconds. */
+    /** Returns the maximum age of the configuration at which unknown routes and keys are refused as final, in milliseconds. */
     readonly getMaxDenialAge: () => number;
     readonly getBudget: (pool: string) => WindowedRetryBudget;
     /** Returns why no new requests are accepted, such as a shutdown that leaves too little time. */
--- a/src/forwarding/streamExchange.ts
+++ b/src/forwarding/streamExchange.ts
@@ -17,8 +17,8 @@
 /** Statuses from here on are failures of the upstream. */
 const minServerErrorStatus = 500;
 /**
- * Factor on the pause objective after which a resumable stream is resumed at another runner, because its runner is unresponsive.
- * Callers give up after eight times the objective.
+ * A resumable stream whose runner sends nothing for this factor times the pause objective is resumed at another runner. Callers
+ * give up after eight times the objective.
  */
 const pauseTimeoutFactor = 2;
 /**
@@ -135,20 +135,20 @@
     }
 
     /**
-     * Returns the load of the prompt. Its last part belongs to the request only; the parts before it may be shared with other
-     * requests.
+     * Describes the prompt for the choice of an upstream. Its last part belongs to the request only; the parts before it may be
+     * shared with other requests.
      */
-    #getPromptDescription(chosen: string | undefined): PromptDescription {
+    #getPromptDescription(chosenModel: string | undefined): PromptDescription {
         const generation = this.#exchange.request.generation;
-        const shared = generation?.parts.slice(0, -1) ?? [];
+        const sharedParts = generation?.parts.slice(0, -1) ?? [];
         let sharedTokens = 0;
-        for (const part of shared) {
+        for (const part of sharedParts) {
             sharedTokens += part.tokens;
         }
-        const model = chosen ?? generation?.model;
+        const model = chosenModel ?? generation?.model;
         const tokens = generation?.promptTokens ?? 0;
         const bytes = this.#exchange.request.body.length;
-        return { model, tokens, bytes, sharedTokens, sharedKey: `${model ?? ""} ${shared.at(-1)?.id ?? ""}` };
+        return { model, tokens, bytes, sharedTokens, sharedKey: `${model ?? ""} ${sharedParts.at(-1)?.id ?? ""}` };
     }
 
     #getHeadTimeout(expectedMilliseconds: number): number | undefined {
--- a/src/forwarding/unaryExchange.ts
+++ b/src/forwarding/unaryExchange.ts
@@ -1,5 +1,5 @@
 /**
- * Forwards requests that are answered as a whole.
+ * Forwards requests with a single answer, which is read completely before it is sent.
  */
 import { ok, type Result } from "neverthrow";
 import { Failure, type Refusal } from "../common/index.js";
@@ -14,7 +14,7 @@
  * unresponsive upstream would use up the whole deadline. A healthy upstream needs only a small part of the time.
  */
 const attemptTimeoutShare = 0.4;
-/** Minimum timeout of an attempt: the slowest one in a hundred answers takes 220 ms. */
+/** Minimum timeout of an attempt. The 99th percentile of answer times is 220 ms. */
 const minAttemptTimeoutMilliseconds = 300;
 /** Statuses from here on are failures of the upstream. */
 const minServerErrorStatus = 500;
@@ -105,7 +105,7 @@
     return head.status >= minServerErrorStatus || !head.hasKnownEnd;
 }
 
-/** Chooses between two poor answers. A success that may be incomplete is better than a failure. */
+/** Chooses between two failed or possibly incomplete answers. A success that may be incomplete is better than a failure. */
 function chooseFallback(first: BufferedAnswer | undefined, second: BufferedAnswer): BufferedAnswer {
     return first !== undefined && first.head.status < minServerErrorStatus ? first : second;
 }
--- a/src/forwarding/upstreamCall.ts
+++ b/src/forwarding/upstreamCall.ts
@@ -33,7 +33,7 @@
     readonly status: number;
     /** Headers for the caller, as a flat list of names and values. */
     readonly headers: readonly string[];
-    /** Whether the upstream proves that the answer is its own. */
+    /** Whether the answer carries the upstream's seal, which proves that the upstream itself produced it. */
     readonly isSealed: boolean;
     /** The model's confidence in its answer, 0 to 100. */
     readonly confidence: number | undefined;
--- a/test/forwarding/streamExchange.test.ts
+++ b/test/forwarding/streamExchange.test.ts
@@ -16,7 +16,7 @@
     return `id: ${id}\ndata: ${id}\n\n`;
 }
 
-function createSite(behaviour: UpstreamBehaviour, options: Parameters<typeof createStreamRoute>[0] = {}) {
+function createStreamForwarder(behaviour: UpstreamBehaviour, options: Parameters<typeof createStreamRoute>[0] = {}) {
     const route = createStreamRoute(options);
     const site = createForwarder({ behaviour, getRoutes: () => createRouteTable({ routes: [route] }) });
     const send = () => site.send({ generation, session: "session", deadlineMilliseconds: 20_000 });
@@ -26,7 +26,7 @@
 
 describe("StreamExchange", () => {
     it("returns the small model's answer when its confidence is high", async () => {
-        const { send, getModels } = createSite(() =>
+        const { send, getModels } = createStreamForwarder(() =>
             createAnswer([createEvent(1), createEvent(2)], { confidence: 80 })
         );
         expect((await send()).chunks).toEqual([createEvent(1), createEvent(2)]);
@@ -34,7 +34,7 @@
     });
 
     it("discards an answer of low confidence from the small model before the caller receives any of it", async () => {
-        const { send, getModels, calls } = createSite(({ model }) =>
+        const { send, getModels, calls } = createStreamForwarder(({ model }) =>
             createAnswer([`data: ${model}\n\n`], { confidence: model === "small" ? 20 : 90 })
         );
         const caller = await send();
@@ -44,7 +44,7 @@
 
     // A runner crashes in the middle of an event. The caller must receive every event once and complete, from two runners.
     it("resumes at another runner after the last complete event", async () => {
-        const { send, calls } = createSite((...[, , count]) =>
+        const { send, calls } = createStreamForwarder((...[, , count]) =>
             count === 1
                 ? createAnswer([createEvent(1), `${createEvent(2)}id: 3\nda`], {
                     confidence: 80,
@@ -68,7 +68,7 @@
             await new Promise(resolve => signal.addEventListener("abort", resolve));
             throw new Error("aborted");
         }
-        const { send, calls } = createSite((call, ...[, count]) =>
+        const { send, calls } = createStreamForwarder((call, ...[, count]) =>
             count === 1
                 ? createAnswer([], { confidence: 80, body: stall(call.signal) })
                 : createAnswer([createEvent(2)])
@@ -78,7 +78,7 @@
     });
 
     it("requests the events after the last one when a stream ends without a known end", async () => {
-        const { send, calls } = createSite((...[, , count]) =>
+        const { send, calls } = createStreamForwarder((...[, , count]) =>
             count === 1
                 ? createAnswer([createEvent(1)], { confidence: 80, hasKnownEnd: false })
                 : createAnswer([createEvent(2)])
@@ -88,23 +88,26 @@
     });
 
     it("aborts the connection when a stream cannot be resumed", async () => {
-        const broken = createSite(() => createAnswer([createEvent(1)], { confidence: 80, breaksConnection: true }), {
-            maxAttempts: 1,
-        });
+        const broken = createStreamForwarder(
+            () => createAnswer([createEvent(1)], { confidence: 80, breaksConnection: true }),
+            {
+                maxAttempts: 1,
+            },
+        );
         const caller = await broken.send();
         expect([caller.isComplete, caller.isAborted]).toEqual([false, true]);
     });
 
     it("does not resume a stream whose route does not allow it", async () => {
-        const { send, calls } = createSite(
+        const { send, calls } = createStreamForwarder(
             () => createAnswer([createEvent(1)], { confidence: 80, breaksConnection: true }),
             { isResumable: false },
         );
         expect([(await send()).isAborted, calls.length]).toEqual([true, 1]);
     });
 
-    it("refuses with the outcome not run when every runner is full", async () => {
-        const { send } = createSite(() => createCallFailure("refused"));
+    it("reports that a request has not run when every runner is full", async () => {
+        const { send } = createStreamForwarder(() => createCallFailure("refused"));
         expect((await send()).refusal?.outcome).toEqual("not-run");
     });
 });
--- a/test/forwarding/unaryExchange.test.ts
+++ b/test/forwarding/unaryExchange.test.ts
@@ -10,7 +10,10 @@
 } from "../fixtures/forwarders.js";
 import { createRoute, createRouteTable } from "../fixtures/routes.js";
 
-function createSite(kind: "idempotent" | "at-most-once", options: Parameters<typeof createForwarder>[0] = {}) {
+function createUnaryForwarder(
+    kind: "idempotent" | "at-most-once",
+    options: Parameters<typeof createForwarder>[0] = {},
+) {
     const route = createRoute({ kind, maxAttempts: kind === "idempotent" ? 2 : 1, timeoutMilliseconds: 900 });
     return createForwarder({ getRoutes: () => createRouteTable({ routes: [route] }), ...options });
 }
@@ -24,7 +27,7 @@
 
 describe("runUnary", () => {
     it("retries at another upstream when a request may be repeated", async () => {
-        const { send, calls } = createSite("idempotent", {
+        const { send, calls } = createUnaryForwarder("idempotent", {
             behaviour: (...[, , count]) =>
                 count === 1 ? createAnswer(["oops"], { status: 500 }) : createAnswer(["done"]),
         });
@@ -35,13 +38,13 @@
     // The connection to an instance breaks during a booking, which may have been made. If the request were sent to another
     // instance, the driver would be ordered twice.
     it("never repeats a request that may have run, and does not report it as not run", async () => {
-        const { send, calls } = createSite("at-most-once", { behaviour: () => createCallFailure("broken") });
+        const { send, calls } = createUnaryForwarder("at-most-once", { behaviour: () => createCallFailure("broken") });
         const { refusal } = await send();
         expect([calls.length, refusal?.outcome, refusal?.failure.kind]).toEqual([1, "unknown", "upstream-failed"]);
     });
 
     it("never repeats a request whose answer was truncated", async () => {
-        const { send, calls } = createSite("at-most-once", {
+        const { send, calls } = createUnaryForwarder("at-most-once", {
             behaviour: () => createAnswer(["ha"], { breaksConnection: true }),
         });
         const { refusal } = await send();
@@ -49,7 +52,7 @@
     });
 
     it("tries another upstream without counting an attempt when no connection was established", async () => {
-        const { send, calls } = createSite("at-most-once", {
+        const { send, calls } = createUnaryForwarder("at-most-once", {
             behaviour: (...[, , count]) => count === 1 ? createCallFailure("not-sent") : createAnswer(["done"]),
         });
         expect([(await send()).status, calls.length]).toEqual([200, 2]);
@@ -60,15 +63,15 @@
     it("does not frame an answer without a known end as complete, and retries where it may", async () => {
         const behaviour = (...[, , count]: unknown[]) =>
             count === 1 ? createAnswer(["ha"], { hasKnownEnd: false }) : createAnswer(["whole"]);
-        const booking = await createSite("at-most-once", { behaviour }).send();
+        const booking = await createUnaryForwarder("at-most-once", { behaviour }).send();
         expect([booking.chunks, booking.hasCompleteFraming]).toEqual([["ha"], false]);
-        const query = await createSite("idempotent", { behaviour }).send();
+        const query = await createUnaryForwarder("idempotent", { behaviour }).send();
         expect([query.chunks, query.hasCompleteFraming]).toEqual([["whole"], true]);
     });
 
     // Every instance is full and refuses. The caller must receive a prompt refusal with the outcome not run and a retry delay.
     it("reports that a request has not run, with a retry delay, when every upstream refuses", async () => {
-        const { send } = createSite("at-most-once", { behaviour: () => createCallFailure("refused") });
+        const { send } = createUnaryForwarder("at-most-once", { behaviour: () => createCallFailure("refused") });
         const { refusal } = await send();
         expect([refusal?.outcome, refusal?.failure.kind]).toEqual(["not-run", "overloaded"]);
         const retryAfterMilliseconds = refusal!.failure.retryAfterMilliseconds!;
@@ -76,14 +79,16 @@
     });
 
     it("returns the upstream's own failure when no upstream succeeded", async () => {
-        const { send } = createSite("idempotent", { behaviour: () => createAnswer(["oops"], { status: 500 }) });
+        const { send } = createUnaryForwarder("idempotent", {
+            behaviour: () => createAnswer(["oops"], { status: 500 }),
+        });
         const caller = await send();
         expect([caller.status, caller.chunks]).toEqual([500, ["oops"]]);
     });
 
     // An instance accepts a request and stops responding. The caller of a repeatable request must not wait until its deadline.
     it("leaves an unresponsive upstream while there is time for another one", async () => {
-        const { send, calls, renewed } = createSite("idempotent", {
+        const { send, calls, renewed } = createUnaryForwarder("idempotent", {
             behaviour: (call, ...[, count]) => count === 1 ? waitForAbort(call) : createAnswer(["done"]),
         });
         const caller = await send();
@@ -92,7 +97,7 @@
 
     it("refuses at the route's timeout and aborts the call", async () => {
         let wasAborted = false;
-        const { send } = createSite("at-most-once", {
+        const { send } = createUnaryForwarder("at-most-once", {
             behaviour: async call => {
                 const failure = await waitForAbort(call);
                 wasAborted = true;
@@ -106,7 +111,7 @@
     });
 
     it("aborts the call when the caller disconnects", async () => {
-        const { forwarder, calls } = createSite("idempotent", { behaviour: waitForAbort });
+        const { forwarder, calls } = createUnaryForwarder("idempotent", { behaviour: waitForAbort });
         const caller = new CallerStandin();
         const handled = forwarder.handle(createCallerRequest(), caller);
         await new Promise(resolve => setImmediate(resolve));
@@ -116,7 +121,7 @@
     });
 
     it("does not retry when the pool's retry budget is used up", async () => {
-        const { send, calls } = createSite("idempotent", {
+        const { send, calls } = createUnaryForwarder("idempotent", {
             retryAllowance: 0,
             behaviour: () => createAnswer(["oops"], { status: 500 }),
         });
