--- a/src/platform/decodeConfiguration.ts
+++ b/src/platform/decodeConfiguration.ts
@@ -112,7 +112,7 @@
     /** 0 for nodes of an earlier release, which did not count steps. */
     step: z.number().default(0),
     share: z.number(),
-    /** 0 for nodes of an earlier release, which did not publish the first step. */
+    /** 0 for nodes of an earlier release, which did not announce the share of the first step. */
     firstShare: z.number().default(0),
     orderedAt: z.number(),
 });
--- a/src/platform/node.ts
+++ b/src/platform/node.ts
@@ -37,7 +37,7 @@
         const { settings, callerServer, topics, journal } = this.getParts();
         journal.write(events.processStarted, { address: settings.address });
         topics.onRoutes(() => callerServer.applyLimits());
-        this.#forgetRemovedUpstreams();
+        this.#clearStateOfRemovedUpstreams();
         const listening = callerServer.listen(listeningServer ?? settings.listen.callers);
         topics.start();
         await listening;
@@ -92,12 +92,12 @@
         return this.#stopping;
     }
 
-    /** Discards the state of removed upstreams. It does not apply to an upstream that restarts under the same identifier. */
-    #forgetRemovedUpstreams(): void {
+    /** Discards what was collected about removed and restarted upstreams: it is invalid after a restart under the same identifier. */
+    #clearStateOfRemovedUpstreams(): void {
         const { registry, picker, upstreamClient } = this.getParts();
         registry.onRemoved(({ id }) => {
             picker.remove(id);
-            upstreamClient.forget(id);
+            upstreamClient.closeConnections(id);
         });
     }
 
--- a/src/platform/nodeParts.ts
+++ b/src/platform/nodeParts.ts
@@ -43,7 +43,7 @@
 const maxGossipBytes = 64 * 1024;
 /** API keys are refused this long before the revocation bound, because a checked request may still be in transit for a moment. */
 const revocationMarginMilliseconds = 300;
-/** Share of the configuration bound up to which the absence of a route or key in the state is trusted. */
+/** Maximum age of the configuration at which unknown routes and keys are refused as final, as a share of its bound. */
 const maxDenialAgeShare = 0.75;
 /** Minimum number of connections that a node may open to one upstream. */
 const minConnections = 4;
--- a/src/platform/platformTopics.ts
+++ b/src/platform/platformTopics.ts
@@ -52,7 +52,7 @@
 const expiryGraceMilliseconds = 2_000;
 /**
  * Each change costs a read at every node, so a follower pauses after one to batch the next changes. The pause grows with the
- * site: 0.27 s with 90 nodes. The maximum is a tenth of the configuration bound at the known sites, which is 3 s.
+ * site: 0.27 s with 90 nodes. The maximum is a tenth of the configuration bound of the known sites, which is 3 s.
  */
 const pauseMillisecondsPerNode = 3;
 const maxPauseMilliseconds = 300;
@@ -99,7 +99,7 @@
         });
         const { configurationMilliseconds, drainMilliseconds } = options.liveSettings.get().bounds;
         const minBoundMilliseconds = Math.min(configurationMilliseconds, drainMilliseconds);
-        const operatorTiming = {
+        const shortTiming = {
             waitMilliseconds: Math.min(maxConfirmationMilliseconds, minBoundMilliseconds * confirmationShare),
             staleMilliseconds: minBoundMilliseconds * staleShare,
         };
@@ -107,12 +107,12 @@
         const waitForPeers = (): Promise<void> => this.#status.waitUntilLoaded(peerDiscoveryTimeoutMilliseconds);
         this.#operator = this.#createFollower(
             topics.operator,
-            { ...operatorTiming, waitForPeers },
+            { ...shortTiming, waitForPeers },
             changed => this.#applyOperatorRecords(changed),
         );
         this.#upstreams = this.#createFollower(
             topics.upstreams,
-            { ...operatorTiming, waitForPeers },
+            { ...shortTiming, waitForPeers },
             changed => this.#applyUpstreams(changed),
         );
         this.#status = this.#createFollower(topics.status, statusTiming, changed => this.#applyStatus(changed));
--- a/src/platform/storeClient.ts
+++ b/src/platform/storeClient.ts
@@ -124,7 +124,7 @@
     async #readAll(topic: string): Promise<Result<TopicPage, Failure>> {
         const confirmedAt = this.#clock.monotonic();
         const records = new Map<string, KeyedRecord>();
-        let end: number | undefined;
+        let endOffset: number | undefined;
         let after: string | undefined;
         for (;;) {
             const query = new URLSearchParams({ topic, part: "0", ...(after === undefined ? {} : { after }) });
@@ -145,9 +145,9 @@
             }
             // The pages are not a consistent snapshot. Changes made after the first page are read again from that page's end
             // offset.
-            end ??= page.value.end_offset;
+            endOffset ??= page.value.end_offset;
             if (!page.value.has_more) {
-                return ok({ records: [...records.values()], isComplete: true, endOffset: end, confirmedAt });
+                return ok({ records: [...records.values()], isComplete: true, endOffset: endOffset, confirmedAt });
             }
         }
     }
--- a/src/platform/upstreamClient.ts
+++ b/src/platform/upstreamClient.ts
@@ -25,7 +25,7 @@
 /** Keep-alive timeout for upstreams that announce none. */
 const defaultKeepAliveMilliseconds = 4_000;
 const maxKeepAliveMilliseconds = 15_000;
-/** Statuses that mean that a request has not run. From an upstream they are trusted only together with its explicit header. */
+/** Statuses that mean that a request has not run. From an upstream they count only together with its explicit header. */
 const notExecutedStatuses: ReadonlySet<number> = new Set([408, 429, 503]);
 const misdirectedStatus = 421;
 
@@ -97,14 +97,14 @@
 
     /** Opens new connections from now on. Calls in flight complete on the old ones. */
     renewConnections(upstream: RegisteredUpstream): void {
-        this.forget(upstream.id);
+        this.closeConnections(upstream.id);
     }
 
     /**
      * Closes the connections to an upstream that was removed or restarted.
      * @param id - Its identifier.
      */
-    forget(id: string): void {
+    closeConnections(id: string): void {
         const known = this.#pools.get(id);
         if (known !== undefined) {
             this.#pools.delete(id);
@@ -156,7 +156,7 @@
                 return;
             }
             socket.on("error", cause => {
-                // The library reports an orderly close as an error of its own class. Complete answers end that way.
+                // The library reports an orderly close as an error of its own class. Complete answers without a length end that way.
                 if (!(cause instanceof errors.UndiciError)) {
                     resets.mark();
                 }
--- a/test/platform/soak/platformSoak.ts
+++ b/test/platform/soak/platformSoak.ts
@@ -115,7 +115,7 @@
             violations: [...this.#violations, ...checkedViolations],
             timeLine: this.#timeLine,
             requests: callers.observed.length,
-            served: callers.observed.filter(({ status, isWhole }) => status === 200 && isWhole).length,
+            served: callers.observed.filter(({ status, isComplete }) => status === 200 && isComplete).length,
         };
     }
 
--- a/test/platform/soak/soakCallers.ts
+++ b/test/platform/soak/soakCallers.ts
@@ -21,7 +21,7 @@
     readonly isSealed: boolean;
     readonly body: string;
     /** Whether the answer was complete. */
-    readonly isWhole: boolean;
+    readonly isComplete: boolean;
 }
 
 /** Sends requests until `stop` is called. */
@@ -70,7 +70,7 @@
         let status: number | undefined;
         let isSealed = false;
         const pieces: Buffer[] = [];
-        let isWhole = false;
+        let isComplete = false;
         try {
             const response = await sendRequest(`http://${address}:${callerPort}/${kind}/1`, {
                 dispatcher: this.#agent,
@@ -89,12 +89,12 @@
             for await (const piece of response.body as AsyncIterable<Buffer>) {
                 pieces.push(piece);
             }
-            isWhole = true;
+            isComplete = true;
         }
         catch {
             // The connection broke, or the node was unreachable. The part observed so far is recorded.
         }
-        const observed = { ...sent, status, isSealed, body: Buffer.concat(pieces).toString(), isWhole };
+        const observed = { ...sent, status, isSealed, body: Buffer.concat(pieces).toString(), isComplete };
         this.observed.push(observed);
         return observed;
     }
--- a/test/platform/soak/soakChecks.ts
+++ b/test/platform/soak/soakChecks.ts
@@ -53,7 +53,7 @@
     }
 }
 
-function* checkAnswer({ id, kind, status, isSealed, isWhole, body }: ObservedRequest): Iterable<string> {
+function* checkAnswer({ id, kind, status, isSealed, isComplete, body }: ObservedRequest): Iterable<string> {
     if (status !== 200) {
         return;
     }
@@ -61,7 +61,7 @@
         yield `${id} got a success without a runner's seal`;
     }
     if (kind !== "stream") {
-        if (isWhole && body !== createCompleteBody(id)) {
+        if (isComplete && body !== createCompleteBody(id)) {
             yield `${id} got a wrong body in a complete answer: ${body}`;
         }
         return;
@@ -69,7 +69,7 @@
     const pattern = /id: (\d+)\ndata: (\S+)\n\n/g;
     const events = [...body.matchAll(pattern)];
     const isInOrder = events.every(([, event, owner], index) => Number(event) === index + 1 && owner === id);
-    if (!isInOrder || (isWhole && events.length !== streamEventCount)) {
+    if (!isInOrder || (isComplete && events.length !== streamEventCount)) {
         yield `${id} got a stream with a missing, repeated or foreign event: ${JSON.stringify(body)}`;
     }
 }
--- a/test/platform/upstreamClient.test.ts
+++ b/test/platform/upstreamClient.test.ts
@@ -56,7 +56,7 @@
 async function call(write: (socket: Socket, requestId: string, count: number) => void) {
     const upstream = await listen(createRawRunner(write));
     const client = createClient();
-    return { client, upstream, called: await client.call(upstream, createCall()) };
+    return { client, upstream, result: await client.call(upstream, createCall()) };
 }
 
 describe("UpstreamClient", () => {
@@ -86,13 +86,13 @@
         const refused = await call(socket =>
             socket.write("HTTP/1.1 503 X\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n")
         );
-        expect(refused.called._unsafeUnwrapErr().kind).toEqual("refused");
+        expect(refused.result._unsafeUnwrapErr().kind).toEqual("refused");
         const unspecified = await call(socket => socket.write("HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n"));
-        expect(unspecified.called._unsafeUnwrapErr().kind).toEqual("broken");
+        expect(unspecified.result._unsafeUnwrapErr().kind).toEqual("broken");
         const replaced = await call(socket =>
             socket.write("HTTP/1.1 421 X\r\nInstance-Id: i-2\r\nContent-Length: 0\r\n\r\n")
         );
-        expect(replaced.called._unsafeUnwrapErr().kind).toEqual("replaced");
+        expect(replaced.result._unsafeUnwrapErr().kind).toEqual("replaced");
     });
 
     it("reports that nothing was sent when the connection is refused", async () => {
@@ -102,14 +102,14 @@
     });
 
     it("rejects a success without a seal", async () => {
-        const { called } = await call(socket => socket.write("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"));
+        const { result: called } = await call(socket => socket.write("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"));
         expect(called._unsafeUnwrapErr().kind).toEqual("broken");
     });
 
     // A runner answers late, after its caller was refused or answered by other means. The late answer arrives where the answer to
     // the next request is expected, and another caller would receive it.
     it("rejects an answer that belongs to another request", async () => {
-        const { called } = await call(socket =>
+        const { result: called } = await call(socket =>
             socket.write("HTTP/1.1 200 OK\r\nAttempt-Id: earlier\r\nServer-Seal: s\r\nContent-Length: 5\r\n\r\nother")
         );
         expect(called._unsafeUnwrapErr().reason).toEqual("the answer belongs to another request");
@@ -118,7 +118,7 @@
     // A runner writes a second answer directly after the first one. The extra bytes belong to no request, and the next request on
     // the connection would receive them.
     it("does not reuse a connection after surplus bytes", async () => {
-        const { client, upstream, called } = await call((socket, id, count) => {
+        const { client, upstream, result: called } = await call((socket, id, count) => {
             const answer =
                 `HTTP/1.1 200 OK\r\nAttempt-Id: ${id}\r\nServer-Seal: s${count}\r\nContent-Length: 2\r\n\r\n0${count}`;
             socket.write(answer + answer);
@@ -134,12 +134,12 @@
         const whole = await call((socket, id) =>
             socket.end(`HTTP/1.1 200 OK\r\nAttempt-Id: ${id}\r\nServer-Seal: s\r\nConnection: close\r\n\r\nwhole`)
         );
-        expect(await read(whole.called._unsafeUnwrap())).toEqual("whole");
+        expect(await read(whole.result._unsafeUnwrap())).toEqual("whole");
         const reset = await call((socket, id) => {
             socket.write(`HTTP/1.1 200 OK\r\nAttempt-Id: ${id}\r\nServer-Seal: s\r\nConnection: close\r\n\r\nha`);
             setTimeout(() => socket.resetAndDestroy(), 50);
         });
-        await expect(() => read(reset.called._unsafeUnwrap())).toBeRejected();
+        await expect(() => read(reset.result._unsafeUnwrap())).toBeRejected();
     });
 
     // A runner restarts under the same identifier and address. The connections to its predecessor are dead.
@@ -148,16 +148,16 @@
             void call((socket, id) => {
                 socket.on("close", () => resolve());
                 socket.write(`HTTP/1.1 200 OK\r\nAttempt-Id: ${id}\r\nServer-Seal: s\r\nContent-Length: 2\r\n\r\nok`);
-            }).then(async ({ client, upstream, called }) => {
+            }).then(async ({ client, upstream, result: called }) => {
                 await read(called._unsafeUnwrap());
-                client.forget(upstream.id);
+                client.closeConnections(upstream.id);
             });
         });
         await closed;
     });
 
     it("fails the body of a truncated answer", async () => {
-        const { called } = await call((socket, id) =>
+        const { result: called } = await call((socket, id) =>
             socket.end(`HTTP/1.1 200 OK\r\nAttempt-Id: ${id}\r\nServer-Seal: s\r\nContent-Length: 9\r\n\r\nha`)
         );
         await expect(() => read(called._unsafeUnwrap())).toBeRejected();
