--- a/src/fleet/upstreamRegistry.ts
+++ b/src/fleet/upstreamRegistry.ts
@@ -61,7 +61,7 @@
     }
 
     /**
-     * Marks an upstream as leaving before its record shows it.
+     * Marks an upstream as leaving before its record shows it, for example after a call that found it replaced.
      * @param id - The upstream's identifier.
      */
     markLeaving(id: string): void {
