--- a/src/rollouts/stepTurn.ts
+++ b/src/rollouts/stepTurn.ts
@@ -27,8 +27,8 @@
 }
 
 /** Returns how long a node waits for the nodes before it to take a due step, in milliseconds. */
-export function getTurnDelay({ rank, hasTakenLastStep: tookLastStep }: StepTurn): number {
-    if (tookLastStep) {
+export function getTurnDelay({ rank, hasTakenLastStep }: StepTurn): number {
+    if (hasTakenLastStep) {
         return 0;
     }
     const leadingRanks = Math.min(rank, leadingNodeCount);
