--- a/src/control/orderChannel.ts
+++ b/src/control/orderChannel.ts
@@ -75,11 +75,11 @@
             return err(createLeaseNotHeldFailure(desired.engine));
         }
         const state = { fence: fencingToken, versions: desired.versions, role: desired.role };
-        const ordered = await order(state, deadlineMilliseconds ?? defaultDeadlineMilliseconds);
-        if (ordered.isErr() && ordered.error.kind === "stale") {
+        const result = await order(state, deadlineMilliseconds ?? defaultDeadlineMilliseconds);
+        if (result.isErr() && result.error.kind === "stale") {
             journal.write(events.orderRefused, { engine: desired.engine, fence: fencingToken });
         }
-        return ordered;
+        return result;
     }
 
     /**
@@ -99,9 +99,9 @@
             if (reported.isOk() && hasSameVersions(reported.value.versions, desired.versions)) {
                 return reported;
             }
-            const ordered = await this.send(control.order, desired);
-            if (ordered.isErr() && ordered.error.kind === "stale") {
-                return err(ordered.error);
+            const result = await this.send(control.order, desired);
+            if (result.isErr() && result.error.kind === "stale") {
+                return err(result.error);
             }
             await (this.#options.sleep ?? delay)(readBackDelayMilliseconds);
             reported = await control.read(deadline);
--- a/src/control/rolloutFold.ts
+++ b/src/control/rolloutFold.ts
@@ -155,8 +155,8 @@
         if (rollout === undefined || rollout.baseline === version) {
             return undefined;
         }
-        const usable = !this.isHalted(rollout.baseline) && isAllowed(rollout.baseline);
-        return usable ? rollout.baseline : this.getFallback(rollout.baseline, isAllowed);
+        const isUsable = !this.isHalted(rollout.baseline) && isAllowed(rollout.baseline);
+        return isUsable ? rollout.baseline : this.getFallback(rollout.baseline, isAllowed);
     }
 
     /** Returns the state, for a snapshot or for a node that cannot read the log. */
--- a/test/control/leaseFold.test.ts
+++ b/test/control/leaseFold.test.ts
@@ -71,23 +71,23 @@
                 fc.nat(12).map(renew),
                 fc.nat(12).map(release),
             );
-            fc.assert(fc.property(fc.array(step, { maxLength: 14 }), fc.nat(14), (steps, place) => {
-                const whole = new LeaseFold();
+            fc.assert(fc.property(fc.array(step, { maxLength: 14 }), fc.nat(14), (steps, snapshotOffset) => {
+                const uninterrupted = new LeaseFold();
                 let fence = -1;
                 for (const [offset, [kind, body]] of steps.entries()) {
-                    whole.apply(createEntry(offset, kind, body));
-                    whole.apply(createEntry(offset, kind, body));
-                    const next = whole.get(lease)?.fence ?? -1;
+                    uninterrupted.apply(createEntry(offset, kind, body));
+                    uninterrupted.apply(createEntry(offset, kind, body));
+                    const next = uninterrupted.get(lease)?.fence ?? -1;
                     expect(next >= fence).toEqual(true);
                     fence = next;
                 }
-                const first = fold(steps.slice(0, place));
+                const first = fold(steps.slice(0, snapshotOffset));
                 const restored = new LeaseFold();
                 restored.restore(first.getOffset(), first.getSnapshot());
                 for (const [offset, [kind, body]] of steps.entries()) {
                     restored.apply(createEntry(offset, kind, body));
                 }
-                expect(restored.get(lease)).toEqual(whole.get(lease));
+                expect(restored.get(lease)).toEqual(uninterrupted.get(lease));
             }));
         });
     });
