--- a/src/platform/statusWriter.ts
+++ b/src/platform/statusWriter.ts
@@ -41,11 +41,11 @@
     async writePins(pool: string, report: PinReport): Promise<boolean> {
         const { store, journal, self } = this.#options;
         const key = `${recordKeys.pinsPrefix}${self.id}/${pool}`;
-        const appended = await store.append(topics.status, [{ key, value: Buffer.from(JSON.stringify(report)) }]);
-        if (appended.isErr()) {
-            journal.write(events.rolloutWriteFailed, { rollout: pool, state: "pins", cause: appended.error.message });
+        const result = await store.append(topics.status, [{ key, value: Buffer.from(JSON.stringify(report)) }]);
+        if (result.isErr()) {
+            journal.write(events.rolloutWriteFailed, { rollout: pool, state: "pins", cause: result.error.message });
         }
-        return appended.isOk();
+        return result.isOk();
     }
 
     /**
@@ -63,10 +63,10 @@
             epoch: order.id,
             sequenceNumber: progress.step,
         };
-        const appended = await store.append(topics.status, records, position);
-        if (appended.isErr() || appended.value === "out-of-turn") {
-            const cause = appended.isErr()
-                ? appended.error.message
+        const result = await store.append(topics.status, records, position);
+        if (result.isErr() || result.value === "out-of-turn") {
+            const cause = result.isErr()
+                ? result.error.message
                 : "another node has written a later step";
             journal.write(events.rolloutWriteFailed, { rollout: order.pool, state: progress.state, cause });
         }
@@ -86,8 +86,8 @@
                 if (known?.value?.equals(value) === true) {
                     return;
                 }
-                const appended = await store.append(topics.status, [{ key, value }]);
-                if (appended.isOk()) {
+                const result = await store.append(topics.status, [{ key, value }]);
+                if (result.isOk()) {
                     return;
                 }
             }
--- a/test/platform/storeUnavailable.test.ts
+++ b/test/platform/storeUnavailable.test.ts
@@ -67,10 +67,10 @@
     // A node is killed and restarts while the store does not answer it. It must read the state from its peers instead of waiting
     // for the store. Until then it must refuse requests as temporarily unavailable, not as unknown.
     it("restart with the state of their peers", async () => {
-        const before = site.nodes[2];
-        site.store.faultsByCaller.set(before.address, "silent");
-        before.child.kill("SIGKILL");
-        await before.exited;
+        const killedNode = site.nodes[2];
+        site.store.faultsByCaller.set(killedNode.address, "silent");
+        killedNode.child.kill("SIGKILL");
+        await killedNode.exited;
         const node = site.startNode(3);
         await site.waitForReady(node);
         expect((await site.send(node)).status).toEqual(200);
