--- a/src/upstream/engineOrders.ts
+++ b/src/upstream/engineOrders.ts
@@ -41,8 +41,8 @@
      * @param deadlineMilliseconds - Timeout of the call.
      */
     async read(runner: Vm, deadlineMilliseconds: number): Promise<Result<EngineReport, Failure>> {
-        const read = await this.#send(runner, "GET", "/load", undefined, deadlineMilliseconds);
-        return read.andThen(body => {
+        const response = await this.#send(runner, "GET", "/load", undefined, deadlineMilliseconds);
+        return response.andThen(body => {
             const parsed = reportSchema.safeParse(body);
             if (!parsed.success) {
                 return err(createUnreadableFailure(runner, parsed.error));
@@ -59,8 +59,8 @@
      * @param deadlineMilliseconds - Timeout of the call.
      */
     async order(runner: Vm, order: EngineOrder, deadlineMilliseconds: number): Promise<Result<void, Failure>> {
-        const sent = await this.#send(runner, "POST", "/orders", order, deadlineMilliseconds);
-        return sent.map(() => undefined);
+        const response = await this.#send(runner, "POST", "/orders", order, deadlineMilliseconds);
+        return response.map(() => undefined);
     }
 
     async #send(
