--- a/src/membership/gossip.ts
+++ b/src/membership/gossip.ts
@@ -336,8 +336,9 @@
 
     #pickPeer(): PeerAddress | undefined {
         const { unresponsive, responsive } = this.#classifyPeers();
-        const picksUnresponsive = unresponsive.length > 0 && this.#options.random.next() < unresponsivePeerProbability;
-        const candidates = picksUnresponsive
+        const shouldPickUnresponsive = unresponsive.length > 0
+            && this.#options.random.next() < unresponsivePeerProbability;
+        const candidates = shouldPickUnresponsive
             ? unresponsive
             : this.#partners.select(responsive.length > 0 ? responsive : unresponsive);
         return candidates.length === 0
--- a/src/membership/gossipMessages.ts
+++ b/src/membership/gossipMessages.ts
@@ -16,7 +16,7 @@
 }
 
 /**
- * Writes digest lines into a message.
+ * Encodes digest lines for a message.
  * @param state - The state that the lines come from.
  * @param lines - The lines.
  */
@@ -36,8 +36,8 @@
 }
 
 /**
- * Reads the digest lines of a message. Lines of unknown origins are omitted.
- * @param state - The state that knows the origins.
+ * Decodes the digest lines of a message. Lines of unknown origins are omitted.
+ * @param state - The state that holds the origins.
  * @param message - The message.
  */
 export function decodeDigest(state: GossipState, message: DigestMessage): DigestLine[] {
--- a/src/membership/gossipState.ts
+++ b/src/membership/gossipState.ts
@@ -118,8 +118,8 @@
     }
 
     /**
-     * Stores a heartbeat if it is newer, no matter which peer delivered it. A node without a direct connection to this
-     * one therefore still counts as alive while any other node reaches it.
+     * Stores a heartbeat if it is newer, no matter which peer delivered it. A node that this one cannot reach, or that
+     * cannot reach this one, therefore still counts as alive while its heartbeats arrive through other nodes.
      * @param origin - The origin.
      * @param heartbeat - The counter.
      * @param now - Monotonic time.
--- a/src/membership/gossipTiming.ts
+++ b/src/membership/gossipTiming.ts
@@ -18,7 +18,7 @@
 const minSuspicionPeriods = 6;
 
 /**
- * Returns the time between two exchanges that a node starts.
+ * Returns the time between two exchanges that a node starts, in milliseconds.
  * @param minMilliseconds - The time at a small site, which is the minimum.
  * @param peers - Number of peers.
  */
@@ -27,8 +27,8 @@
 }
 
 /**
- * Returns the time in which an update reaches all nodes with high probability: about log2(n) periods until half of them
- * have it, and ln(n) more until the last one has it.
+ * Returns the time in which an update reaches all nodes with high probability, in milliseconds: about log2(n) periods
+ * until half of them have it, and ln(n) more until the last one has it.
  * @param periodMilliseconds - The time between two exchanges.
  * @param peers - Number of peers.
  */
@@ -37,8 +37,8 @@
 }
 
 /**
- * Returns the age of a heartbeat from which its node is suspected. Twice the time in which it reaches most nodes, and a
- * few periods for lost messages, keep false suspicion rare.
+ * Returns the age of a heartbeat from which its node is suspected, in milliseconds. Twice the time in which it reaches
+ * most nodes, and a few periods for lost messages, keep false suspicion rare.
  * @param periodMilliseconds - The time between two exchanges.
  * @param peers - Number of peers.
  */
--- a/src/membership/memberDirectory.ts
+++ b/src/membership/memberDirectory.ts
@@ -20,7 +20,7 @@
     region: z.string(),
 });
 
-/** Maintains the nodes by their records. */
+/** Folds the records of nodes into the list of all nodes. */
 export class MemberDirectory {
     readonly #records = new Map<string, MemberRecord>();
     readonly #onChange: (vms: readonly Vm[]) => void;
--- a/src/membership/membership.ts
+++ b/src/membership/membership.ts
@@ -17,7 +17,10 @@
 const offsetKey = "configuration-offset";
 /** A member counts as dead after this multiple of the suspicion timeout. */
 const deadTimeoutFactor = 3;
-/** Time for which the protocol of an unresponsive member still counts. It may only be cut off from this node. */
+/**
+ * Time for which the protocol of an unresponsive member still counts, since the member may still run and merely be cut
+ * off from this node.
+ */
 const defaultProtocolRetentionMilliseconds = 10 * 60_000;
 /**
  * Time for which a newly listed member is presumed alive at a small site. At a larger site, it is the time in which
@@ -55,7 +58,7 @@
     readonly configurationOffset: number;
     /** Milliseconds since its heartbeat last increased, or since it was listed if none was received. */
     readonly heartbeatAge: number;
-    /** Whether this node has received any heartbeat of it. */
+    /** Whether this node has received any heartbeat of the member. */
     readonly hasBeenSeen: boolean;
 }
 
@@ -144,7 +147,7 @@
 
     /**
      * Returns the members that are alive, and those that were listed so recently that no heartbeat can have arrived
-     * yet. When a site starts, no node has received a heartbeat of another. A node that assumed to be the only one
+     * yet. When a site starts, no node has received a heartbeat of another. A node that assumed it was the only one
      * would read the store on behalf of all and send all callers to itself; one that has received a few heartbeats
      * would send all callers to those few members.
      */
@@ -175,7 +178,7 @@
     /**
      * Returns the newest protocol version that all members read. Records and messages are written in no newer one.
      *
-     * A member that was alive recently may only be cut off, so it still counts. A listed VM of which no heartbeat was
+     * A member that was alive recently may merely be cut off, so it still counts. A listed VM of which no heartbeat was
      * received may run the oldest supported version, and counts as such until it had time to answer.
      */
     getCommonProtocol(): number {
@@ -251,8 +254,8 @@
     }
 
     /**
-     * Clears the cache for keys that concern members only: other values, such as evidence on roll-outs, arrive many
-     * times a second at a large site.
+     * Clears the cache only for keys that describe members, since other values, such as evidence on roll-outs, arrive
+     * many times a second at a large site.
      */
     #handleUpdate(key: string): void {
         if (key === nodeKey || key === leavingKey || key === offsetKey || key === incarnationKey) {
--- a/src/membership/peerClient.ts
+++ b/src/membership/peerClient.ts
@@ -121,7 +121,7 @@
         return this.#call(client.push.bind(client), request);
     }
 
-    /** Requests a peer to store replicas of bills. */
+    /** Sends bills to a peer, which stores replicas of them. */
     copyBills(
         peer: PeerAddress,
         request: CopyBillsRequest,
--- a/src/membership/peerServer.ts
+++ b/src/membership/peerServer.ts
@@ -122,7 +122,7 @@
                 callback(null, reply);
             }
             catch (error) {
-                // A message that a handler rejects fails its call only and does not end the process.
+                // An exception in a handler must fail only its call. Uncaught, it would end the process.
                 this.#options.journal.write(events.peerCallFailed, { cause: String(error) });
                 callback({ code: status.INTERNAL, details: "the handler failed" });
             }
--- a/test/membership/membership.test.ts
+++ b/test/membership/membership.test.ts
@@ -46,7 +46,8 @@
         });
 
         // Guards against false deaths. A switch drops packets in one direction between two entries, or all packets to
-        // one entry. Their heartbeats still arrive through other entries, so they must not count as dead.
+        // one entry. Their heartbeats still arrive through other entries, so they must not count as dead: entries that
+        // disagree about who is alive would divide the work differently.
         it("keeps members alive through one-way network partitions", async () => {
             const site = await createConvergedSite();
             site.cutLinks.add("entry-0>entry-1");
@@ -84,7 +85,7 @@
 
     describe("getPresumedAlive", () => {
         // Guards against overload when a whole site starts at once and no node has received a heartbeat of another. A
-        // node that assumed to be the only one sent all callers to itself and read the store on behalf of all. A member
+        // node that assumed it was the only one sent all callers to itself and read the store on behalf of all. A member
         // that stays unresponsive has departed, and callers must not be sent to it.
         it("includes newly listed members until their heartbeats had time to arrive", async () => {
             const site = createGossipSite(size, { periodMilliseconds: 150 });
@@ -160,13 +161,13 @@
         it("returns the same member at all nodes, spreads partitions, and moves only those of a departed member", async () => {
             const site = await createConvergedSite();
             const partitions = Array.from({ length: 64 }, (...[, index]) => `claims-${index}`);
-            const collect = (node: GossipNode) => partitions.map(name => node.membership.getCollector(name)?.id);
-            const before = collect(site.nodes[0]);
-            expect(collect(site.nodes[7])).toEqual(before);
+            const getCollectors = (node: GossipNode) => partitions.map(name => node.membership.getCollector(name)?.id);
+            const before = getCollectors(site.nodes[0]);
+            expect(getCollectors(site.nodes[7])).toEqual(before);
             expect(new Set(before).size).toEqual(size);
             site.nodes[2].membership.announceLeaving();
             await site.deliverMessages();
-            const after = collect(site.nodes[0]);
+            const after = getCollectors(site.nodes[0]);
             const moved = partitions.filter((...[, index]) => before[index] !== after[index]);
             expect(moved.length).toEqual(before.filter(id => id === "entry-2").length);
         });
--- a/test/membership/peerCalls.test.ts
+++ b/test/membership/peerCalls.test.ts
@@ -151,9 +151,9 @@
                 ],
                 [undefined, false],
             ];
-            for (const [credentials, isLetIn] of cases) {
+            for (const [credentials, isAccepted] of cases) {
                 const pushed = await createClient(credentials, 1_000).push(identity, emptyPush);
-                expect(pushed.isOk()).toEqual(isLetIn);
+                expect(pushed.isOk()).toEqual(isAccepted);
             }
         });
 
@@ -247,7 +247,7 @@
         expect(await decideRemotely(99, operation)).toEqual({ id: "c1", mayHaveTakenEffect: false });
     });
 
-    it("carry copies of bills to a peer in another failure domain", async () => {
+    it("carry replicas of bills to a peer in another failure domain", async () => {
         const log = new MemoryLog();
         const { journal } = createJournal();
         const base = { append: log.append, clock: systemClock, journal };
