--- a/src/topics/peerTopics.ts
+++ b/src/topics/peerTopics.ts
@@ -47,7 +47,7 @@
  * Answers a peer's query for a topic.
  * @param follower - Follower of the topic on this node.
  * @param request - The query.
- * @param clock - The clock for ages.
+ * @param clock - The clock that measures the age of the state.
  */
 export async function handleFetchState(
     follower: TopicFollower,
--- a/src/topics/readSource.ts
+++ b/src/topics/readSource.ts
@@ -60,14 +60,14 @@
 }
 
 function findHighestRanked(group: readonly Member[], getRank: (node: string) => number): Member | undefined {
-    let first: Member | undefined;
-    let firstRank = -1;
+    let highest: Member | undefined;
+    let highestRank = -1;
     for (const member of group) {
         const rank = getRank(member.id);
-        if (rank > firstRank) {
-            first = member;
-            firstRank = rank;
+        if (rank > highestRank) {
+            highest = member;
+            highestRank = rank;
         }
     }
-    return first;
+    return highest;
 }
--- a/test/topics/readSource.test.ts
+++ b/test/topics/readSource.test.ts
@@ -71,7 +71,7 @@
     // reader, nodes that kept waiting for that reader would soon refuse all keys.
     it("alternates between the store and other peers while the state is old", () => {
         const alive = createMembers(4);
-        const kinds = Array.from(
+        const sources = Array.from(
             { length: 5 },
             (...[, fallbackReads]) =>
                 chooseReadSource({
@@ -84,7 +84,7 @@
                     getRank,
                 }),
         );
-        expect(kinds.map(source => source.kind)).toEqual(["store", "store", "peer", "store", "peer"]);
-        expect(kinds[2]).not.toEqual(kinds[4]);
+        expect(sources.map(source => source.kind)).toEqual(["store", "store", "peer", "store", "peer"]);
+        expect(sources[2]).not.toEqual(sources[4]);
     });
 });
--- a/test/topics/topicFollower.test.ts
+++ b/test/topics/topicFollower.test.ts
@@ -186,7 +186,6 @@
 
     it("returns a change to a waiting peer at once, and an empty page after its wait", async () => {
         const { follower } = await follow([createPage(4, 1_000, true)]);
-        // Ages are measured from this time on.
         const waited = follower.waitForChanges(5, 10_000);
         follower.applyPage({
             records: [{ key: "config", value: Buffer.from("6"), offset: 6 }],
