--- a/src/claims/collector.ts
+++ b/src/claims/collector.ts
@@ -175,8 +175,8 @@
     }
 
     /**
-     * Answers from a pin that is younger than a fraction of its lifetime, so that it cannot have expired
-     * without this fold's notice.
+     * Answers from a pin that is younger than a fraction of its lifetime, so that it cannot have expired while this
+     * fold lagged behind the log.
      */
     #readPin(operation: ClaimOperation, maxAgeFraction: number): ClaimDecision | undefined {
         const fold = this.#reader.getFold();
--- a/src/claims/partitionReader.ts
+++ b/src/claims/partitionReader.ts
@@ -1,7 +1,7 @@
 /**
  * Maintains the fold of one partition from the log, across retention gaps.
  *
- * A reader that starts after the first records have expired knows only some of the claims, and would grant a key that
+ * A reader that starts after the first records have expired has only some of the claims, and would grant a key that
  * an expired record already granted. Its fold therefore counts as complete only after a snapshot that reaches up to the
  * readable records, or once every claim that it may have missed has expired.
  */
--- a/test/claims/claimClient.test.ts
+++ b/test/claims/claimClient.test.ts
@@ -58,7 +58,7 @@
             expect(verdicts.map(verdict => verdict?.kind).sort()).toEqual(["granted", "held"]);
         });
 
-        // Guards against a key that is heldEntries without a claimant: the connection to the log drops after the claim was
+        // Guards against a key that is held without a claimant: the connection to the log drops after the claim was
         // written. If that counted as a failure, no claimant would use the key; if the claim were written again under
         // another identifier, the claimant would lose to itself.
         it("reads its claim back after a lost acknowledgement", async () => {
@@ -109,7 +109,7 @@
             }
         });
 
-        // Guards against a key that stays heldEntries: the claim was written, but the claimant could not read the log and gave
+        // Guards against a key that stays held: the claim was written, but the claimant could not read the log and gave
         // up without dispatching. Until its release arrives, others read "in progress"; afterwards the key must be free
         // again.
         it("releases a claim that it abandoned", async () => {
@@ -193,7 +193,8 @@
 
     describe("confirm after a pause of the whole process", () => {
         // Guards against a second run: the claimant and its reader were paused together for longer than the lifetime of
-        // the key, and the key ran elsewhere. The fold of the claimant still shows its claim.
+        // the key, and the key ran elsewhere. The fold of the claimant still shows its claim, so a decision from it would
+        // run the key again.
         it("does not rely on its own outdated state", async () => {
             const log = new MemoryLog();
             const heldEntries: (() => void)[] = [];
@@ -213,7 +214,7 @@
             isPaused = true;
             log.time = defaultLifetimes.runMilliseconds + 1;
             const other = createNode({ log, name: "other" });
-            // The other entry reads the key as heldEntries until a record advances the log's time.
+            // The other entry reads the key as held until a record advances the log's time.
             for (const stream of ["claims-0", "claims-1"]) {
                 log.put(stream, { id: `tick-${stream}`, kind: "tick", format: 1, writer: "test", body: {} });
             }
--- a/test/claims/claimFold.test.ts
+++ b/test/claims/claimFold.test.ts
@@ -144,14 +144,14 @@
                         const { operations: content } = entry.record.body as { operations: ClaimOperation[]; };
                         const { key } = content[index];
                         const at = completed.get(key);
-                        const isKept = at !== undefined && result.getLogTime() - at <= lifetimes.runMilliseconds;
-                        if (decision.verdict === "granted" && key !== pinKey && isKept) {
+                        const isRetained = at !== undefined && result.getLogTime() - at <= lifetimes.runMilliseconds;
+                        if (decision.verdict === "granted" && key !== pinKey && isRetained) {
                             throw new Error("granted again after its completion");
                         }
                         if (decision.verdict === "completed" && key !== pinKey && at === undefined) {
                             completed.set(key, result.get(key)?.time ?? 0);
                         }
-                        if (at !== undefined && !isKept) {
+                        if (at !== undefined && !isRetained) {
                             completed.delete(key);
                         }
                     }
@@ -160,20 +160,20 @@
         });
 
         it("gives every reader the same state, from the start or from a snapshot at any offset", () => {
-            fc.assert(fc.property(entries, fc.nat(25), fc.integer({ min: 1, max: 3 }), (all, place, items) => {
+            fc.assert(fc.property(entries, fc.nat(25), fc.integer({ min: 1, max: 3 }), (all, length, maxItems) => {
                 const whole = new ClaimFold(lifetimes);
                 const first = new ClaimFold(lifetimes);
-                for (const entry of all.slice(0, place)) {
+                for (const entry of all.slice(0, length)) {
                     first.apply(entry);
                 }
-                const parts = JSON.parse(JSON.stringify(first.createSnapshot("s", items, 1_000)));
+                const parts = JSON.parse(JSON.stringify(first.createSnapshot("s", maxItems, 1_000)));
                 const restored = ClaimFold.fromSnapshot(parts, lifetimes);
                 const decisions = [];
                 for (const entry of all) {
                     decisions.push(whole.apply(entry));
                 }
-                const later = all.slice(place).map(entry => restored.apply(entry));
-                expect(later).toEqual(decisions.slice(place));
+                const later = all.slice(length).map(entry => restored.apply(entry));
+                expect(later).toEqual(decisions.slice(length));
                 expect(restored.createSnapshot("e", 100, 10_000)).toEqual(whole.createSnapshot("e", 100, 10_000));
             }));
         });
