--- a/src/bills/billReplicaStore.ts
+++ b/src/bills/billReplicaStore.ts
@@ -125,7 +125,7 @@
         // Each origin is looked up once: looking up the members for each of tens of thousands of replicas blocked the
         // event loop.
         const origins = new Map<string, OriginState>();
-        // Cleared, since the set of origins changes for as long as this process runs.
+        // Cleared, since origins come and go while this process runs, and the map would keep growing.
         this.#lastSources.clear();
         await this.#appendWhere(replica => this.#isDue(replica, origins));
     }
@@ -133,11 +133,11 @@
     /**
      * Appends all replicas, for a shutdown of this entry. Replicas that the log does not confirm in time are
      * transferred to a peer, since their origin may be dead and this replica may be the last one.
-     * @param milliseconds - How long to retry.
+     * @param timeoutMilliseconds - How long to retry.
      * @returns The number of replicas that neither the log nor a peer accepted.
      */
-    async flush(milliseconds: number): Promise<number> {
-        const deadline = this.#options.clock.monotonic() + milliseconds;
+    async flush(timeoutMilliseconds: number): Promise<number> {
+        const deadline = this.#options.clock.monotonic() + timeoutMilliseconds;
         while (this.#replicas.size > 0 && this.#options.clock.monotonic() < deadline) {
             const before = this.#replicas.size;
             await this.#appendWhere(() => true);
--- a/src/bills/billWriter.ts
+++ b/src/bills/billWriter.ts
@@ -161,11 +161,11 @@
      *
      * When the log does not answer in time, the bills are replicated to two peers, which append them once this entry
      * has departed. One peer is not sufficient: its death would lose the bills while the log is unavailable.
-     * @param milliseconds - How long to retry.
+     * @param timeoutMilliseconds - How long to retry.
      * @returns A failure if a bill is neither in the log nor held by a peer.
      */
-    async flush(milliseconds: number): Promise<Result<void, Failure>> {
-        const deadline = this.#options.clock.monotonic() + milliseconds;
+    async flush(timeoutMilliseconds: number): Promise<Result<void, Failure>> {
+        const deadline = this.#options.clock.monotonic() + timeoutMilliseconds;
         while (this.#waiting.size > 0 && this.#options.clock.monotonic() < deadline) {
             const before = this.#waiting.size;
             await this.#appendOnce();
