--- a/src/decisions/model/modelChooser.ts
+++ b/src/decisions/model/modelChooser.ts
@@ -114,9 +114,9 @@
      */
     choose(request: ModelRequest): Plan {
         if (request.candidates.length === 0) {
-            return { steps: [], expectedCost: 0, expectedQuality: 0, exploring: false, reason: "no candidate" };
+            return { steps: [], expectedCost: 0, expectedQuality: 0, isExploring: false, reason: "no candidate" };
         }
-        const hasRatings = request.ratingsAvailable ?? true;
+        const hasRatings = request.areRatingsAvailable ?? true;
         const state = this.#getState(request);
         const best = this.#chooseSufficient(state, request, hasRatings);
         const margin = getLowerBound(best, request.confidence) - request.targetQuality;
@@ -151,7 +151,7 @@
 
     /** Chooses a plan that probably meets the target, if saved surplus quality covers its expected shortfall. */
     #chooseProbable(state: ClassState, best: PlanOption, request: ModelRequest): PlanOption | undefined {
-        const option = request.ratingsAvailable ?? true
+        const option = request.areRatingsAvailable ?? true
             ? getCheapest([best, ...getInTime(state.probablePlans, state.probableSingles, request)], request)!
             : this.#choosePossibleSingle(state, best, request);
         const debit = getDebit(option, request);
@@ -341,7 +341,7 @@
 
 /** Returns the credit that is reserved for explorations. */
 function getReservedCredit(state: ClassState, request: ModelRequest): number {
-    return (request.ratingsAvailable ?? true) || !state.hasSufficientRatings ? initialCredit : 0;
+    return (request.areRatingsAvailable ?? true) || !state.hasSufficientRatings ? initialCredit : 0;
 }
 
 function countRatings(estimates: readonly QualityEstimate[]): number {
--- a/src/decisions/model/modelRequest.ts
+++ b/src/decisions/model/modelRequest.ts
@@ -15,7 +15,7 @@
     /**
      * Whether the rating service is available. Without it there are no cascades and no explorations. True by default.
      */
-    readonly ratingsAvailable?: boolean;
+    readonly areRatingsAvailable?: boolean;
     /**
      * Checks whether a cascade's first token arrives in time, although its first answer is held back until it is rated.
      * By default it does for every cascade.
--- a/src/decisions/model/plan.ts
+++ b/src/decisions/model/plan.ts
@@ -18,7 +18,7 @@
     readonly expectedCost: number;
     readonly expectedQuality: number;
     /** Whether the plan was chosen as an exploration, paid for by surplus quality. All its answers should be rated. */
-    readonly exploring: boolean;
+    readonly isExploring: boolean;
     /** For logs and `rattanlock status`. */
     readonly reason: string;
 }
--- a/src/decisions/model/planChoice.ts
+++ b/src/decisions/model/planChoice.ts
@@ -152,12 +152,12 @@
 }
 
 /** Creates the plan for a request from an option. */
-export function createPlan(option: PlanOption, request: ModelRequest, exploring: boolean, reason: string): Plan {
+export function createPlan(option: PlanOption, request: ModelRequest, isExploring: boolean, reason: string): Plan {
     return {
         steps: option.steps,
         expectedCost: getPlanCost(option, request.inputTokens, request.outputTokens),
         expectedQuality: option.quality,
-        exploring,
+        isExploring,
         reason,
     };
 }
--- a/src/decisions/placement/candidateSet.ts
+++ b/src/decisions/placement/candidateSet.ts
@@ -89,7 +89,7 @@
         let found = 0;
         for (let step = 0; step < runners.length && found < this.#options.choices; step += 1) {
             const runner = runners[(start + step) % runners.length];
-            if (this.#request?.exclude.has(runner.vm.id) === false) {
+            if (this.#request?.excluded.has(runner.vm.id) === false) {
                 this.#compare(runner, "panic");
                 found += 1;
             }
@@ -112,7 +112,7 @@
 
     #isEligible(runner: Runner): boolean {
         return !runner.isLeaving && !runner.health.isEjected(this.#now)
-            && this.#request?.exclude.has(runner.vm.id) === false;
+            && this.#request?.excluded.has(runner.vm.id) === false;
     }
 
     #serves(runner: Runner): boolean {
--- a/src/decisions/placement/placement.ts
+++ b/src/decisions/placement/placement.ts
@@ -20,7 +20,7 @@
     /** Hashes of the prompt's prefixes, shortest first. */
     readonly blocks: readonly string[];
     /** Identifiers of upstreams on which an attempt was already made. */
-    readonly exclude: ReadonlySet<string>;
+    readonly excluded: ReadonlySet<string>;
     /** Identifier of the upstream that served the session before. It is preferred, but not guaranteed to be selected. */
     readonly preferred?: string;
     /** Milliseconds left until the caller's deadline for the first token. */
--- a/src/decisions/retries/windowedRetryBudget.ts
+++ b/src/decisions/retries/windowedRetryBudget.ts
@@ -70,7 +70,7 @@
      * @param reserve - Retries that are reserved for more important requests.
      * @returns Whether there was one.
      */
-    take(reserve = 0): boolean {
+    tryAcquire(reserve = 0): boolean {
         if (this.getRemaining() - reserve < 1) {
             return false;
         }
--- a/src/entry/attemptRunner.ts
+++ b/src/entry/attemptRunner.ts
@@ -121,7 +121,7 @@
         const placed = this.#options.runners.choose({
             version: version.id,
             blocks: getPrefixHashes(call.request.promptText),
-            exclude: excluded,
+            excluded,
             deadlineMilliseconds: getTimeLeft(call, this.#options.clock.monotonic()),
         });
         if (placed.isErr()) {
--- a/src/entry/chatPipeline.ts
+++ b/src/entry/chatPipeline.ts
@@ -140,7 +140,7 @@
             steps: [{ version, acceptScore: undefined }],
             expectedCost: 0,
             expectedQuality: 0,
-            exploring: false,
+            isExploring: false,
             reason: "session",
         }));
     }
@@ -153,7 +153,7 @@
             confidence: call.settings.confidence,
             inputTokens: call.request.estimatedInputTokens,
             outputTokens: call.request.estimatedOutputTokens,
-            ratingsAvailable: this.#options.areRatingsAvailable(),
+            areRatingsAvailable: this.#options.areRatingsAvailable(),
             isCascadeInTime: (first, second) => this.#isCascadeInTime(call, first.id, second.id),
         });
     }
--- a/src/entry/planRunner.ts
+++ b/src/entry/planRunner.ts
@@ -74,7 +74,7 @@
             earlierLines: [],
             outcome: "not-run",
             escalatedFrom: undefined,
-            isExploring: plan.exploring,
+            isExploring: plan.isExploring,
         };
         for (let index = 0; index < plan.steps.length; index += 1) {
             const step = plan.steps[index];
--- a/src/entry/servicePipeline.ts
+++ b/src/entry/servicePipeline.ts
@@ -221,7 +221,7 @@
         const placed = runners.choose({
             pool: request.pool,
             blocks: [],
-            exclude: excluded,
+            excluded,
             deadlineMilliseconds: timeLeftMilliseconds,
         });
         if (placed.isErr()) {
--- a/src/forwarding/attempts.ts
+++ b/src/forwarding/attempts.ts
@@ -133,7 +133,7 @@
             exchange.isCountedInBudget = true;
             budget.addRequest();
         }
-        else if (exchange.attempts > 0 && !budget.take()) {
+        else if (exchange.attempts > 0 && !budget.tryAcquire()) {
             return err({ kind: "not-made", reason: "budget" });
         }
         exchange.addAttempt(pick.upstream);
--- a/src/measure/cost/costExcess.ts
+++ b/src/measure/cost/costExcess.ts
@@ -86,7 +86,7 @@
 }
 
 function getPlanCause({ plan, steps, oracleSteps }: ExcessInput): ExcessCause {
-    if (plan.exploring) {
+    if (plan.isExploring) {
         return "tries";
     }
     if (plan.reason.startsWith("surest")) {
--- a/src/measure/cost/costRun.ts
+++ b/src/measure/cost/costRun.ts
@@ -156,8 +156,8 @@
         const entry = this.#entries[this.#random.nextInteger(entryCount)];
         this.#chosenEntry = entry;
         const plan = entry.chooser.choose(this.#createRequest(costClasses[classIndex], time, size));
-        this.#isExploring = plan.exploring;
-        this.exploringCount += plan.exploring ? 1 : 0;
+        this.#isExploring = plan.isExploring;
+        this.exploringCount += plan.isExploring ? 1 : 0;
         this.cascadeCount += plan.steps.length > 1 ? 1 : 0;
         return plan;
     }
@@ -175,7 +175,7 @@
             confidence,
             inputTokens: size * requestClass.inputTokens,
             outputTokens: size * requestClass.outputTokens,
-            ratingsAvailable: !isRatingUnavailable(time - detectionMilliseconds),
+            areRatingsAvailable: !isRatingUnavailable(time - detectionMilliseconds),
         };
     }
 
--- a/src/measure/decisionCost.ts
+++ b/src/measure/decisionCost.ts
@@ -70,7 +70,7 @@
 interface CostRequest {
     readonly version: string;
     readonly blocks: readonly string[];
-    readonly exclude: ReadonlySet<string>;
+    readonly excluded: ReadonlySet<string>;
     readonly deadlineMilliseconds: number;
 }
 
@@ -119,7 +119,7 @@
     return getRange(500).map(index => ({
         version: `model@${index % versions}`,
         blocks: getRange(blocksPerRequest).map(block => `block-${random.nextInteger(2_000)}-${block}`),
-        exclude: new Set<string>(),
+        excluded: new Set<string>(),
         deadlineMilliseconds: 1_000_000,
     }));
 }
--- a/src/measure/gossipTraffic.ts
+++ b/src/measure/gossipTraffic.ts
@@ -14,7 +14,7 @@
 const sizes = [8, 40, 100, 200, 350];
 const wallStart = Date.UTC(2026, 0, 1);
 const basePeriodMilliseconds = 500;
-const bytesPerExchange = 64 * 1024;
+const maxValueBytesPerMessage = 64 * 1024;
 const measuredPeriods = 12;
 const maxPeriods = 60;
 const changedValueBytes = 100;
@@ -62,7 +62,7 @@
             journal,
             transport: this.#createTransport(network),
             periodMilliseconds: basePeriodMilliseconds,
-            maxValueBytesPerMessage: bytesPerExchange,
+            maxValueBytesPerMessage,
         });
         this.membership = new Membership({ self, gossip: this.gossip, clock: this.clock, journal });
     }
--- a/src/measure/limitsTrial.ts
+++ b/src/measure/limitsTrial.ts
@@ -210,7 +210,7 @@
         const sentAt = this.#queue.now();
         const choice = this.#policies[entry].choose({
             blocks: [],
-            exclude: excluded,
+            excluded,
             deadlineMilliseconds: deadlineMilliseconds - (sentAt - attemptedAt),
         });
         if (choice === undefined) {
--- a/src/measure/loadTrial.ts
+++ b/src/measure/loadTrial.ts
@@ -176,22 +176,22 @@
     #startRequest(request: DrawnRequest): void {
         const isMeasured = this.#queue.now() >= warmUpMilliseconds;
         this.#requestCount += isMeasured ? 1 : 0;
-        this.#attempt({ request, arrivedAt: this.#queue.now(), exclude: new Set(), isMeasured });
+        this.#attempt({ request, arrivedAt: this.#queue.now(), excluded: new Set(), isMeasured });
     }
 
     #attempt(
         attempt: {
             readonly request: DrawnRequest;
             readonly arrivedAt: number;
-            readonly exclude: Set<string>;
+            readonly excluded: Set<string>;
             readonly isMeasured: boolean;
         },
     ): void {
-        const { request, arrivedAt, exclude, isMeasured } = attempt;
+        const { request, arrivedAt, excluded, isMeasured } = attempt;
         const sentAt = this.#queue.now();
         const choice = this.#policies[request.entry].choose({
             blocks: request.blocks,
-            exclude,
+            excluded,
             deadlineMilliseconds: deadlineMilliseconds - (sentAt - arrivedAt),
         });
         if (choice === undefined) {
@@ -216,15 +216,15 @@
                 this.#addAnswer({ arrivedAt, firstTokenAt, now, request, isMeasured });
                 return;
             }
-            exclude.add(runner.options.vm.id);
-            if (exclude.size < maxAttempts && firstTokenAt === undefined) {
+            excluded.add(runner.options.vm.id);
+            if (excluded.size < maxAttempts && firstTokenAt === undefined) {
                 this.#attempt(attempt);
             }
         };
         const cancelTimeout = this.#queue.schedule(deadlineMilliseconds, () => {
             if (firstTokenAt === undefined) {
                 // Three placeholders reach `maxAttempts`: after a timeout, no other runner is tried.
-                exclude.add("").add(" ").add("  ");
+                excluded.add("").add(" ").add("  ");
                 end("failed");
             }
         });
--- a/src/measure/placementPolicies.ts
+++ b/src/measure/placementPolicies.ts
@@ -36,7 +36,7 @@
 /** The data of a request that a policy chooses by. */
 export interface PolicyRequest {
     readonly blocks: readonly string[];
-    readonly exclude: ReadonlySet<string>;
+    readonly excluded: ReadonlySet<string>;
     readonly deadlineMilliseconds: number;
 }
 
@@ -105,7 +105,7 @@
         choose: request => {
             const allowed: number[] = [];
             for (const [index, runner] of options.runners.entries()) {
-                if (listed.has(runner.options.vm.id) && !request.exclude.has(runner.options.vm.id)) {
+                if (listed.has(runner.options.vm.id) && !request.excluded.has(runner.options.vm.id)) {
                     allowed.push(index);
                 }
             }
@@ -195,7 +195,7 @@
             const chosen = chooser.choose({
                 version,
                 blocks: request.blocks,
-                exclude: request.exclude,
+                excluded: request.excluded,
                 deadlineMilliseconds: request.deadlineMilliseconds,
             });
             if (chosen.isErr()) {
--- a/src/platform/storeClient.ts
+++ b/src/platform/storeClient.ts
@@ -147,7 +147,7 @@
             // offset.
             endOffset ??= page.value.end_offset;
             if (!page.value.has_more) {
-                return ok({ records: [...records.values()], isComplete: true, endOffset: endOffset, confirmedAt });
+                return ok({ records: [...records.values()], isComplete: true, endOffset, confirmedAt });
             }
         }
     }
--- a/test/decisions/model/modelChooser.test.ts
+++ b/test/decisions/model/modelChooser.test.ts
@@ -14,7 +14,7 @@
     describe("choose", () => {
         it("chooses the version of the highest expected quality for a new class", () => {
             const { choose } = createFixture();
-            const plan = choose({ ratingsAvailable: false });
+            const plan = choose({ areRatingsAvailable: false });
             expect(plan.steps.map(step => step.version.id)).toEqual([large.id]);
         });
 
@@ -23,7 +23,7 @@
             addRatings(small, 400, 0.6, 0.02);
             addRatings(medium, 400, 0.88, 0.02);
             addRatings(large, 400, 0.95, 0.02);
-            expect(choose({ ratingsAvailable: false }).steps.map(step => step.version.id)).toEqual([medium.id]);
+            expect(choose({ areRatingsAvailable: false }).steps.map(step => step.version.id)).toEqual([medium.id]);
         });
 
         it("chooses a cascade where the cheap version is often good and its ratings show when", () => {
@@ -80,9 +80,9 @@
             addRatings(small, 200, 0.3, 0.02);
             addRatings(large, 400, 0.95, 0.02);
             for (let request = 0; request < 200; request += 1) {
-                const plan = choose({ ratingsAvailable: false });
+                const plan = choose({ areRatingsAvailable: false });
                 expect(plan.steps.length).toEqual(1);
-                expect(plan.exploring).toEqual(false);
+                expect(plan.isExploring).toEqual(false);
             }
         });
 
@@ -111,9 +111,9 @@
             const { addRatings, choose } = createFixture();
             addRatings(medium, 400, 0.88, 0.02);
             addRatings(large, 400, 0.95, 0.02);
-            expect(choose({ ratingsAvailable: false }).steps[0].version.id).toEqual(medium.id);
+            expect(choose({ areRatingsAvailable: false }).steps[0].version.id).toEqual(medium.id);
             const moreExpensive = { ...medium, inputPrice: 20, outputPrice: 80 };
-            const plan = choose({ ratingsAvailable: false, candidates: [small, moreExpensive, large] });
+            const plan = choose({ areRatingsAvailable: false, candidates: [small, moreExpensive, large] });
             expect(plan.steps[0].version.id).toEqual(large.id);
         });
 
@@ -126,11 +126,11 @@
                 clock.advance(60_000);
                 addRatings(medium, 50, 0.88, 0.05);
             }
-            expect(choose({ ratingsAvailable: false }).steps[0].version.id).toEqual(medium.id);
+            expect(choose({ areRatingsAvailable: false }).steps[0].version.id).toEqual(medium.id);
             clock.advance(60_000);
             addRatings(medium, 30, 0.6, 0.05);
             clock.advance(60_000);
-            expect(choose({ ratingsAvailable: false }).steps[0].version.id).toEqual(large.id);
+            expect(choose({ areRatingsAvailable: false }).steps[0].version.id).toEqual(large.id);
         });
 
         // Guards against excluding a good version permanently after three unluckily low ratings. If it were never
@@ -153,7 +153,7 @@
         it("refreshes due plans after the request, in steps", () => {
             const steps: (() => void)[] = [];
             const { addRatings, choose, clock } = createFixture({ schedule: step => steps.push(step) });
-            const getVersion = () => choose({ ratingsAvailable: false }).steps[0].version.id;
+            const getVersion = () => choose({ areRatingsAvailable: false }).steps[0].version.id;
             addRatings(medium, 400, 0.88, 0.02);
             addRatings(large, 400, 0.95, 0.02);
             expect(getVersion()).toEqual(medium.id);
@@ -177,10 +177,10 @@
             const { addRatings, choose, clock } = createFixture({ schedule: () => {} });
             addRatings(medium, 400, 0.88, 0.02);
             addRatings(large, 400, 0.95, 0.02);
-            expect(choose({ ratingsAvailable: false }).steps[0].version.id).toEqual(medium.id);
+            expect(choose({ areRatingsAvailable: false }).steps[0].version.id).toEqual(medium.id);
             addRatings(medium, 600, 0.6, 0.02);
             clock.advance(60_000);
-            expect(choose({ ratingsAvailable: false }).steps[0].version.id).toEqual(large.id);
+            expect(choose({ areRatingsAvailable: false }).steps[0].version.id).toEqual(large.id);
         });
 
         it("returns a plan without steps if there is no candidate", () => {
@@ -197,7 +197,7 @@
             for (let request = 0; request < count; request += 1) {
                 clock.advance(100);
                 const plan = choose({});
-                explorations += plan.exploring ? 1 : 0;
+                explorations += plan.isExploring ? 1 : 0;
                 for (const { version, acceptScore } of plan.steps) {
                     const score = clamp(qualities.get(version.id)! + 0.15 * random.nextNormal());
                     evidence.addRating({ version: version.id, requestClass, score });
--- a/test/decisions/placement/fixtures.ts
+++ b/test/decisions/placement/fixtures.ts
@@ -47,7 +47,7 @@
     return {
         version,
         blocks: [],
-        exclude: new Set(),
+        excluded: new Set(),
         deadlineMilliseconds: 60_000,
         ...options,
     };
--- a/test/decisions/placement/runnerChooser.test.ts
+++ b/test/decisions/placement/runnerChooser.test.ts
@@ -40,7 +40,7 @@
 
         it("skips runners on which an attempt was made", () => {
             const { chooser } = createChooser(createVms(3));
-            const counts = countChoices(chooser, createRequest({ exclude: new Set(["runner-0", "runner-2"]) }));
+            const counts = countChoices(chooser, createRequest({ excluded: new Set(["runner-0", "runner-2"]) }));
             expect([...counts.keys()]).toEqual(["runner-1"]);
         });
 
@@ -323,7 +323,7 @@
             const vms = createVms(2);
             const { chooser } = createChooser(vms);
             expect(chooser.eject("runner-0", "test")).toEqual(true);
-            const placement = chooser.choose(createRequest({ exclude: new Set(["runner-1"]) }))._unsafeUnwrap();
+            const placement = chooser.choose(createRequest({ excluded: new Set(["runner-1"]) }))._unsafeUnwrap();
             expect([placement.upstream.id, placement.reason]).toEqual(["runner-0", "panic"]);
         });
     });
--- a/test/decisions/retries/windowedRetryBudget.test.ts
+++ b/test/decisions/retries/windowedRetryBudget.test.ts
@@ -30,7 +30,7 @@
                 sent.push({ at: clock.monotonic(), isRetry: false });
             }
             for (let retry = 0; retry < 2; retry += 1) {
-                if (budget.take()) {
+                if (budget.tryAcquire()) {
                     sent.push({ at: clock.monotonic(), isRetry: true });
                 }
             }
@@ -48,7 +48,7 @@
     it("divides the retries beyond the ratio among the nodes", () => {
         const { budget } = createBudget({ extra: 56, nodes: 8 });
         let taken = 0;
-        while (budget.take()) {
+        while (budget.tryAcquire()) {
             taken += 1;
         }
         expect(taken).toEqual(6);
@@ -56,15 +56,15 @@
 
     it("does not count retries after their window has passed", () => {
         const { clock, budget } = createBudget({ extra: 10 });
-        while (budget.take()) {
+        while (budget.tryAcquire()) {
             // Uses up the budget.
         }
         clock.advance(windowMilliseconds + 1_000);
-        expect(budget.take()).toEqual(true);
+        expect(budget.tryAcquire()).toEqual(true);
     });
 
     it("keeps a reserve for more important requests", () => {
         const { budget } = createBudget({ extra: 10 });
-        expect([budget.take(9), budget.take()]).toEqual([false, true]);
+        expect([budget.tryAcquire(9), budget.tryAcquire()]).toEqual([false, true]);
     });
 });
--- a/test/membership/gossip.test.ts
+++ b/test/membership/gossip.test.ts
@@ -112,7 +112,7 @@
         // Guards against lost values when they do not fit into one message: the rest must follow in later exchanges
         // without a gap.
         it("sends all values over several messages within the limit of bytes", async () => {
-            const site = createGossipSite(4, { bytesPerExchange: 300 });
+            const site = createGossipSite(4, { maxValueBytesPerMessage: 300 });
             for (let index = 0; index < 40; index += 1) {
                 site.nodes[0].gossip.set(`key-${index}`, Buffer.alloc(50, index));
             }
