--- a/scripts/guards.mjs
+++ b/scripts/guards.mjs
@@ -1,5 +1,6 @@
-// Checks that the proofs can fail: disables one guarding mechanism at a time in a scratch copy and runs its test, which must
-// then fail. Usage: node scripts/guards.mjs [PART_OF_A_NAME]. Not part of CI, since it rebuilds the code for each guard.
+// Checks that the tests detect missing guards: disables one guarding mechanism at a time in a scratch copy and runs its
+// test, which must then fail. Usage: node scripts/guards.mjs [PART_OF_A_NAME]. Not part of CI, since it rebuilds the
+// code for each guard.
 import { spawnSync } from "node:child_process";
 import { cpSync, mkdtempSync, readFileSync, rmSync, symlinkSync, writeFileSync } from "node:fs";
 import { tmpdir } from "node:os";
@@ -33,7 +34,7 @@
     const path = join(folder, guard.file);
     const original = readFileSync(path, "utf8");
     if (original.split(guard.find).length !== 2) {
-        throw new Error(`${guard.name}: the text to replace stands not exactly once in ${guard.file}.`);
+        throw new Error(`${guard.name}: the text to replace does not occur exactly once in ${guard.file}.`);
     }
     writeFileSync(path, original.replace(guard.find, () => guard.replace));
     const built = run(folder, "node_modules/.bin/tsc", [
@@ -47,7 +48,7 @@
     const tested = run(folder, process.execPath, createTestArguments(guard));
     writeFileSync(path, original);
     if (built.status !== 0) {
-        throw new Error(`${guard.name}: does not build without its guard:\n${built.stdout}`);
+        throw new Error(`${guard.name}: the code does not build without the guard:\n${built.stdout}`);
     }
     const failures = [];
     for (const line of tested.stdout.split("\n")) {
