--- a/src/rollouts/poolRollout.ts
+++ b/src/rollouts/poolRollout.ts
@@ -12,7 +12,7 @@
 import { isFirstStep, isOver, type RolloutOrder, type RolloutProgress } from "./rollout.js";
 import { encodeReport, type EvidenceAnswer, type EvidenceReport, RolloutEvidence } from "./rolloutEvidence.js";
 import type { RolloutsOptions } from "./rolloutsOptions.js";
-import { getTurnDelay, leadingNodeCount } from "./stepTurn.js";
+import { getStepDelay, leadingNodeCount } from "./stepDelay.js";
 import type { VersionPartition } from "./versionPartitions.js";
 import type { VersionSelection } from "./versionSelection.js";
 
@@ -216,7 +216,7 @@
         }
         this.#dueSince ??= now;
         const hasTakenLastStep = this.#progress !== undefined && this.#progress.step === this.#lastWrittenStep;
-        const delay = getTurnDelay({ rank, hasTakenLastStep });
+        const delay = getStepDelay({ rank, hasTakenLastStep });
         if (now - this.#dueSince < delay || now - this.#lastWriteAt < minWriteIntervalMilliseconds) {
             return;
         }
--- a/src/rollouts/stepTurn.ts
+++ b/src/rollouts/stepDelay.ts
@@ -15,8 +15,8 @@
  */
 const trailingRankDelayMilliseconds = 5;
 
-/** The input of a node's turn. */
-export interface StepTurn {
+/** The position of a node in the order in which nodes may take a step. */
+export interface StepPosition {
     /** Number of nodes that rank before this one, including failed ones whose failure is not detected yet. */
     readonly rank: number;
     /**
@@ -27,7 +27,7 @@
 }
 
 /** Returns how long a node waits for the nodes before it to take a due step, in milliseconds. */
-export function getTurnDelay({ rank, hasTakenLastStep }: StepTurn): number {
+export function getStepDelay({ rank, hasTakenLastStep }: StepPosition): number {
     if (hasTakenLastStep) {
         return 0;
     }
--- a/test/rollouts/stepTurn.test.ts
+++ b/test/rollouts/stepDelay.test.ts
@@ -1,14 +1,14 @@
 import { expect } from "earl";
 import { describe, it } from "node:test";
-import { getTurnDelay } from "../../src/rollouts/stepTurn.js";
+import { getStepDelay } from "../../src/rollouts/stepDelay.js";
 
-describe("getTurnDelay", () => {
+describe("getStepDelay", () => {
     it("lets the first nodes by rank take turns one after another, and all others soon after", () => {
-        const delays = [0, 1, 3, 4, 349].map(rank => getTurnDelay({ rank, hasTakenLastStep: false }));
+        const delays = [0, 1, 3, 4, 349].map(rank => getStepDelay({ rank, hasTakenLastStep: false }));
         expect(delays).toEqual([0, 500, 1_500, 2_000, 3_725]);
     });
 
     it("lets a node that took the last step continue without a delay", () => {
-        expect(getTurnDelay({ rank: 349, hasTakenLastStep: true })).toEqual(0);
+        expect(getStepDelay({ rank: 349, hasTakenLastStep: true })).toEqual(0);
     });
 });
